--- a/bench/capacity/bench_lost.c
+++ b/bench/capacity/bench_lost.c
@@ -141,7 +141,7 @@
 static void begin_calls(struct bench *bench, const char *target, size_t count)
 {
 	static const struct call_sink sink = {
-		.handle_whole = handle_whole,
+		.handle_reply = handle_whole,
 		.handle_abort = handle_abort,
 	};
 	struct fields fields;
--- a/comfreydockd/caller/attempts.c
+++ b/comfreydockd/caller/attempts.c
@@ -36,7 +36,7 @@
 		call->deadline_us, path_us, clock_mono_us());
 	out->idempotent = call->rule->idempotent;
 	out->may_repeat = call->rule->idempotent &&
-			  call_work_attempts(call) < call->max_attempts;
+			  call_counted_attempts(call) < call->max_attempts;
 	out->target_us = call_target_left_us(call, path_us);
 	out->priority = call->rule->class;
 	out->fairness_key = call->fairness_key;
@@ -46,7 +46,7 @@
 	out->content_key = call->content;
 	out->depth = call->depth;
 	out->holds_others = call->holds_others;
-	out->answer_window = call->is_behind ? AHEAD_WINDOW_BYTES : 0;
+	out->answer_window = call->answer_blocked ? AHEAD_WINDOW_BYTES : 0;
 }
 
 static size_t fill_shed_statuses(const struct config_service *config,
@@ -92,7 +92,7 @@
 	attempt->upstream = service_upstream_ref(upstream);
 	attempt->seq = ++entry->next_seq;
 	attempt->is_hedge = is_hedge;
-	attempt->has_small_window = call->is_behind;
+	attempt->has_small_window = call->answer_blocked;
 	attempt->sent_us = clock_mono_us();
 	attempt->state = ENTRY_PICKED;
 	attempt->peer = peers_connect(entry->daemon->peers, member);
@@ -107,7 +107,8 @@
 	out.other_pace_percent =
 		pick_other_pace(&upstream->service->picks, &upstream->candidate,
 				&call->tried, attempt->sent_us);
-	out.last_resort = !is_hedge && (call->returns || call_untried(call) == 0);
+	out.last_resort = !is_hedge &&
+			  (call->returned_to_busy || call_untried(call) == 0);
 	out.shed_statuses = shed;
 	out.n_shed_statuses =
 		fill_shed_statuses(call->config, shed, G_N_ELEMENTS(shed));
@@ -156,7 +157,7 @@
 	send_cancel(attempt, false);
 }
 
-void entry_attempt_ask(struct entry_attempt *attempt)
+void entry_attempt_query_overdue(struct entry_attempt *attempt)
 {
 	Cfd__LoadQuery query = CFD__LOAD_QUERY__INIT;
 	Cfd__Frame frame = CFD__FRAME__INIT;
--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -20,8 +20,9 @@
 #define NO_UPSTREAM_LEFT_SHARE 4
 
 /* What became of its attempts, for the one line that tells of a failure. */
-static void call_remember(struct call *call,
-			  const struct entry_attempt *attempt, const char *end)
+static void call_append_history(struct call *call,
+				const struct entry_attempt *attempt,
+				const char *end)
 {
 	size_t used = strlen(call->history);
 
@@ -37,10 +38,10 @@
 	while ((attempt = LIST_FIRST(&call->active)))
 		entry_attempt_destroy(attempt);
 	ev_timer_stop(loop, &call->deadline);
-	ev_timer_stop(loop, &call->next);
+	ev_timer_stop(loop, &call->retry_timer);
 	ev_timer_stop(loop, &call->hedge);
 	ev_timer_stop(loop, &call->patience);
-	ev_timer_stop(loop, &call->hold);
+	ev_timer_stop(loop, &call->queue_timeout);
 	LIST_REMOVE(call, link);
 	call->entry->count--;
 	config_snapshot_unref(call->snapshot);
@@ -63,9 +64,9 @@
 static void call_finish_unanswered(struct call *call)
 {
 	if (call->may_have_run)
-		outcome_say_unknown(call);
+		outcome_reply_unknown(call);
 	else
-		outcome_say_not_run(call);
+		outcome_reply_not_run(call);
 	call_free(call);
 }
 
@@ -78,9 +79,9 @@
  */
 static bool call_return_to_busy(struct call *call)
 {
-	if (call->returns || call->tried_busy.count == 0)
+	if (call->returned_to_busy || call->tried_busy.count == 0)
 		return false;
-	call->returns = true;
+	call->returned_to_busy = true;
 	pick_tried_forget(&call->tried, &call->tried_busy);
 	return true;
 }
@@ -108,7 +109,7 @@
 		call_finish_unanswered(call);
 		return;
 	}
-	upstream = call_choose(call, now);
+	upstream = call_choose_upstream(call, now);
 	if (!upstream && call->reason == CFD__REASON__REASON_QUARANTINED) {
 		call_finish_unanswered(call);
 		return;
@@ -121,10 +122,10 @@
 		call_finish_unanswered(call);
 		return;
 	}
-	may_queue =
-		call->returns ||
-		pick_may_queue(&call->service->picks, &upstream->candidate,
-			       &call->tried, call->busy >= RETRY_BUSY_MAX, now);
+	may_queue = call->returned_to_busy ||
+		    pick_may_queue(&call->service->picks, &upstream->candidate,
+				   &call->tried,
+				   call->busy_refusals >= RETRY_BUSY_MAX, now);
 	pick_tried_add(&call->tried, upstream->candidate.id);
 	call->attempts++;
 	entry_attempt_send(call, upstream, may_queue, false);
@@ -132,7 +133,7 @@
 	call_arm_patience(call);
 }
 
-static enum retry_outcome outcome_of(Cfd__Reason reason, bool never_sent)
+static enum retry_outcome retry_outcome_of(Cfd__Reason reason, bool never_sent)
 {
 	if (never_sent)
 		return RETRY_OUTCOME_NEVER_SENT;
@@ -156,17 +157,17 @@
 }
 
 /* What follows after an attempt, where no other is out. */
-static void call_decide(struct call *call, enum retry_outcome outcome,
-			enum attempt_entry_state state)
+static void call_decide_retry(struct call *call, enum retry_outcome outcome,
+			      enum attempt_entry_state state)
 {
 	struct retry_question question;
 	struct retry_answer answer;
 	int64_t now = clock_mono_us();
 
 	if (outcome == RETRY_OUTCOME_BUSY)
-		call->busy++;
+		call->busy_refusals++;
 	else if (!retry_counts(outcome))
-		call->unheard++;
+		call->uncounted_attempts++;
 	call_fill_retry_question(call, outcome, &question);
 	if ((outcome == RETRY_OUTCOME_BUSY || !retry_counts(outcome)) &&
 	    question.untried == 0 && call_return_to_busy(call))
@@ -174,10 +175,11 @@
 	answer = retry_decide(&call->service->retry, &question,
 			      &call->entry->random, now);
 	/* A body of which more is gone than is kept can't be sent again. */
-	if (answer.verdict == RETRY_GO && !call->body_streams && !call->gives_up &&
+	if (answer.verdict == RETRY_GO && !call->body_exceeds_buffer &&
+	    !call->no_more_attempts &&
 	    attempt_allows_another(state, call->rule->idempotent)) {
 		counters.entry_retries++;
-		call_start_timer(call, &call->next, answer.delay_us);
+		call_start_timer(call, &call->retry_timer, answer.delay_us);
 		return;
 	}
 	call->come_back_ms = MAX(call->come_back_ms,
@@ -202,15 +204,15 @@
 		  LOG_STR("reason", outcome_reason_name(reason)),
 		  LOG_INT("after_us", clock_mono_us() - attempt->sent_us),
 		  LOG_INT("come_back_ms", retry_after_ms));
-	call_remember(call, attempt, outcome_reason_name(reason));
+	call_append_history(call, attempt, outcome_reason_name(reason));
 	entry_attempt_destroy(attempt);
 	if (!LIST_EMPTY(&call->active))
 		return; /* the other one goes on */
 	if (!was_hedge || call->reason == CFD__REASON__REASON_UNSPECIFIED)
 		call->reason = reason;
-	call->come_back_ms = MAX(retry_after_ms, call->least_come_back_ms);
+	call->come_back_ms = MAX(retry_after_ms, call->min_come_back_ms);
 	call_stop_patience(call);
-	call_decide(call, outcome_of(reason, never_sent), state);
+	call_decide_retry(call, retry_outcome_of(reason, never_sent), state);
 }
 
 void call_note_unknown(struct entry_attempt *attempt, bool lost)
@@ -223,7 +225,7 @@
 		  LOG_STR("from", attempt->upstream->host),
 		  LOG_STR("why", lost ? "lost" : "timeout"),
 		  LOG_INT("after_us", clock_mono_us() - attempt->sent_us));
-	call_remember(call, attempt, lost ? "lost" : "timeout");
+	call_append_history(call, attempt, lost ? "lost" : "timeout");
 	entry_attempt_destroy(attempt);
 	if (answering) {
 		call_abort(call);
@@ -234,12 +236,12 @@
 	if (!LIST_EMPTY(&call->active))
 		return;
 	call_stop_patience(call);
-	call_decide(call, RETRY_OUTCOME_UNKNOWN, state);
+	call_decide_retry(call, RETRY_OUTCOME_UNKNOWN, state);
 }
 
 /* See deadline_silence_left_us(). The call may be gone after this, but not when
  * its answer has just begun. */
-static void call_watch_answer(struct call *call)
+static void call_check_stalled_answer(struct call *call)
 {
 	int64_t now = clock_mono_us();
 	int64_t left_us;
@@ -270,7 +272,7 @@
 	call->answering = attempt;
 	call->status = answer->status;
 	call->heard_us = attempt->head_us;
-	call_watch_answer(call);
+	call_check_stalled_answer(call);
 	ev_timer_stop(loop, &call->hedge);
 	call_stop_patience(call);
 	hedge_note_latency(&call->service->hedge,
@@ -314,16 +316,16 @@
 	call_free(call);
 }
 
-void call_note_room(struct entry_attempt *attempt, uint32_t bytes)
+void call_note_body_window(struct entry_attempt *attempt, uint32_t bytes)
 {
 	struct call *call = attempt->call;
 
-	call->body_room += bytes;
+	call->body_window += bytes;
 	if (!call->body_ends)
-		call->sink->handle_room(call->sink_data);
+		call->sink->handle_body_window(call->sink_data);
 }
 
-static void handle_next(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_retry(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	(void)loop;
 	(void)events;
@@ -339,7 +341,7 @@
 	(void)loop;
 	(void)events;
 	if (call->answering) {
-		call_watch_answer(call);
+		call_check_stalled_answer(call);
 		return;
 	}
 	if (!call->cancels_sent) {
@@ -351,7 +353,7 @@
 		return;
 	}
 	LIST_FOREACH (attempt, &call->active, link)
-		call_remember(call, attempt, "silent");
+		call_append_history(call, attempt, "silent");
 	call->reason = CFD__REASON__REASON_DEADLINE;
 	if (!LIST_EMPTY(&call->active))
 		call->may_have_run = true;
@@ -362,7 +364,7 @@
 {
 	struct entry_attempt *attempt;
 
-	call->gives_up = true;
+	call->no_more_attempts = true;
 	LIST_FOREACH (attempt, &call->active, link)
 		entry_attempt_cancel_waiting(attempt);
 	if (LIST_EMPTY(&call->active))
@@ -384,7 +386,7 @@
 
 void call_start(struct call *call)
 {
-	call->content = call_content(call);
+	call->content = call_content_key(call);
 	call->is_started = true;
 	hedge_note_request(&call->service->hedge);
 	retry_note_request(&call->service->retry, clock_mono_us());
@@ -395,32 +397,33 @@
 void call_init_timers(struct call *call)
 {
 	ev_init(&call->deadline, handle_deadline);
-	ev_init(&call->next, handle_next);
+	ev_init(&call->retry_timer, handle_retry);
 	call->deadline.data = call;
-	call->next.data = call;
-	call_init_beside(call);
+	call->retry_timer.data = call;
+	call_init_parallel(call);
 	call_start_timer(call, &call->deadline,
 			 deadline_cancel_us(call->began_us, call->deadline_us) -
 				 clock_mono_us());
 }
 
-size_t call_room(const struct call *call)
+size_t call_body_window(const struct call *call)
 {
 	if (!call->is_started)
-		return CALL_BODY_KEPT - MIN(call->body->len, CALL_BODY_KEPT);
-	return LIST_EMPTY(&call->active) ? 0 : call->body_room;
+		return CALL_BODY_BUFFER_MAX -
+		       MIN(call->body->len, CALL_BODY_BUFFER_MAX);
+	return LIST_EMPTY(&call->active) ? 0 : call->body_window;
 }
 
 void call_add_body(struct call *call, const void *bytes, size_t size)
 {
 	if (!call->is_started) {
 		g_byte_array_append(call->body, bytes, (guint)size);
-		if (call->body->len >= CALL_BODY_KEPT)
+		if (call->body->len >= CALL_BODY_BUFFER_MAX)
 			call_start(call);
 		return;
 	}
-	call->body_streams = true;
-	call->body_room -= MIN(size, call->body_room);
+	call->body_exceeds_buffer = true;
+	call->body_window -= MIN(size, call->body_window);
 	entry_attempt_send_body(LIST_FIRST(&call->active), bytes, size, false);
 }
 
@@ -441,7 +444,7 @@
 {
 	struct entry_attempt *attempt;
 
-	call->is_behind = false;
+	call->answer_blocked = false;
 	LIST_FOREACH (attempt, &call->active, link) {
 		if (!attempt->has_small_window)
 			continue;
@@ -455,7 +458,7 @@
 {
 	call->consumed += size;
 	call->unread -= size;
-	if (call->consumed < CALL_CREDIT_STEP || !call->answering)
+	if (call->consumed < CALL_WINDOW_UPDATE_BYTES || !call->answering)
 		return;
 	entry_attempt_send_window(call->answering, (uint32_t)call->consumed);
 	call->consumed = 0;
--- a/comfreydockd/caller/call_quarantine.c
+++ b/comfreydockd/caller/call_quarantine.c
@@ -17,7 +17,7 @@
 	return key ? key : "";
 }
 
-uint64_t call_content(const struct call *call)
+uint64_t call_content_key(const struct call *call)
 {
 	struct content content = {
 		.service = call->config->name,
@@ -25,7 +25,7 @@
 		.target = call->target,
 		.caller = content_caller(call),
 		.body = call->body->data,
-		.body_size = MIN(call->body->len, CALL_BODY_KEPT),
+		.body_size = MIN(call->body->len, CALL_BODY_BUFFER_MAX),
 	};
 
 	return content_key(&content, call->entry->content_seed);
@@ -43,7 +43,7 @@
 		  LOG_INT("left_us", left_us));
 }
 
-struct service_upstream *call_choose(struct call *call, int64_t now_us)
+struct service_upstream *call_choose_upstream(struct call *call, int64_t now_us)
 {
 	struct quarantine_answer answer = quarantine_judge(
 		call->entry->daemon->quarantine, call->content, now_us);
@@ -52,7 +52,8 @@
 	if (answer.verdict == QUARANTINE_FREE)
 		return service_choose(call->service, &call->tried, now_us);
 	if (answer.verdict == QUARANTINE_TRIAL)
-		upstream = service_find_hash(call->service, answer.trial_host);
+		upstream = service_find_by_host_hash(call->service,
+						     answer.trial_host);
 	if (upstream && !pick_tried_has(&call->tried, upstream->candidate.id))
 		return upstream;
 	call_note_quarantined(call, MAX(answer.left_us, TRIAL_COME_BACK_US));
--- a/comfreydockd/caller/call_state.c
+++ b/comfreydockd/caller/call_state.c
@@ -13,9 +13,9 @@
 	return pick_count_untried(&call->service->picks, &call->tried);
 }
 
-uint32_t call_work_attempts(const struct call *call)
+uint32_t call_counted_attempts(const struct call *call)
 {
-	return call->attempts - call->busy - call->unheard;
+	return call->attempts - call->busy_refusals - call->uncounted_attempts;
 }
 
 void call_fill_hedge_question(const struct call *call,
@@ -41,7 +41,8 @@
 		.outcome = outcome,
 		.idempotent = call->rule->idempotent,
 		.answer_begun = call->answering != NULL,
-		.attempts = busy ? call->busy : call_work_attempts(call),
+		.attempts = busy ? call->busy_refusals :
+				   call_counted_attempts(call),
 		.max_attempts = busy ? RETRY_BUSY_MAX + 1 : call->max_attempts,
 		.untried = call_untried(call),
 		.depth = call->depth,
--- a/comfreydockd/caller/connection_input.c
+++ b/comfreydockd/caller/connection_input.c
@@ -8,13 +8,13 @@
 #include "common/counters.h"
 
 #define STATUS_UNAVAILABLE 503
-#define COME_BACK_MS 1000
+#define SURPLUS_COME_BACK_MS 1000
 /* Another daemon can take it at once. */
-#define ELSEWHERE_MS 10
+#define TURN_AWAY_COME_BACK_MS 10
 
 /* Requests in the list. */
 
-static void connection_note_behind(struct connection *connection)
+static void connection_mark_holding_others(struct connection *connection)
 {
 	struct caller_request *request;
 
@@ -24,18 +24,19 @@
 	}
 }
 
-static struct caller_request *connection_add(struct connection *connection,
-					     const struct reader_head *head)
+static struct caller_request *
+connection_add_request(struct connection *connection,
+		       const struct reader_head *head)
 {
 	struct caller_request *request = request_create(connection);
 
-	request->is_to_head = strcmp(head->method, "HEAD") == 0;
-	request->is_1_0 = head->is_1_0;
+	request->is_head_method = strcmp(head->method, "HEAD") == 0;
+	request->is_http_1_0 = head->is_http_1_0;
 	request->keeps_alive = head->keeps_alive;
 	request->body_done = head->ends;
-	connection_note_behind(connection);
+	connection_mark_holding_others(connection);
 	TAILQ_INSERT_TAIL(&connection->requests, request, link);
-	connection->sends_ahead |= connection->unanswered++ > 0;
+	connection->is_pipelined |= connection->unanswered++ > 0;
 	return request;
 }
 
@@ -45,8 +46,8 @@
 	request->is_ahead = false;
 }
 
-void connection_remove(struct connection *connection,
-		       struct caller_request *request)
+void connection_remove_request(struct connection *connection,
+			       struct caller_request *request)
 {
 	if (connection->waiting == request)
 		connection->waiting = NULL;
@@ -58,12 +59,12 @@
 	request_destroy(request);
 }
 
-void connection_remove_all(struct connection *connection)
+void connection_remove_all_requests(struct connection *connection)
 {
 	struct caller_request *request;
 
 	while ((request = TAILQ_FIRST(&connection->requests)))
-		connection_remove(connection, request);
+		connection_remove_request(connection, request);
 }
 
 /* Beginning them. */
@@ -76,7 +77,7 @@
 	struct connection *connection = request->connection;
 	char *text = g_strdup_printf("not run: %s\n", why);
 
-	connection->reads_no_more = true;
+	connection->input_ended = true;
 	request->keeps_alive = false;
 	outcome_refuse(connection_headers(connection), &request_sink, request,
 		       status, reason, come_back_ms, text);
@@ -105,8 +106,8 @@
 static void request_refuse_surplus(struct caller_request *request)
 {
 	counters.caller_surplus_connections++;
-	request_refuse(request, STATUS_UNAVAILABLE, "connections", COME_BACK_MS,
-		       "too many connections are open");
+	request_refuse(request, STATUS_UNAVAILABLE, "connections",
+		       SURPLUS_COME_BACK_MS, "too many connections are open");
 }
 
 static void request_begin(struct caller_request *request,
@@ -122,13 +123,13 @@
 	}
 	if (listener->turns_away) {
 		request_refuse(request, STATUS_UNAVAILABLE, "stopping",
-			       ELSEWHERE_MS, "this daemon ends");
+			       TURN_AWAY_COME_BACK_MS, "this daemon ends");
 		return;
 	}
 	connection_fill_call(connection, head, &call);
 	call.arrived_us = arrived_us;
 	call.in_front = connection->unanswered - 1;
-	call.holds_others = connection->sends_ahead;
+	call.holds_others = connection->is_pipelined;
 	request->is_ahead = call.in_front > 0;
 	listener->ahead += request->is_ahead;
 	counters.caller_ahead += request->is_ahead;
@@ -166,8 +167,8 @@
 	connection->has_request = true;
 	connection->head_since_us = 0;
 	reader_get_head(&connection->reader, &head);
-	request = connection_add(connection, &head);
-	connection->reads_no_more |= !head.keeps_alive;
+	request = connection_add_request(connection, &head);
+	connection->input_ended |= !head.keeps_alive;
 	if (!head.ends)
 		connection->in_body = request;
 	if (!connection_may_begin(connection, &head)) {
@@ -214,12 +215,13 @@
 	unsigned int status;
 
 	fault = reader_fault(&connection->reader, &status);
-	connection->reads_no_more = true;
+	connection->input_ended = true;
 	connection->head_since_us = 0;
 	if (connection->in_body) {
 		/* Where its call has ended, its answer is on the way. */
 		if (connection->in_body->call)
-			connection_remove(connection, connection->in_body);
+			connection_remove_request(connection,
+						  connection->in_body);
 		connection->in_body = NULL;
 	}
 	if (reader_is_http(&connection->reader))
@@ -227,29 +229,31 @@
 	else
 		counters.caller_empty_connections++;
 	connection->has_request = true;
-	request_refuse(connection_add(connection, &none), status, "bad-request",
-		       0, fault);
+	request_refuse(connection_add_request(connection, &none), status,
+		       "bad-request", 0, fault);
 }
 
 /* Whether a further request may be read. */
-static bool connection_takes_heads(const struct connection *connection)
+static bool connection_accepts_requests(const struct connection *connection)
 {
-	if (connection->reads_no_more || connection->unanswered >= AHEAD_CALLS_MAX)
+	if (connection->input_ended || connection->unanswered >= AHEAD_CALLS_MAX)
 		return false;
 	/* The last answer will close the connection. */
-	return !connection->listener->closes || connection->unanswered == 0;
+	return !connection->listener->announces_close ||
+	       connection->unanswered == 0;
 }
 
 /* RETURN VALUE: how many bytes may be given to the reader now. */
-static size_t connection_input_room(const struct connection *connection)
+static size_t connection_input_limit(const struct connection *connection)
 {
 	const struct caller_request *request = connection->in_body;
 
 	if (connection->waiting || connection->lingers)
 		return 0;
 	if (request)
-		return request->call ? call_room(request->call) : READ_BYTES;
-	return connection_takes_heads(connection) ? connection->in->len : 0;
+		return request->call ? call_body_window(request->call) :
+				       READ_BYTES;
+	return connection_accepts_requests(connection) ? connection->in->len : 0;
 }
 
 static void connection_take_event(struct connection *connection,
@@ -263,7 +267,7 @@
 		connection_take_fault(connection);
 }
 
-static void connection_await_head(struct connection *connection)
+static void connection_start_head_timeout(struct connection *connection)
 {
 	if (connection->in_body || connection->in->len == 0)
 		return;
@@ -279,13 +283,13 @@
 
 	if (connection->waiting && connection->unanswered == 1)
 		connection_begin_waiting(connection);
-	while ((size = MIN(connection_input_room(connection),
+	while ((size = MIN(connection_input_limit(connection),
 			   connection->in->len)) > 0) {
 		event = reader_read(&connection->reader, connection->in->data,
 				    size, &used);
 		g_byte_array_remove_range(connection->in, 0, (guint)used);
 		if (event == READER_NEEDS_BYTES) {
-			connection_await_head(connection);
+			connection_start_head_timeout(connection);
 			break;
 		}
 		connection_take_event(connection, event);
@@ -299,6 +303,6 @@
 	if (connection->waiting || connection->in->len >= READ_BYTES * 2)
 		return false;
 	if (connection->in_body)
-		return connection_input_room(connection) > 0;
-	return connection_takes_heads(connection);
+		return connection_input_limit(connection) > 0;
+	return connection_accepts_requests(connection);
 }
--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -18,13 +18,13 @@
 #define STATUS_NO_ROUTE 404
 #define STATUS_TOO_DEEP 508
 #define STATUS_UNAVAILABLE 503
-#define COME_BACK_MS 1000
+#define NO_CONFIG_COME_BACK_MS 1000
 /* By then a version that is on its way has come, as a rule. */
-#define FETCHED_MS 300
+#define CONFIG_BEHIND_COME_BACK_MS 300
 /* For a rule without a deadline: a call can't stay for ever. */
 #define DEFAULT_DEADLINE_MS 30000
 /* Of a host and a path in a line of the log. */
-#define NOTED_NAME_MAX 64
+#define LOGGED_NAME_MAX 64
 
 static void handle_tick(struct ev_loop *loop, ev_timer *timer, int events)
 {
@@ -190,7 +190,7 @@
 	call->max_attempts = deadline_attempts(rule->max_attempts, depth);
 	copy_trace(entry->daemon, request->fields, call->trace);
 	call_set_deadline(call, request);
-	call->is_behind = request->in_front > 0;
+	call->answer_blocked = request->in_front > 0;
 	call->holds_others = request->holds_others;
 	call_set_fairness_key(call, request);
 	call_copy_fields(call, request->fields);
@@ -233,14 +233,13 @@
 	       entry_match(entry, request, &config, &rule) && rule->idempotent;
 }
 
-static void note_unmatched(struct entry *entry,
-			   const struct call_request *request,
-			   unsigned int status, const char *reason)
+static void log_unmatched(struct entry *entry, const struct call_request *request,
+			  unsigned int status, const char *reason)
 {
 	const struct config_store *config = entry->daemon->config;
 	char trace[TIMELINE_TRACE_MAX];
-	char service[NOTED_NAME_MAX];
-	char path[NOTED_NAME_MAX];
+	char service[LOGGED_NAME_MAX];
+	char path[LOGGED_NAME_MAX];
 
 	copy_trace(entry->daemon, request->fields, trace);
 	copy_host(request->host, service, sizeof(service));
@@ -274,12 +273,12 @@
 	case CONFIG_DOUBT_BEHIND:
 		status = STATUS_UNAVAILABLE;
 		reason = "configuration-behind";
-		come_back_ms = FETCHED_MS;
+		come_back_ms = CONFIG_BEHIND_COME_BACK_MS;
 		break;
 	case CONFIG_DOUBT_UNTOLD:
 		status = STATUS_UNAVAILABLE;
 		reason = "configuration-untold";
-		come_back_ms = COME_BACK_MS;
+		come_back_ms = NO_CONFIG_COME_BACK_MS;
 		break;
 	case CONFIG_DOUBT_NONE:
 		break;
@@ -288,7 +287,7 @@
 		counters.caller_no_route_doubted++;
 		text = "not run: the configuration held here may be old\n";
 	}
-	note_unmatched(entry, request, status, reason);
+	log_unmatched(entry, request, status, reason);
 	outcome_refuse(entry->daemon->headers, sink, data, status, reason,
 		       come_back_ms, text);
 }
@@ -306,7 +305,7 @@
 	if (!config_store_is_ready(entry->daemon->config)) {
 		outcome_refuse(entry->daemon->headers, sink, data,
 			       STATUS_UNAVAILABLE, "no-configuration",
-			       COME_BACK_MS, "not run: not ready\n");
+			       NO_CONFIG_COME_BACK_MS, "not run: not ready\n");
 		return NULL;
 	}
 	if (!entry_match(entry, request, &config, &rule)) {
--- a/comfreydockd/caller/feedback.c
+++ b/comfreydockd/caller/feedback.c
@@ -34,8 +34,8 @@
 	}
 }
 
-static void tell_pick(struct entry_attempt *attempt, enum attempt_end end,
-		      const struct pick_load *load, int64_t now)
+static void report_to_pick(struct entry_attempt *attempt, enum attempt_end end,
+			   const struct pick_load *load, int64_t now)
 {
 	struct pick_set *picks = &attempt->upstream->service->picks;
 	struct pick_candidate *candidate = &attempt->upstream->candidate;
@@ -52,8 +52,8 @@
 		pick_note_failed(picks, candidate, latency_us, load, now);
 }
 
-static void tell_health(struct entry_attempt *attempt, enum attempt_end end,
-			int64_t now)
+static void report_to_health(struct entry_attempt *attempt,
+			     enum attempt_end end, int64_t now)
 {
 	struct health *health = &attempt->upstream->service->health;
 	struct health_upstream *upstream = &attempt->upstream->health;
@@ -75,8 +75,8 @@
 
 	if (!attempt->upstream->listed)
 		return;
-	tell_pick(attempt, end, feedback_read_load(load, &pick_load), now);
-	tell_health(attempt, end, now);
+	report_to_pick(attempt, end, feedback_read_load(load, &pick_load), now);
+	report_to_health(attempt, end, now);
 }
 
 void feedback_note_load(struct entry_attempt *attempt, const Cfd__Load *load,
--- a/comfreydockd/caller/frames.c
+++ b/comfreydockd/caller/frames.c
@@ -151,7 +151,7 @@
 	case CFD__FRAME__KIND_WINDOW:
 		attempt = entry_find(entry, peer, frame->window->seq);
 		if (attempt)
-			call_note_room(attempt, frame->window->bytes);
+			call_note_body_window(attempt, frame->window->bytes);
 		break;
 	default:
 		counters.peer_bad_frames++;
@@ -159,7 +159,7 @@
 	}
 }
 
-static void attempt_lose(struct entry_attempt *attempt)
+static void attempt_handle_link_lost(struct entry_attempt *attempt)
 {
 	bool left = peer_has_handed_over(attempt->peer, attempt->position);
 
@@ -182,7 +182,7 @@
 
 	(void)error;
 	while ((attempt = LIST_FIRST(list)))
-		attempt_lose(attempt);
+		attempt_handle_link_lost(attempt);
 	g_hash_table_remove(entry->by_peer, peer);
 }
 
--- a/comfreydockd/caller/head.c
+++ b/comfreydockd/caller/head.c
@@ -84,14 +84,14 @@
 
 	head->has_bad_field |= !is_token(name) || !is_value(text);
 	if (strcasecmp(name, "Content-Length") == 0) {
-		head->lengths++;
+		head->length_count++;
 		head->has_body |= strcmp(text, "0") != 0;
 	} else if (strcasecmp(name, "Transfer-Encoding") == 0) {
-		head->codings++;
+		head->coding_count++;
 		head->has_body = true;
 		head->has_bad_field |= strcasecmp(text, "chunked") != 0;
 	} else if (strcasecmp(name, "Host") == 0) {
-		head->hosts++;
+		head->host_count++;
 		head->has_bad_field |= !is_authority(text);
 		if (head->authority)
 			return; /* the target's goes before it */
@@ -99,7 +99,8 @@
 	fields_add(&head->fields, name, value);
 }
 
-const char *head_fault(const struct head *head, const char *method, bool is_1_0)
+const char *head_fault(const struct head *head, const char *method,
+		       bool is_http_1_0)
 {
 	if (!is_token(method) || strcmp(method, "CONNECT") == 0)
 		return "the method is not served";
@@ -107,9 +108,10 @@
 		return "the target can't be read";
 	if (head->has_bad_field)
 		return "a field can't be read";
-	if (head->lengths + head->codings > 1 || (is_1_0 && head->codings))
+	if (head->length_count + head->coding_count > 1 ||
+	    (is_http_1_0 && head->coding_count))
 		return "the end of the request can't be told";
-	if (head->hosts > 1 || (!is_1_0 && head->hosts == 0))
+	if (head->host_count > 1 || (!is_http_1_0 && head->host_count == 0))
 		return "one Host field is needed";
 	return NULL;
 }
--- a/comfreydockd/caller/listener.c
+++ b/comfreydockd/caller/listener.c
@@ -13,21 +13,21 @@
 #include "common/socket.h"
 
 /* Connections that are opened beyond the limit, to be refused. */
-#define SURPLUS 1024
+#define SURPLUS_CONNECTIONS_MAX 1024
 /* Taken in one turn of the loop, so that those that are open go on. */
 #define ACCEPTS_PER_TURN 64
 /* Without descriptors the port stays readable; asked at once, the loop would
  * do nothing else. */
-#define AGAIN_S 0.1
+#define ACCEPT_RETRY_S 0.1
 
 static bool listener_has_room(const struct listener *listener)
 {
-	return listener->count <
-	       listener->daemon->settings->max_connections + SURPLUS;
+	return listener->count < listener->daemon->settings->max_connections +
+					 SURPLUS_CONNECTIONS_MAX;
 }
 
-static void listener_take(struct listener *listener, int fd,
-			  const struct sockaddr *from)
+static void listener_add_connection(struct listener *listener, int fd,
+				    const struct sockaddr *from)
 {
 	uint32_t most = listener->daemon->settings->max_connections;
 	char address[ADDRESS_TEXT_SIZE] = "";
@@ -47,11 +47,11 @@
 
 	if (fd < 0)
 		return false;
-	listener_take(listener, fd, (struct sockaddr *)&from);
+	listener_add_connection(listener, fd, (struct sockaddr *)&from);
 	return true;
 }
 
-static bool is_for_want_of_means(int error)
+static bool is_resource_exhausted(int error)
 {
 	return error == EMFILE || error == ENFILE || error == ENOBUFS ||
 	       error == ENOMEM;
@@ -64,8 +64,8 @@
 	log_event(EV_CALLER_PORT_PAUSED, LOG_STR("error", strerror(errno)),
 		  LOG_INT("connections", listener->count));
 	ev_io_stop(loop, &listener->accepts);
-	ev_timer_set(&listener->again, AGAIN_S, 0.0);
-	ev_timer_start(loop, &listener->again);
+	ev_timer_set(&listener->accept_retry, ACCEPT_RETRY_S, 0.0);
+	ev_timer_start(loop, &listener->accept_retry);
 }
 
 static void handle_accepts(struct ev_loop *loop, ev_io *io, int events)
@@ -80,13 +80,13 @@
 		}
 		if (listener_accept(listener))
 			continue;
-		if (is_for_want_of_means(errno))
+		if (is_resource_exhausted(errno))
 			listener_pause(listener);
 		return;
 	}
 }
 
-static void handle_again(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_accept_retry(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct listener *listener = timer->data;
 
@@ -97,7 +97,7 @@
 
 void listener_note_closed(struct listener *listener)
 {
-	if (listener->fd >= 0 && !ev_is_active(&listener->again))
+	if (listener->fd >= 0 && !ev_is_active(&listener->accept_retry))
 		ev_io_start(listener->daemon->loop, &listener->accepts);
 }
 
@@ -115,9 +115,9 @@
 		return NULL;
 	}
 	ev_io_init(&listener->accepts, handle_accepts, listener->fd, EV_READ);
-	ev_init(&listener->again, handle_again);
+	ev_init(&listener->accept_retry, handle_accept_retry);
 	listener->accepts.data = listener;
-	listener->again.data = listener;
+	listener->accept_retry.data = listener;
 	ev_io_start(daemon->loop, &listener->accepts);
 	return listener;
 }
@@ -127,7 +127,7 @@
 	struct ev_loop *loop = listener->daemon->loop;
 
 	ev_io_stop(loop, &listener->accepts);
-	ev_timer_stop(loop, &listener->again);
+	ev_timer_stop(loop, &listener->accept_retry);
 	if (listener->fd >= 0)
 		close(listener->fd);
 	listener->fd = -1;
@@ -152,7 +152,7 @@
 
 void listener_announce_close(struct listener *listener)
 {
-	listener->closes = true;
+	listener->announces_close = true;
 }
 
 void listener_turn_away(struct listener *listener)
--- a/comfreydockd/caller/outcome.c
+++ b/comfreydockd/caller/outcome.c
@@ -70,7 +70,7 @@
 	};
 
 	outcome_add_fields(&reply.fields, headers, "not-run", reason, NULL);
-	sink->handle_whole(data, &reply);
+	sink->handle_reply(data, &reply);
 	fields_finish(&reply.fields);
 }
 
@@ -81,7 +81,7 @@
 	tally_add(TALLY_CALLS, call->rule->name, outcome);
 }
 
-static void note_failed(struct call *call, const char *outcome, const char *reason)
+static void log_failed(struct call *call, const char *outcome, const char *reason)
 {
 	call_note(call, EV_ENTRY_FAILED, LOG_STR("outcome", outcome),
 		  LOG_STR("reason", reason), LOG_STR("group", call->group),
@@ -92,7 +92,7 @@
 		  LOG_STR("attempts", call->history));
 }
 
-void outcome_say_not_run(struct call *call)
+void outcome_reply_not_run(struct call *call)
 {
 	const struct headers *headers = call->entry->daemon->headers;
 	const char *reason = outcome_reason_name(call->reason);
@@ -105,14 +105,14 @@
 	counters.caller_not_run++;
 	tally_add(TALLY_NOT_RUN, reason, NULL);
 	outcome_count(call, &latencies.call_not_run, "not-run");
-	note_failed(call, "not-run", reason);
+	log_failed(call, "not-run", reason);
 	outcome_add_fields(&reply.fields, headers, "not-run", reason,
 			   call->trace);
-	call->sink->handle_whole(call->sink_data, &reply);
+	call->sink->handle_reply(call->sink_data, &reply);
 	fields_finish(&reply.fields);
 }
 
-void outcome_say_unknown(struct call *call)
+void outcome_reply_unknown(struct call *call)
 {
 	const char *reason = call->lost ? "lost" : "timeout";
 	struct call_reply reply = {
@@ -122,9 +122,9 @@
 
 	counters.caller_unknown++;
 	outcome_count(call, &latencies.call_unknown, "unknown");
-	note_failed(call, "unknown", reason);
+	log_failed(call, "unknown", reason);
 	outcome_add_fields(&reply.fields, call->entry->daemon->headers,
 			   "unknown", reason, call->trace);
-	call->sink->handle_whole(call->sink_data, &reply);
+	call->sink->handle_reply(call->sink_data, &reply);
 	fields_finish(&reply.fields);
 }
--- a/comfreydockd/caller/beside.c
+++ b/comfreydockd/caller/parallel.c
@@ -6,7 +6,7 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-static int64_t call_typical_us(const struct call *call)
+static int64_t call_typical_service_us(const struct call *call)
 {
 	return (int64_t)call->service->picks.typical_service_us;
 }
@@ -26,7 +26,7 @@
 void call_stop_patience(struct call *call)
 {
 	ev_timer_stop(call->entry->daemon->loop, &call->patience);
-	call->is_impatient = false;
+	call->awaits_verdict = false;
 }
 
 /* See deadline_patience_us(). */
@@ -50,7 +50,8 @@
 
 	(void)loop;
 	(void)events;
-	if (LIST_EMPTY(&call->active) || !call->body_ends || call->body_streams)
+	if (LIST_EMPTY(&call->active) || !call->body_ends ||
+	    call->body_exceeds_buffer)
 		return;
 	call_fill_hedge_question(call, &question);
 	if (!hedge_take(&call->service->hedge, &question, now))
@@ -77,8 +78,8 @@
 	enum retry_verdict verdict;
 	int64_t now = clock_mono_us();
 
-	call->is_impatient = false;
-	if (!slow || LIST_NEXT(slow, link) || call->body_streams ||
+	call->awaits_verdict = false;
+	if (!slow || LIST_NEXT(slow, link) || call->body_exceeds_buffer ||
 	    !call->body_ends)
 		return;
 	call_fill_retry_question(call, RETRY_OUTCOME_UNKNOWN, &question);
@@ -108,7 +109,7 @@
 {
 	struct call *call = attempt->call;
 
-	if (!call->is_impatient)
+	if (!call->awaits_verdict)
 		return;
 	if (is_overdue)
 		call_overtake(call);
@@ -116,12 +117,12 @@
 		call_arm_patience(call);
 }
 
-static void call_ask_owner(struct call *call)
+static void call_query_owner(struct call *call)
 {
 	struct entry_attempt *attempt = LIST_FIRST(&call->active);
 
-	call->is_impatient = true;
-	entry_attempt_ask(attempt);
+	call->awaits_verdict = true;
+	entry_attempt_query_overdue(attempt);
 	call_start_timer(call, &call->patience,
 			 deadline_verdict_us(&attempt->upstream->path));
 }
@@ -135,8 +136,8 @@
 	(void)events;
 	if (LIST_EMPTY(&call->active))
 		return;
-	if (!call->is_impatient) {
-		call_ask_owner(call);
+	if (!call->awaits_verdict) {
+		call_query_owner(call);
 		return;
 	}
 	service_upstream_note_mute(LIST_FIRST(&call->active)->upstream,
@@ -144,7 +145,7 @@
 	call_overtake(call);
 }
 
-static void handle_late(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_queue_timeout(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct call *call = timer->data;
 
@@ -153,7 +154,8 @@
 	if (call->answering)
 		return;
 	/* By then a slot that is taken now is most likely free. */
-	call->least_come_back_ms = (uint32_t)(call_typical_us(call) / US_PER_MS);
+	call->min_come_back_ms =
+		(uint32_t)(call_typical_service_us(call) / US_PER_MS);
 	call_give_up(call);
 }
 
@@ -167,18 +169,18 @@
 void call_hold_others(struct call *call)
 {
 	int64_t late_us = call->began_us + call->rule->target_ms * US_PER_MS -
-			  call_typical_us(call);
+			  call_typical_service_us(call);
 
 	if (call->holds_others || call->rule->target_ms == 0)
 		return;
 	call->holds_others = true;
-	call_start_timer(call, &call->hold, late_us - clock_mono_us());
+	call_start_timer(call, &call->queue_timeout, late_us - clock_mono_us());
 }
 
-void call_init_beside(struct call *call)
+void call_init_parallel(struct call *call)
 {
-	ev_init(&call->hold, handle_late);
-	call->hold.data = call;
+	ev_init(&call->queue_timeout, handle_queue_timeout);
+	call->queue_timeout.data = call;
 	ev_init(&call->hedge, handle_hedge);
 	ev_init(&call->patience, handle_patience);
 	call->hedge.data = call;
--- a/comfreydockd/caller/reader.c
+++ b/comfreydockd/caller/reader.c
@@ -192,7 +192,7 @@
 	const char *fault;
 
 	reader_get_head(reader, &head);
-	fault = head_fault(&reader->head, head.method, head.is_1_0);
+	fault = head_fault(&reader->head, head.method, head.is_http_1_0);
 	if (fault)
 		return reader_fail(reader, STATUS_BAD_REQUEST, fault);
 	return READER_HEAD;
@@ -270,7 +270,7 @@
 	*head = (struct reader_head){
 		.head = &reader->head,
 		.method = http_method_str((enum http_method)reader->parser.method),
-		.is_1_0 = reader->parser.http_minor == 0,
+		.is_http_1_0 = reader->parser.http_minor == 0,
 		.keeps_alive = http_should_keep_alive(&reader->parser) != 0,
 		.awaits_continue = expects && strcasecmp(expects, CONTINUE) == 0,
 		.ends = reader->is_whole,
--- a/comfreydockd/caller/request.c
+++ b/comfreydockd/caller/request.c
@@ -8,7 +8,7 @@
 #include "common/counters.h"
 
 /* An answer that is no longer is written only once it is whole. */
-#define WHOLE_BYTES (16 * 1024)
+#define BUFFERED_ANSWER_MAX (16 * 1024)
 #define STATUS_LOST 502
 
 struct caller_request *request_create(struct connection *connection)
@@ -57,7 +57,7 @@
 	struct caller_request *request = data;
 
 	request->call = NULL;
-	request->answer_ends = true;
+	request->answer_complete = true;
 	connection_wake(request->connection);
 }
 
@@ -68,7 +68,7 @@
 
 	request->call = NULL;
 	request->has_answer = true;
-	request->answer_ends = true;
+	request->answer_complete = true;
 	request->status = reply->status;
 	request->come_back_ms = reply->come_back_ms;
 	request->answered_us = clock_mono_us();
@@ -109,12 +109,12 @@
 	request_set_reply(request, &reply);
 }
 
-static void handle_whole(void *data, struct call_reply *reply)
+static void handle_reply(void *data, struct call_reply *reply)
 {
 	request_set_reply(data, reply);
 }
 
-static void handle_room(void *data)
+static void handle_body_window(void *data)
 {
 	struct caller_request *request = data;
 
@@ -126,13 +126,13 @@
 	.handle_body = handle_body,
 	.handle_end = handle_end,
 	.handle_abort = handle_abort,
-	.handle_whole = handle_whole,
-	.handle_room = handle_room,
+	.handle_reply = handle_reply,
+	.handle_body_window = handle_body_window,
 };
 
 /* The answer's way out. */
 
-static size_t request_left(const struct caller_request *request)
+static size_t request_unwritten(const struct caller_request *request)
 {
 	return request->body->len - request->body_start;
 }
@@ -142,8 +142,9 @@
 {
 	if (!request->has_answer)
 		return false;
-	return request->answer_ends || request_left(request) >= WHOLE_BYTES ||
-	       request->length < 0 || request->length > WHOLE_BYTES;
+	return request->answer_complete ||
+	       request_unwritten(request) >= BUFFERED_ANSWER_MAX ||
+	       request->length < 0 || request->length > BUFFERED_ANSWER_MAX;
 }
 
 /* The time in the refusal counts from when it is sent. */
@@ -165,8 +166,8 @@
 		.status = request->status,
 		.fields = &request->fields,
 		.length = request->length,
-		.is_to_head = request->is_to_head,
-		.is_1_0 = request->is_1_0,
+		.is_head_method = request->is_head_method,
+		.is_http_1_0 = request->is_http_1_0,
 		.closes = closes,
 	};
 
@@ -176,14 +177,14 @@
 	request->closes = closes || request->framing == RESPONSE_UNTIL_CLOSE;
 }
 
-static void request_write_some(struct caller_request *request, GByteArray *out,
+static void request_write_body(struct caller_request *request, GByteArray *out,
 			       size_t size)
 {
 	response_write_body(out, request->framing,
 			    request->body->data + request->body_start, size);
 	request->body_start += size;
 	request->written += (int64_t)size;
-	if (request_left(request) == 0) {
+	if (request_unwritten(request) == 0) {
 		g_byte_array_set_size(request->body, 0);
 		request->body_start = 0;
 	}
@@ -195,12 +196,12 @@
  * it as part of what follows. */
 static bool request_has_wrong_length(const struct caller_request *request)
 {
-	int64_t known = request->written + (int64_t)request_left(request);
+	int64_t known = request->written + (int64_t)request_unwritten(request);
 
 	if (request->framing != RESPONSE_LENGTH)
 		return false;
 	return known > request->length ||
-	       (request->answer_ends && known < request->length);
+	       (request->answer_complete && known < request->length);
 }
 
 enum request_progress request_write(struct caller_request *request,
@@ -216,10 +217,10 @@
 	if (request->aborted || request_has_wrong_length(request))
 		return REQUEST_BROKEN;
 	room = most > out->len ? most - out->len : 0;
-	request_write_some(request, out, MIN(room, request_left(request)));
-	if (request_left(request) > 0)
+	request_write_body(request, out, MIN(room, request_unwritten(request)));
+	if (request_unwritten(request) > 0)
 		return REQUEST_FULL;
-	if (!request->answer_ends)
+	if (!request->answer_complete)
 		return REQUEST_WAITS;
 	response_write_end(out, request->framing);
 	return REQUEST_ANSWERED;
--- a/comfreydockd/caller/response.c
+++ b/comfreydockd/caller/response.c
@@ -53,12 +53,12 @@
 
 static enum response_framing choose_framing(const struct response_head *head)
 {
-	if (head->is_to_head || head->status == STATUS_NO_CONTENT ||
+	if (head->is_head_method || head->status == STATUS_NO_CONTENT ||
 	    head->status == STATUS_NOT_MODIFIED)
 		return RESPONSE_NO_BODY;
 	if (head->length >= 0)
 		return RESPONSE_LENGTH;
-	return head->is_1_0 ? RESPONSE_UNTIL_CLOSE : RESPONSE_CHUNKED;
+	return head->is_http_1_0 ? RESPONSE_UNTIL_CLOSE : RESPONSE_CHUNKED;
 }
 
 static void write_framing(GByteArray *out, const struct response_head *head,
@@ -74,7 +74,7 @@
 		write_field(out, "Transfer-Encoding", "chunked");
 	if (head->closes || framing == RESPONSE_UNTIL_CLOSE)
 		write_field(out, "Connection", "close");
-	else if (head->is_1_0)
+	else if (head->is_http_1_0)
 		write_field(out, "Connection", "keep-alive");
 }
 
--- a/comfreydockd/caller/services.c
+++ b/comfreydockd/caller/services.c
@@ -13,11 +13,11 @@
 #include "common/metric.h"
 
 /* A service without calls for so long is left out of the tick. */
-#define ACTIVE_US (10 * US_PER_S)
+#define INACTIVE_AFTER_US (10 * US_PER_S)
 /* Of an upstream that warms up and tells its load: it takes all its slots, at
  * about half the speed. With a tenth at first, nearly all calls would be told
  * that there is no room where all upstreams start together. */
-#define WARM_LEAST 0.5
+#define WARM_WEIGHT_MIN 0.5
 
 LIST_HEAD(service_list, service);
 
@@ -129,7 +129,7 @@
 		WARM_FULL_PERMILLE;
 	if (service->services->daemon->headers->load)
 		upstream->candidate.warm =
-			MAX(upstream->candidate.warm, WARM_LEAST);
+			MAX(upstream->candidate.warm, WARM_WEIGHT_MIN);
 	health_set_available(&service->health, &upstream->health,
 			     member_is_usable(member));
 }
@@ -205,7 +205,7 @@
 	health_tick(&service->health, now_us);
 }
 
-static void service_keep_fresh(struct service *service)
+static void service_update(struct service *service)
 {
 	struct member_table *members = service->services->daemon->members;
 
@@ -263,7 +263,7 @@
 	if (!service)
 		service = service_new(services, group);
 	service_configure(service);
-	service_keep_fresh(service);
+	service_update(service);
 	return service;
 }
 
@@ -275,15 +275,15 @@
 	struct pick_candidate *chosen;
 
 	/* Between two attempts of one call a host may have gone for good. */
-	service_keep_fresh(service);
+	service_update(service);
 	TAILQ_FOREACH (upstream, &service->upstreams, link)
 		upstream->candidate.usable = health_is_usable(&upstream->health);
 	chosen = pick_choose(&service->picks, tried, now_us);
 	return chosen ? chosen->data : NULL;
 }
 
-struct service_upstream *service_find_hash(const struct service *service,
-					   uint32_t host_hash)
+struct service_upstream *service_find_by_host_hash(const struct service *service,
+						   uint32_t host_hash)
 {
 	struct service_upstream *upstream;
 
@@ -389,7 +389,7 @@
 		health_tick(&service->health, now_us);
 		service_log_health(service, now_us);
 		service->stale |= service_is_warming(service);
-		if (now_us - service->used_us > ACTIVE_US &&
+		if (now_us - service->used_us > INACTIVE_AFTER_US &&
 		    !service_has_attempts(service)) {
 			LIST_REMOVE(service, active_link);
 			service->is_active = false;
--- a/include/comfreydockd/caller/call.h
+++ b/include/comfreydockd/caller/call.h
@@ -3,11 +3,11 @@
  *	call - one caller's request, and its attempts
  *
  * DESCRIPTION
- *	Internal to caller/. call.c decides what follows what and beside.c what
+ *	Internal to caller/. call.c decides what follows what and parallel.c what
  *	goes beside an attempt that is out. attempts.c sends to owners, frames.c
  *	takes what they answer, and outcome.c words the answers of our own.
  *
- *	They call downwards: frames.c calls call.c, call.c calls beside.c, and
+ *	They call downwards: frames.c calls call.c, call.c calls parallel.c, and
  *	each of them attempts.c; call_state.c is what they share.
  */
 #ifndef COMFREYDOCKD_CALLER_CALL_H
@@ -27,9 +27,9 @@
 #include "common/timeline.h"
 
 /* What an entry keeps of a request's body: so much can be sent again. */
-#define CALL_BODY_KEPT (64 * 1024)
+#define CALL_BODY_BUFFER_MAX (64 * 1024)
 /* Credit for an answer is given back in pieces of this size. */
-#define CALL_CREDIT_STEP (64 * 1024)
+#define CALL_WINDOW_UPDATE_BYTES (64 * 1024)
 /* Half a dozen attempts with the names of their hosts. */
 #define CALL_HISTORY_MAX 256
 
@@ -76,16 +76,16 @@
 	struct fields fields;
 	GByteArray *body; /* the first part, kept until an answer begins */
 	bool holds_others; /* its caller's other answers wait for this one's */
-	bool is_behind; /* its answer waits for others: a small window */
-	size_t body_room; /* credit of the owner beyond the first part */
+	bool answer_blocked; /* its answer waits for others: a small window */
+	size_t body_window; /* credit of the owner beyond the first part */
 	bool body_ends;
-	bool body_streams; /* more came than is kept: no further attempt */
+	bool body_exceeds_buffer; /* more came than is kept: no further attempt */
 	struct pick_tried tried;
 	struct pick_tried tried_busy; /* of them, refused for want of a slot */
-	bool returns; /* to the busy ones, to queue there */
+	bool returned_to_busy; /* to the busy ones, to queue there */
 	uint32_t attempts; /* without hedges */
-	uint32_t busy; /* of them, refused for want of a free slot */
-	uint32_t unheard; /* of them, never sent or not for this upstream */
+	uint32_t busy_refusals; /* of them, refused for want of a free slot */
+	uint32_t uncounted_attempts; /* of them, never sent or not for this upstream */
 	uint32_t hedges;
 	uint32_t max_attempts;
 	bool may_have_run; /* some attempt ended UNKNOWN */
@@ -99,14 +99,14 @@
 	size_t unread; /* of the answer, waits for the caller to take it */
 	int64_t heard_us; /* the answer's last sign of life */
 	ev_timer deadline;
-	ev_timer next; /* of a retry */
+	ev_timer retry_timer; /* of a retry */
 	ev_timer hedge;
 	ev_timer patience; /* with one attempt */
-	bool is_impatient; /* and waits for the owners' verdict */
-	ev_timer hold; /* until it is late, where others came to wait for it */
-	uint32_t least_come_back_ms; /* of a refusal that this entry asked for */
+	bool awaits_verdict; /* and waits for the owners' verdict */
+	ev_timer queue_timeout; /* until it is late, where others came to wait for it */
+	uint32_t min_come_back_ms; /* of a refusal that this entry asked for */
 	bool cancels_sent;
-	bool gives_up; /* no further attempt: this daemon ends */
+	bool no_more_attempts; /* no further attempt: this daemon ends */
 	bool is_started;
 	unsigned int status; /* of the answer */
 	bool answered; /* whole */
@@ -138,7 +138,7 @@
 void entry_attempt_cancel_waiting(struct entry_attempt *attempt);
 
 /* Asks the owner whether the attempt is overdue. */
-void entry_attempt_ask(struct entry_attempt *attempt);
+void entry_attempt_query_overdue(struct entry_attempt *attempt);
 
 /* Takes the attempt out of all lists and frees it. */
 void entry_attempt_destroy(struct entry_attempt *attempt);
@@ -163,7 +163,7 @@
 
 /* The owner tells whether the attempt is overdue. */
 void call_note_verdict(struct entry_attempt *attempt, bool is_overdue);
-void call_note_room(struct entry_attempt *attempt, uint32_t bytes);
+void call_note_body_window(struct entry_attempt *attempt, uint32_t bytes);
 
 /* Into the time line and the log. */
 #define call_note(call, event, ...)                                           \
@@ -178,8 +178,8 @@
 void outcome_count(const struct call *call, struct latency *latency,
 		   const char *outcome);
 
-void outcome_say_not_run(struct call *call);
-void outcome_say_unknown(struct call *call);
+void outcome_reply_not_run(struct call *call);
+void outcome_reply_unknown(struct call *call);
 
 /* Answers a request that did not become a call. */
 void outcome_refuse(const struct headers *headers, const struct call_sink *sink,
--- a/include/comfreydockd/caller/call_internal.h
+++ b/include/comfreydockd/caller/call_internal.h
@@ -26,7 +26,7 @@
 			      struct hedge_question *question);
 
 /* RETURN VALUE: the attempts so far that count against the rule's. */
-uint32_t call_work_attempts(const struct call *call);
+uint32_t call_counted_attempts(const struct call *call);
 
 /* call_state.c */
 
@@ -37,9 +37,9 @@
 void call_fill_retry_question(const struct call *call, enum retry_outcome outcome,
 			      struct retry_question *question);
 
-/* beside.c: attempts that are sent beside one that is out, as it may be slow
+/* parallel.c: attempts that are sent beside one that is out, as it may be slow
  * (a hedge) or its owner may be gone (an overtaking one). */
-void call_init_beside(struct call *call);
+void call_init_parallel(struct call *call);
 void call_arm_hedge(struct call *call);
 void call_arm_patience(struct call *call);
 void call_stop_patience(struct call *call);
@@ -47,13 +47,13 @@
 /* call_quarantine.c */
 
 /* RETURN VALUE: the key of what the call asks for, see content.h. */
-uint64_t call_content(const struct call *call);
+uint64_t call_content_key(const struct call *call);
 
 /*
  * The upstream for the next attempt. RETURN VALUE: NULL where there is none, or
  * where the call is quarantined: its content is held, or may be tried only where
  * this call can't go.
  */
-struct service_upstream *call_choose(struct call *call, int64_t now_us);
+struct service_upstream *call_choose_upstream(struct call *call, int64_t now_us);
 
 #endif
--- a/include/comfreydockd/caller/connection.h
+++ b/include/comfreydockd/caller/connection.h
@@ -36,11 +36,11 @@
 	int fd; /* -1: takes no new connections */
 	uint16_t port;
 	ev_io accepts;
-	ev_timer again; /* after the process was out of descriptors */
+	ev_timer accept_retry; /* after the process was out of descriptors */
 	struct connection_list connections;
 	uint32_t count; /* of them */
 	uint32_t ahead; /* requests begun ahead and not answered */
-	bool closes; /* see listener_announce_close() */
+	bool announces_close; /* see listener_announce_close() */
 	bool turns_away; /* see listener_turn_away() */
 };
 
--- a/include/comfreydockd/caller/connection_internal.h
+++ b/include/comfreydockd/caller/connection_internal.h
@@ -24,26 +24,26 @@
 	char address[ADDRESS_TEXT_SIZE];
 	ev_io read;
 	ev_io write; /* also fed by connection_wake() */
-	ev_timer watch; /* while nothing is read */
+	ev_timer hangup_poll; /* while nothing is read */
 	ev_timer idle;
 	struct reader reader;
 	GByteArray *in; /* read and not used */
 	GByteArray *out; /* written and not taken */
-	guint in_most; /* since the buffer was allocated */
-	guint out_most;
+	guint in_peak; /* since the buffer was allocated */
+	guint out_peak;
 	struct caller_request_list requests;
 	uint32_t unanswered; /* length of the list */
 	struct caller_request *waiting; /* the last of them: not yet begun */
 	int64_t waiting_since_us;
 	struct caller_request *in_body; /* the last of them: its body comes */
 	bool is_surplus;
-	bool sends_ahead; /* its caller does, or has done so */
+	bool is_pipelined; /* its caller does, or has done so */
 	bool has_request; /* a request line was read */
-	bool reads_no_more; /* no request follows those in the list */
-	bool has_more; /* of an answer, than fits into what is written */
-	bool resets; /* its end must not look like an answer's */
+	bool input_ended; /* no request follows those in the list */
+	bool output_full; /* of an answer, than fits into what is written */
+	bool must_reset; /* its end must not look like an answer's */
 	bool lingers; /* nothing more is written */
-	size_t lingered;
+	size_t lingered_bytes;
 	int64_t active_us; /* bytes came or went */
 	int64_t head_since_us; /* of an unfinished head; 0: none */
 };
@@ -57,9 +57,9 @@
 bool connection_wants_input(const struct connection *connection);
 
 /* Where the request has a call, it is abandoned. */
-void connection_remove(struct connection *connection,
-		       struct caller_request *request);
-void connection_remove_all(struct connection *connection);
+void connection_remove_request(struct connection *connection,
+			       struct caller_request *request);
+void connection_remove_all_requests(struct connection *connection);
 
 /* No answer is in front of this one's any more. */
 void connection_end_ahead(struct caller_request *request);
--- a/include/comfreydockd/caller/content.h
+++ b/include/comfreydockd/caller/content.h
@@ -4,7 +4,7 @@
  *
  * DESCRIPTION
  *	Requests are alike where service, method, target, caller and the first
- *	CALL_BODY_KEPT bytes of the body are the same, whatever their ids, the
+ *	CALL_BODY_BUFFER_MAX bytes of the body are the same, whatever their ids, the
  *	entries that they come by and their other header fields. The caller is
  *	the rule's fairness key, where a header field holds it; an address and
  *	the service beside the entry are none, since the same request may come
--- a/include/comfreydockd/caller/entry.h
+++ b/include/comfreydockd/caller/entry.h
@@ -13,7 +13,7 @@
  *
  *	The caller's side is a table of functions, so that tests need no HTTP.
  *	The sink's functions are called from the loop, and after one of
- *	handle_whole, handle_end and handle_abort the call is gone.
+ *	handle_reply, handle_end and handle_abort the call is gone.
  */
 #ifndef COMFREYDOCKD_CALLER_ENTRY_H
 #define COMFREYDOCKD_CALLER_ENTRY_H
@@ -46,9 +46,9 @@
 	/* The answer can't be ended: the caller's connection must break. */
 	void (*handle_abort)(void *data);
 	/* An answer of our own. May move the fields out. */
-	void (*handle_whole)(void *data, struct call_reply *reply);
+	void (*handle_reply)(void *data, struct call_reply *reply);
 	/* More of the request's body may be given. */
-	void (*handle_room)(void *data);
+	void (*handle_body_window)(void *data);
 };
 
 struct call_request {
@@ -72,13 +72,13 @@
 
 /*
  * Begins a call. The sink may be called before this returns only with
- * handle_whole(), in which case the return value is NULL.
+ * handle_reply(), in which case the return value is NULL.
  */
 struct call *entry_begin(struct entry *entry, const struct call_request *request,
 			 const struct call_sink *sink, void *data);
 
 /* RETURN VALUE: how many bytes of the body the call takes now. */
-size_t call_room(const struct call *call);
+size_t call_body_window(const struct call *call);
 void call_add_body(struct call *call, const void *bytes, size_t size);
 void call_end_body(struct call *call);
 
--- a/include/comfreydockd/caller/head.h
+++ b/include/comfreydockd/caller/head.h
@@ -30,9 +30,9 @@
 	char *authority; /* of an absolute target, or NULL */
 	bool has_body;
 	bool has_bad_field;
-	unsigned int lengths;
-	unsigned int codings;
-	unsigned int hosts;
+	unsigned int length_count;
+	unsigned int coding_count;
+	unsigned int host_count;
 };
 
 /* Borrows nothing: target may go away. */
@@ -43,7 +43,8 @@
 void head_add_field(struct head *head, const char *name, const char *value);
 
 /* RETURN VALUE: what is wrong, once all fields were added, or NULL. */
-const char *head_fault(const struct head *head, const char *method, bool is_1_0);
+const char *head_fault(const struct head *head, const char *method,
+		       bool is_http_1_0);
 
 /* RETURN VALUE: the host asked for, with its port if any, or NULL. */
 const char *head_host(const struct head *head);
--- a/include/comfreydockd/caller/reader.h
+++ b/include/comfreydockd/caller/reader.h
@@ -63,7 +63,7 @@
 struct reader_head {
 	const struct head *head;
 	const char *method;
-	bool is_1_0;
+	bool is_http_1_0;
 	bool keeps_alive; /* the caller wants the connection kept */
 	bool awaits_continue; /* before it sends the body */
 	bool ends; /* there is no body */
--- a/include/comfreydockd/caller/request.h
+++ b/include/comfreydockd/caller/request.h
@@ -28,14 +28,14 @@
 	TAILQ_ENTRY(caller_request) link; /* of its connection, as they came */
 	struct connection *connection;
 	struct call *call; /* NULL: not begun, or over */
-	bool is_to_head; /* its method is HEAD */
-	bool is_1_0;
+	bool is_head_method; /* its method is HEAD */
+	bool is_http_1_0;
 	bool keeps_alive; /* the caller wants the connection kept */
 	bool body_done;
 	bool is_ahead; /* begun before those in front were answered */
 	/* The answer, as far as it has come. */
 	bool has_answer; /* its head at least */
-	bool answer_ends; /* all of it is in the buffer */
+	bool answer_complete; /* all of it is in the buffer */
 	bool aborted; /* it can't be ended */
 	unsigned int status;
 	struct fields fields;
--- a/include/comfreydockd/caller/response.h
+++ b/include/comfreydockd/caller/response.h
@@ -31,8 +31,8 @@
 	unsigned int status;
 	const struct fields *fields;
 	int64_t length; /* -1: not known beforehand */
-	bool is_to_head; /* the request's method is HEAD */
-	bool is_1_0; /* the request is HTTP/1.0 */
+	bool is_head_method; /* the request's method is HEAD */
+	bool is_http_1_0; /* the request is HTTP/1.0 */
 	bool closes; /* the connection ends behind this answer */
 };
 
--- a/include/comfreydockd/caller/services.h
+++ b/include/comfreydockd/caller/services.h
@@ -71,8 +71,8 @@
 
 /* RETURN VALUE: the upstream of the host with that member_host_hash(), or
  * NULL. */
-struct service_upstream *service_find_hash(const struct service *service,
-					   uint32_t host_hash);
+struct service_upstream *service_find_by_host_hash(const struct service *service,
+						   uint32_t host_hash);
 
 /* RETURN VALUE: false where no owner of the group answers; see health.h. */
 bool service_may_try(struct service *service, bool idempotent, int64_t now_us);
--- a/tests/reader_record.c
+++ b/tests/reader_record.c
@@ -15,10 +15,10 @@
 	struct reader_head head;
 
 	reader_get_head(reader, &head);
-	g_string_append_printf(record->text, "%s %s %s%s%s", head.method,
-			       head.head->target, head.is_1_0 ? "1.0" : "1.1",
-			       head.keeps_alive ? " keeps" : "",
-			       head.ends ? " ends" : "");
+	g_string_append_printf(
+		record->text, "%s %s %s%s%s", head.method, head.head->target,
+		head.is_http_1_0 ? "1.0" : "1.1",
+		head.keeps_alive ? " keeps" : "", head.ends ? " ends" : "");
 	for (size_t i = 0; i < head.head->fields.count; i++)
 		g_string_append_printf(record->text, " %s=%s",
 				       head.head->fields.items[i]->name,
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -27,7 +27,7 @@
 	uint32_t come_back_ms;
 };
 
-static void handle_whole(void *data, struct call_reply *reply)
+static void handle_reply(void *data, struct call_reply *reply)
 {
 	struct fixture *f = data;
 
@@ -35,7 +35,7 @@
 	f->come_back_ms = reply->come_back_ms;
 }
 
-static const struct call_sink sink = {.handle_whole = handle_whole};
+static const struct call_sink sink = {.handle_reply = handle_reply};
 
 static void set_up(struct fixture *f, gconstpointer unused)
 {
@@ -65,7 +65,7 @@
 }
 
 /* What a peer that holds this version lists. */
-static void list(struct fixture *f, uint64_t version)
+static void note_listing(struct fixture *f, uint64_t version)
 {
 	struct config_version line = {
 		.name = "n", .version = version, .at = version};
@@ -79,7 +79,7 @@
 	char sha256[65];
 
 	config_body_sha256(body, strlen(body), sha256);
-	list(f, version);
+	note_listing(f, version);
 	g_assert_cmpint(config_store_offer(f->daemon.config, "n", version,
 					   sha256, body, strlen(body)),
 			==, CONFIG_OFFER_ADOPTED);
@@ -87,7 +87,8 @@
 }
 
 /* RETURN VALUE: the status of the answer that the entry gave by itself. */
-static unsigned int ask(struct fixture *f, const char *host, const char *target)
+static unsigned int request_status(struct fixture *f, const char *host,
+				   const char *target)
 {
 	struct fields fields;
 	struct call_request request = {.method = "GET",
@@ -105,14 +106,14 @@
 	return f->status;
 }
 
-static void test_what_no_rule_allows_is_denied(struct fixture *f,
-					       gconstpointer unused)
+static void test_unmatched_request_gets_404(struct fixture *f,
+					    gconstpointer unused)
 {
 	(void)unused;
-	g_assert_cmpuint(ask(f, "old.example", "/r/1"), ==, 503);
+	g_assert_cmpuint(request_status(f, "old.example", "/r/1"), ==, 503);
 	adopt(f, 1, "old.example");
-	g_assert_cmpuint(ask(f, "other.example", "/r/1"), ==, 404);
-	g_assert_cmpuint(ask(f, "old.example", "/other"), ==, 404);
+	g_assert_cmpuint(request_status(f, "other.example", "/r/1"), ==, 404);
+	g_assert_cmpuint(request_status(f, "old.example", "/other"), ==, 404);
 	g_assert_cmpuint(f->come_back_ms, ==, 0);
 }
 
@@ -125,20 +126,19 @@
  * such request, with known_head above head. What the version on its way may allow
  * is not run, and the caller is told when to come back.
  */
-static void
-test_nothing_is_denied_while_a_newer_version_is_known(struct fixture *f,
-						      gconstpointer unused)
+static void test_no_404_while_a_newer_version_is_known(struct fixture *f,
+						       gconstpointer unused)
 {
 	(void)unused;
 	adopt(f, 1, "old.example");
 	config_store_note_head(f->daemon.config, 2, "esja-01");
-	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 503);
+	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 503);
 	g_assert_cmpuint(f->come_back_ms, >, 0);
-	g_assert_cmpuint(ask(f, "old.example", "/new/1"), ==, 503);
-	list(f, 2);
-	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 503);
+	g_assert_cmpuint(request_status(f, "old.example", "/new/1"), ==, 503);
+	note_listing(f, 2);
+	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 503);
 	adopt(f, 2, "new.example");
-	g_assert_cmpuint(ask(f, "old.example", "/r/1"), ==, 404);
+	g_assert_cmpuint(request_status(f, "old.example", "/r/1"), ==, 404);
 }
 
 /*
@@ -147,57 +147,57 @@
  * added meanwhile. Callers here were told for good that there is no such route. What
  * counts is how old the platform's word is, not how new that of a peer.
  */
-static void test_nothing_is_denied_on_an_old_word(struct fixture *f,
-						  gconstpointer unused)
+static void test_no_404_on_an_old_confirmation(struct fixture *f,
+					       gconstpointer unused)
 {
 	struct config_store *config = f->daemon.config;
 
 	(void)unused;
 	adopt(f, 1, "old.example");
 	config_store_note_told(config, 1, 0);
-	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 404);
+	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
 	paused_clock_advance_us(CONFIG_TOLD_MAX_US);
 	config_store_note_told(config, 1, CONFIG_TOLD_MAX_US);
-	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 404);
+	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
 	paused_clock_advance_us(1);
 	config_store_note_told(config, 1, CONFIG_TOLD_MAX_US + 1);
-	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 503);
+	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 503);
 	g_assert_cmpuint(f->come_back_ms, >, 0);
 	config_store_note_told(config, 1, CONFIG_TOLD_MAX_US / 2);
-	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 404);
+	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
 }
 
 /* Its configuration came from peers that pass on no word, and the platform is out of
  * reach since the start: for long nobody has told, here as above. */
-static void test_nothing_is_denied_without_any_word(struct fixture *f,
-						    gconstpointer unused)
+static void test_no_404_without_confirmation(struct fixture *f,
+					     gconstpointer unused)
 {
 	(void)unused;
 	adopt(f, 1, "old.example");
 	paused_clock_advance_us(CONFIG_TOLD_MAX_US * 2);
-	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 404);
+	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
 	config_store_expect_word(f->daemon.config);
-	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 404);
+	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
 	paused_clock_advance_us(CONFIG_TOLD_MAX_US + 1);
-	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 503);
+	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 503);
 }
 
 /* Guards against a caller that uses up its retries within a few milliseconds of a
  * daemon's start, before any upstream could become known there. */
-static void test_no_upstream_is_no_matter_of_a_moment(struct fixture *f,
-						      gconstpointer unused)
+static void test_no_upstream_come_back_time(struct fixture *f,
+					    gconstpointer unused)
 {
 	(void)unused;
 	adopt(f, 1, "old.example");
-	g_assert_cmpuint(ask(f, "old.example", "/r/1"), ==, 503);
+	g_assert_cmpuint(request_status(f, "old.example", "/r/1"), ==, 503);
 	g_assert_cmpuint(f->come_back_ms, >=, DEADLINE_MS / 5);
 	g_assert_cmpuint(f->come_back_ms, <=, DEADLINE_MS / 3);
 }
 
 /* Guards against a request that is sent to an upstream though it has crashed three,
  * and against one that is refused for what another has done. */
-static void test_a_request_in_quarantine_is_not_sent(struct fixture *f,
-						     gconstpointer unused)
+static void test_quarantined_request_is_not_sent(struct fixture *f,
+						 gconstpointer unused)
 {
 	struct content content = {
 		.service = "s",
@@ -214,45 +214,45 @@
 		quarantine_note_crash(f->daemon.quarantine,
 				      content_key(&content, content_seed(NULL, 0)),
 				      crash, now);
-	g_assert_cmpuint(ask(f, "old.example", "/r/deadly"), ==, 503);
+	g_assert_cmpuint(request_status(f, "old.example", "/r/deadly"), ==, 503);
 	g_assert_cmpuint(f->come_back_ms, ==, QUARANTINE_TRIAL_US / US_PER_MS);
-	g_assert_cmpuint(ask(f, "old.example", "/r/other"), ==, 503);
+	g_assert_cmpuint(request_status(f, "old.example", "/r/other"), ==, 503);
 	g_assert_cmpuint(f->come_back_ms, <=, DEADLINE_MS / 3);
 	paused_clock_advance_us(QUARANTINE_TRIAL_US);
-	g_assert_cmpuint(ask(f, "old.example", "/r/deadly"), ==, 503);
+	g_assert_cmpuint(request_status(f, "old.example", "/r/deadly"), ==, 503);
 	g_assert_cmpuint(f->come_back_ms, ==, US_PER_S / US_PER_MS);
 }
 
 /* Guards against a request that ends three upstreams more for each service that
  * stands beside an entry where it comes. */
-static void test_the_service_beside_the_entry_is_no_matter(struct fixture *f,
-							   gconstpointer unused)
+static void test_caller_service_does_not_change_the_key(struct fixture *f,
+							gconstpointer unused)
 {
 	struct headers headers = headers_own;
 
 	headers.caller_service = "Caller-Service";
 	f->daemon.headers = &headers;
 	f->settings.service = (char *)"lookup-desk";
-	test_a_request_in_quarantine_is_not_sent(f, unused);
+	test_quarantined_request_is_not_sent(f, unused);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add("/entry/denied", struct fixture, NULL, set_up,
-		   test_what_no_rule_allows_is_denied, tear_down);
+	g_test_add("/entry/unmatched", struct fixture, NULL, set_up,
+		   test_unmatched_request_gets_404, tear_down);
 	g_test_add("/entry/behind", struct fixture, NULL, set_up,
-		   test_nothing_is_denied_while_a_newer_version_is_known,
-		   tear_down);
-	g_test_add("/entry/old-word", struct fixture, NULL, set_up,
-		   test_nothing_is_denied_on_an_old_word, tear_down);
-	g_test_add("/entry/no-word", struct fixture, NULL, set_up,
-		   test_nothing_is_denied_without_any_word, tear_down);
+		   test_no_404_while_a_newer_version_is_known, tear_down);
+	g_test_add("/entry/old-confirmation", struct fixture, NULL, set_up,
+		   test_no_404_on_an_old_confirmation, tear_down);
+	g_test_add("/entry/no-confirmation", struct fixture, NULL, set_up,
+		   test_no_404_without_confirmation, tear_down);
 	g_test_add("/entry/quarantined", struct fixture, NULL, set_up,
-		   test_a_request_in_quarantine_is_not_sent, tear_down);
-	g_test_add("/entry/quarantined-anywhere", struct fixture, NULL, set_up,
-		   test_the_service_beside_the_entry_is_no_matter, tear_down);
+		   test_quarantined_request_is_not_sent, tear_down);
+	g_test_add("/entry/quarantined-any-caller-service", struct fixture,
+		   NULL, set_up, test_caller_service_does_not_change_the_key,
+		   tear_down);
 	g_test_add("/entry/no-upstream", struct fixture, NULL, set_up,
-		   test_no_upstream_is_no_matter_of_a_moment, tear_down);
+		   test_no_upstream_come_back_time, tear_down);
 	return g_test_run();
 }
--- a/tests/test_reader.c
+++ b/tests/test_reader.c
@@ -45,7 +45,7 @@
  * are, they must mean the same however they are cut into pieces; else a request
  * could be hidden behind a pause.
  */
-static void test_spoilt_in_pieces(void)
+static void test_corrupted_stream_in_pieces(void)
 {
 	static const char odd[] = "\r\n\0 \t:;,0123456789abcdefGETPOSTHTTP/.-+";
 	char bytes[sizeof(stream)];
@@ -90,7 +90,7 @@
 	expect_fault(text, sizeof(text) - 1, is_http)
 
 /* Each is one request to some readers and another, or two, to others. */
-static void test_forms_with_two_meanings(void)
+static void test_ambiguous_requests(void)
 {
 	EXPECT_FAULT("GET / HTTP/1.1\nHost: h\n\n", false);
 	EXPECT_FAULT("GET / HTTP/1.1\r\nHost: h\n\r\n", true);
@@ -131,8 +131,9 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/reader/pieces", test_pieces);
-	g_test_add_func("/reader/spoilt-in-pieces", test_spoilt_in_pieces);
-	g_test_add_func("/reader/two-meanings", test_forms_with_two_meanings);
+	g_test_add_func("/reader/corrupted-in-pieces",
+			test_corrupted_stream_in_pieces);
+	g_test_add_func("/reader/ambiguous", test_ambiguous_requests);
 	g_test_add_func("/reader/head-too-large", test_head_too_large);
 	return g_test_run();
 }
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -106,7 +106,8 @@
  * the connection would be lost with it. The caller gets a failure instead, and
  * its other requests go on.
  */
-static void test_breaks_off_before_its_turn(struct fixture *f, gconstpointer data)
+static void test_abort_before_head_is_written(struct fixture *f,
+					      gconstpointer data)
 {
 	(void)data;
 	give_head(f, 5);
@@ -121,7 +122,7 @@
 
 /* Of a long answer the head is out; ended in its middle, it must not look
  * whole. */
-static void test_breaks_off_midway(struct fixture *f, gconstpointer data)
+static void test_abort_after_head_is_written(struct fixture *f, gconstpointer data)
 {
 	(void)data;
 	give_head(f, 1000000);
@@ -154,7 +155,7 @@
 		.status = 503, .come_back_ms = 400, .text = "not run\n"};
 
 	(void)data;
-	request_sink.handle_whole(f->request, &reply);
+	request_sink.handle_reply(f->request, &reply);
 	paused_clock_advance_us(300 * US_PER_MS);
 	g_assert_cmpint(write_out(f), ==, REQUEST_ANSWERED);
 	g_assert_true(has_text(f, FIELD_RETRY_AFTER_MS ": 100\r\n"));
@@ -168,8 +169,8 @@
 	g_test_init(&argc, &argv, NULL);
 	ADD("/request/whole", test_whole_in_one_piece);
 	ADD("/request/chunks", test_chunks);
-	ADD("/request/breaks-before-turn", test_breaks_off_before_its_turn);
-	ADD("/request/breaks-midway", test_breaks_off_midway);
+	ADD("/request/abort-before-head", test_abort_before_head_is_written);
+	ADD("/request/abort-after-head", test_abort_after_head_is_written);
 	ADD("/request/wrong-length", test_wrong_length);
 	ADD("/request/come-back", test_come_back_counts_from_sending);
 	return g_test_run();
