--- a/comfreydockd/caller/attempts.c
+++ b/comfreydockd/caller/attempts.c
@@ -10,7 +10,8 @@
 #include "common/counters.h"
 #include "common/key_text.h"
 
-/* RETURN VALUE: 0 where the rule has no target. */
+/* RETURN VALUE: the time left until the rule's target, at least 1; 0 if the
+ * rule has no target. */
 static uint64_t call_target_left_us(const struct call *call, int64_t path_us)
 {
 	int64_t target_us = call->rule->target_ms * US_PER_MS;
--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -11,15 +11,18 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-/* Another daemon can most likely take the call; this one knows more after its
- * next trial, see HEALTH_MUTE_TRIAL_US. */
+/* Another daemon can most likely take the call. This one knows more after it
+ * has tried a silent owner again, see HEALTH_MUTE_TRIAL_US. */
 #define UNREACHABLE_COME_BACK_MS 100
-/* After its start a daemon knows most upstreams within so long. One that comes
- * back sooner is refused again, and has few retries. */
+/*
+ * A daemon knows most upstreams within this time after its start. A caller that
+ * comes back sooner is refused again and has few retries. The wait is at most
+ * 1/NO_UPSTREAM_LEFT_SHARE of the time left to the deadline.
+ */
 #define NO_UPSTREAM_COME_BACK_MS 200
 #define NO_UPSTREAM_LEFT_SHARE 4
 
-/* What became of its attempts, for the one line that tells of a failure. */
+/* Records how the attempt ended, for the log line of a failed call. */
 static void call_append_history(struct call *call,
 				const struct entry_attempt *attempt,
 				const char *end)
@@ -53,7 +56,8 @@
 	g_free(call);
 }
 
-/* Ended here an answer would look whole: the connection must break. */
+/* Breaks the caller's connection: an answer that just ended here would look
+ * complete. */
 static void call_abort(struct call *call)
 {
 	counters.caller_aborted++;
@@ -71,11 +75,11 @@
 }
 
 /*
- * Refused as busy by some, because another seemed to have room, and then that
- * one turned out to be gone or to drain, or is left out by now: the call goes back, once, to wait at
- * those that are only busy. Without this it would be told "not run" while
- * upstreams that could serve it in milliseconds are up; callers would notice
- * for as long as a crashed upstream looks idle.
+ * Sends the call back, once, to queue at the upstreams that refused it as busy.
+ * They refused it because another upstream seemed to have room, but that one is
+ * gone, drains or has been ejected since. Without this, the call would end as
+ * "not run" although upstreams that could serve it within milliseconds are up,
+ * and callers would see that for as long as a crashed upstream looks idle.
  */
 static bool call_return_to_busy(struct call *call)
 {
@@ -86,7 +90,7 @@
 	return true;
 }
 
-/* Nobody is known who could take the call. */
+/* No upstream is known that could take the call. */
 static void call_note_no_upstream(struct call *call, int64_t now)
 {
 	int64_t left_ms = MAX(call->deadline_us - now, 0) / US_PER_MS;
@@ -156,7 +160,7 @@
 	}
 }
 
-/* What follows after an attempt, where no other is out. */
+/* Retries or ends the call, once its last outstanding attempt has ended. */
 static void call_decide_retry(struct call *call, enum retry_outcome outcome,
 			      enum attempt_entry_state state)
 {
@@ -174,7 +178,7 @@
 		question.untried = call_untried(call);
 	answer = retry_decide(&call->service->retry, &question,
 			      &call->entry->random, now);
-	/* A body of which more is gone than is kept can't be sent again. */
+	/* A body that exceeds the buffer can't be sent again. */
 	if (answer.verdict == RETRY_GO && !call->body_exceeds_buffer &&
 	    !call->no_more_attempts &&
 	    attempt_allows_another(state, call->rule->idempotent)) {
@@ -207,7 +211,7 @@
 	call_append_history(call, attempt, outcome_reason_name(reason));
 	entry_attempt_destroy(attempt);
 	if (!LIST_EMPTY(&call->active))
-		return; /* the other one goes on */
+		return; /* the parallel attempt is still out */
 	if (!was_hedge || call->reason == CFD__REASON__REASON_UNSPECIFIED)
 		call->reason = reason;
 	call->come_back_ms = MAX(retry_after_ms, call->min_come_back_ms);
@@ -239,15 +243,15 @@
 	call_decide_retry(call, RETRY_OUTCOME_UNKNOWN, state);
 }
 
-/* See deadline_silence_left_us(). The call may be gone after this, but not when
- * its answer has just begun. */
+/* Aborts the call if its answer has stalled, see deadline_silence_left_us().
+ * This may free the call, but not when its answer has just begun. */
 static void call_check_stalled_answer(struct call *call)
 {
 	int64_t now = clock_mono_us();
 	int64_t left_us;
 
-	/* Silence while bytes wait for the caller is its own; the owner ends
-	 * that one. */
+	/* While bytes wait for the caller, the caller causes the silence. The
+	 * owner ends the answer in that case. */
 	if (call->unread > 0)
 		call->heard_us = now;
 	left_us =
@@ -296,7 +300,7 @@
 	fields_finish(&fields);
 	if (LIST_NEXT(LIST_FIRST(&call->active), link))
 		hedge_note_race(&call->service->hedge, attempt->is_hedge);
-	/* The slower of a hedged pair. */
+	/* Cancels the slower of two parallel attempts. */
 	while ((other = LIST_FIRST(&call->active)) != attempt ||
 	       (other = LIST_NEXT(attempt, link)))
 		entry_attempt_destroy(other);
@@ -332,7 +336,11 @@
 	call_send_attempt(timer->data);
 }
 
-/* First shortly before the deadline, to cancel; then at it, to give up. */
+/*
+ * Expires shortly before the deadline to cancel the attempts, then at the
+ * deadline to end the call. Once an answer has begun, checks whether it
+ * stalled.
+ */
 static void handle_deadline(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct call *call = timer->data;
--- a/comfreydockd/caller/call_quarantine.c
+++ b/comfreydockd/caller/call_quarantine.c
@@ -6,7 +6,7 @@
 #include "common/counters.h"
 #include "common/key_text.h"
 
-/* A trial that runs now has ended by then. */
+/* A trial that is running now will have ended after this time. */
 #define TRIAL_COME_BACK_US (1 * US_PER_S)
 
 static const char *content_caller(const struct call *call)
--- a/comfreydockd/caller/connection.c
+++ b/comfreydockd/caller/connection.c
@@ -13,21 +13,24 @@
 #include "common/counters.h"
 #include "common/timer.h"
 
-/* What is written but not yet taken by the kernel. */
+/* Limit of the bytes that are written but not yet taken by the kernel. */
 #define OUTPUT_BUFFER_MAX (64 * 1024)
-/* An empty buffer that was larger is given back. */
+/* An empty buffer that once held more than this is freed. */
 #define IDLE_BUFFER_MAX (4 * 1024)
-/* The kernel shows a hang-up behind unread bytes only to those who ask. */
+/* The event loop does not report a hang-up behind unread bytes, so a timer
+ * polls for it. */
 #define HANGUP_POLL_S 0.25
-/* A caller that neither sends, though it should, nor reads; more than any pause
- * of a live one. */
+/* For a caller that neither reads nor sends the bytes it owes. Longer than any
+ * pause of a live caller. */
 #define IDLE_TIMEOUT_US (60 * US_PER_S)
-/* From a head's first byte to its last: one that grows by a byte a second
- * would hold its connection for ever. */
+/* From the first byte of a head to its last. Without this limit, a head that
+ * grows by one byte a second would hold its connection forever. */
 #define HEAD_TIMEOUT_US (60 * US_PER_S)
-/* After the last answer: what is still on its way is read and dropped, as bytes
- * that nobody reads make the kernel reset the connection, and the answer is lost
- * with it. */
+/*
+ * After the last answer, bytes that still arrive are read and dropped. Unread
+ * bytes would make the kernel reset the connection, and the answer would be
+ * lost with it.
+ */
 #define LINGER_TIMEOUT_US (2 * US_PER_S)
 #define LINGER_BYTES_MAX (16 * 1024 * 1024)
 
@@ -56,8 +59,8 @@
 	return poll(&poller, 1, 0) > 0;
 }
 
-/* A buffer keeps the room of the most it ever held, 128 KiB behind a large answer:
- * 500 callers who once took one would hold 64 MB while they are idle. */
+/* A buffer keeps the largest allocation it ever had, 128 KiB after a large
+ * answer. 500 idle callers that once received one would hold 64 MB. */
 static void buffer_trim(GByteArray **buffer, guint *most)
 {
 	if ((*buffer)->len > 0 || *most <= IDLE_BUFFER_MAX)
@@ -67,7 +70,7 @@
 	*most = 0;
 }
 
-/* Reading from the kernel. */
+/* Input. */
 
 static void connection_update_read_event(struct connection *connection)
 {
@@ -85,8 +88,8 @@
 
 static void connection_handle_hangup(struct connection *connection)
 {
-	/* Read after a pause of this daemon: nobody waits for it any more, and
-	 * it may have been sent elsewhere since. */
+	/* This daemon paused before it read the request. The caller is gone and
+	 * may have sent the request elsewhere since, so it is not begun. */
 	if (connection->unanswered == 0 && connection->in->len > 0)
 		counters.caller_gone++;
 	connection_destroy(connection);
@@ -148,10 +151,10 @@
 		connection_destroy(connection);
 }
 
-/* Answers. */
+/* Output. */
 
-/* Nothing may stand behind an answer that closes the connection but what was
- * not begun. */
+/* RETURN VALUE: whether the answer closes the connection. No request that has
+ * been begun may be behind such an answer. */
 static bool connection_closes_after(const struct connection *connection,
 				    const struct caller_request *request)
 {
@@ -170,7 +173,7 @@
 		call_open_window(request->call);
 }
 
-/* RETURN VALUE: whether the connection goes on. */
+/* RETURN VALUE: false if the connection ends after what was written. */
 static bool connection_write_answers(struct connection *connection)
 {
 	struct caller_request *request;
@@ -213,7 +216,7 @@
 	return true;
 }
 
-/* The last byte was given to the kernel. */
+/* Called once the kernel has taken the last byte. */
 static void connection_end_output(struct connection *connection)
 {
 	shutdown(connection->fd, SHUT_WR);
@@ -221,8 +224,8 @@
 			 LINGER_TIMEOUT_US);
 }
 
-/* The caller of an answer that ends with the connection takes an end for the
- * answer's own; only a reset tells it that there was more. */
+/* Some answers end where the connection is closed. Only a reset tells the
+ * caller that such an answer is incomplete. */
 static void connection_reset(struct connection *connection)
 {
 	struct linger linger = {.l_onoff = 1};
@@ -232,7 +235,7 @@
 	connection_destroy(connection);
 }
 
-/* Nothing more is sent but what was written already. */
+/* Sends what is already in the output buffer and nothing more. */
 static void connection_start_linger(struct connection *connection)
 {
 	connection_remove_all_requests(connection);
@@ -253,8 +256,9 @@
 }
 
 /*
- * Writes what may be written. Fed once for all that came in one turn, so that
- * the head and the body of a short answer leave in one packet.
+ * Writes the answers whose turn has come. connection_wake() feeds one event for
+ * everything that arrives in one loop iteration, so that the head and the body
+ * of a short answer leave in one packet.
  */
 static void handle_write(struct ev_loop *loop, ev_io *io, int events)
 {
@@ -283,7 +287,7 @@
 	connection_update_write_event(connection);
 }
 
-/* Its end in time. */
+/* Timeouts. */
 
 static int64_t connection_timeout_at_us(const struct connection *connection)
 {
@@ -294,7 +298,7 @@
 	if (connection->unanswered > 0 && connection->out->len == 0 &&
 	    !connection->in_body)
 		return clock_mono_us() +
-		       IDLE_TIMEOUT_US; /* its calls have a deadline */
+		       IDLE_TIMEOUT_US; /* its calls have deadlines */
 	return connection->active_us + IDLE_TIMEOUT_US;
 }
 
@@ -348,7 +352,7 @@
 	struct ev_loop *loop = connection_loop(connection);
 
 	connection_remove_all_requests(connection);
-	/* Not even a request line could be read where none has begun. */
+	/* No request line could be read on this connection. */
 	counters.caller_empty_connections += !connection->has_request;
 	ev_io_stop(loop, &connection->read);
 	ev_io_stop(loop, &connection->write);
--- a/comfreydockd/caller/connection_input.c
+++ b/comfreydockd/caller/connection_input.c
@@ -9,10 +9,10 @@
 
 #define STATUS_UNAVAILABLE 503
 #define SURPLUS_COME_BACK_MS 1000
-/* Another daemon can take it at once. */
+/* Another daemon can take the request at once. */
 #define TURN_AWAY_COME_BACK_MS 10
 
-/* Requests in the list. */
+/* The list of unanswered requests. */
 
 static void connection_mark_holding_others(struct connection *connection)
 {
@@ -67,9 +67,9 @@
 		connection_remove_request(connection, request);
 }
 
-/* Beginning them. */
+/* Beginning a request. */
 
-/* The connection ends with this refusal. */
+/* Refuses the request and closes the connection after this answer. */
 static void request_refuse(struct caller_request *request, unsigned int status,
 			   const char *reason, uint32_t come_back_ms,
 			   const char *why)
@@ -99,9 +99,10 @@
 }
 
 /*
- * Were connections beyond the limit left unread, their callers would learn
- * nothing until their own time is over, and so would all behind them in the
- * kernel's queue. They are read, to be told at once when to come back.
+ * If connections beyond the limit were left unread, their callers would hear
+ * nothing until their own timeouts expire, and neither would the callers behind
+ * them in the kernel's accept queue. They are read and refused, so that each
+ * caller learns at once when to come back.
  */
 static void request_refuse_surplus(struct caller_request *request)
 {
@@ -180,7 +181,7 @@
 	request_begin(request, &head, clock_mono_us());
 }
 
-/* Those in front have their answers. */
+/* Begins the waiting request: all requests in front of it are answered. */
 static void connection_begin_waiting(struct connection *connection)
 {
 	struct caller_request *request = connection->waiting;
@@ -207,7 +208,8 @@
 		call_end_body(request->call);
 }
 
-/* What follows on the connection may be part of this request. */
+/* Refuses a malformed request. Nothing more is read, as the bytes that follow
+ * may be part of this request. */
 static void connection_take_fault(struct connection *connection)
 {
 	struct reader_head none = {.method = "", .ends = true};
@@ -218,7 +220,7 @@
 	connection->input_ended = true;
 	connection->head_since_us = 0;
 	if (connection->in_body) {
-		/* Where its call has ended, its answer is on the way. */
+		/* If its call has ended, its answer is still to be written. */
 		if (connection->in_body->call)
 			connection_remove_request(connection,
 						  connection->in_body);
@@ -233,12 +235,12 @@
 		       "bad-request", 0, fault);
 }
 
-/* Whether a further request may be read. */
+/* RETURN VALUE: whether another request may be read. */
 static bool connection_accepts_requests(const struct connection *connection)
 {
 	if (connection->input_ended || connection->unanswered >= AHEAD_CALLS_MAX)
 		return false;
-	/* The last answer will close the connection. */
+	/* The answer to the last request will close the connection. */
 	return !connection->listener->announces_close ||
 	       connection->unanswered == 0;
 }
--- a/comfreydockd/caller/content.c
+++ b/comfreydockd/caller/content.c
@@ -8,7 +8,8 @@
 	return size ? XXH3_64bits(key, size) : 0;
 }
 
-/* Each part is the seed of the next, so that no text runs into another. */
+/* The hash of each part seeds that of the next, so that text moved from one
+ * part to its neighbour gives another key. */
 static uint64_t add_text(uint64_t key, const char *text)
 {
 	return XXH3_64bits_withSeed(text, strlen(text), key);
--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -19,11 +19,11 @@
 #define STATUS_TOO_DEEP 508
 #define STATUS_UNAVAILABLE 503
 #define NO_CONFIG_COME_BACK_MS 1000
-/* By then a version that is on its way has come, as a rule. */
+/* A version that is being fetched has usually arrived after this time. */
 #define CONFIG_BEHIND_COME_BACK_MS 300
-/* For a rule without a deadline: a call can't stay for ever. */
+/* For a rule without a deadline, so that no call stays forever. */
 #define DEFAULT_DEADLINE_MS 30000
-/* Of a host and a path in a line of the log. */
+/* Size of a host or a path in a log line. */
 #define LOGGED_NAME_MAX 64
 
 static void handle_tick(struct ev_loop *loop, ev_timer *timer, int events)
@@ -76,7 +76,7 @@
 	g_free(entry);
 }
 
-/* The host without its port, in small letters; "" where there is none. */
+/* Copies the host in lower case, without its port; "" if there is none. */
 static void copy_host(const char *field, char *out, size_t size)
 {
 	size_t length = field ? strcspn(field, ":") : 0;
@@ -106,21 +106,22 @@
 }
 
 static int64_t read_number(const struct fields *fields, const char *name,
-			   int64_t most, int64_t missing)
+			   int64_t max_value, int64_t fallback)
 {
 	const char *text = name ? fields_find(fields, name) : NULL;
 	char *end;
 	int64_t value;
 
 	if (!text || !*text)
-		return missing;
+		return fallback;
 	value = g_ascii_strtoll(text, &end, 10);
 	if (*end || value < 0)
-		return missing;
-	return MIN(value, most);
+		return fallback;
+	return MIN(value, max_value);
 }
 
-/* From its arrival: what waited behind others has used a part of its time. */
+/* The deadline counts from the request's arrival: the time it waited behind
+ * other requests on its connection is part of it. */
 static void call_set_deadline(struct call *call,
 			      const struct call_request *request)
 {
@@ -159,7 +160,7 @@
 			   daemon->settings->service);
 }
 
-/* The services that a rule leads to share its calls by their weights. */
+/* Draws the call's service by weight from those of the rule. */
 static const char *call_draw_group(struct entry *entry,
 				   const struct config_rule *rule)
 {
@@ -254,10 +255,11 @@
 }
 
 /*
- * A caller takes 404 for good and doesn't come back. Said by a daemon that is
- * behind, it ends requests on every route that was just added, while others serve
- * them; one notices it by entry.no-rule with known_head above head. So only a
- * daemon that has reason to hold its configuration for the newest says it.
+ * A caller takes 404 as final and doesn't retry. If a daemon with an old
+ * configuration answered 404, requests on every route that was just added would
+ * fail there while other daemons serve them. The symptom is entry.no-rule with
+ * known_head above head. So a daemon answers 404 only if it has reason to take
+ * its configuration for the newest, and 503 otherwise.
  */
 static void entry_refuse_unmatched(struct entry *entry,
 				   const struct call_request *request,
@@ -327,7 +329,7 @@
 	if (request->has_body)
 		return call;
 	call_start(call);
-	/* Where the call ended at once it is not the newest any more. */
+	/* A call that has already ended is no longer the first of the list. */
 	return LIST_FIRST(&entry->calls) == call ? call : NULL;
 }
 
--- a/comfreydockd/caller/frames.c
+++ b/comfreydockd/caller/frames.c
@@ -5,8 +5,8 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-/* RETURN VALUE: NULL, counted, for an attempt that is over: a late or doubled
- * answer reaches nobody. */
+/* RETURN VALUE: NULL if the attempt is over, which is counted: a late or
+ * duplicate answer reaches no caller. */
 static struct entry_attempt *entry_find(struct entry *entry, struct peer *peer,
 					uint64_t seq)
 {
@@ -20,9 +20,9 @@
 }
 
 /*
- * An upstream that has crashed refuses each connection at once, so its slots
- * look free and it draws the calls. Told to health as a mere refusal, it would
- * stay in use for as long as its daemon lives.
+ * A crashed upstream refuses each connection at once, so its slots look free
+ * and it attracts calls. If health saw these as ordinary refusals, the upstream
+ * would stay in use for as long as its daemon lives.
  */
 static enum attempt_end refusal_end(Cfd__Reason reason)
 {
@@ -44,7 +44,7 @@
 	if (!attempt || !attempt_entry_step(&attempt->state, ENTRY_GET_NOT_RUN))
 		return;
 	feedback_note_end(attempt, end, not_run->load);
-	/* A refusal does no work: its time is the way there and back. */
+	/* A refusal does no work, so its duration is the network round trip. */
 	if (busy)
 		deadline_path_note(&attempt->upstream->path,
 				   clock_mono_us() - attempt->sent_us);
@@ -172,8 +172,8 @@
 		call_note_unknown(attempt, true);
 }
 
-/* Whatever one loss leads to may end other attempts of the same connection,
- * so the first of those left is taken each time. */
+/* Handling one lost attempt may end others of the same connection, so the loop
+ * takes the first remaining attempt each time. */
 static void handle_lost(struct peer *peer, const char *error, void *data)
 {
 	struct entry *entry = data;
--- a/comfreydockd/caller/head.c
+++ b/comfreydockd/caller/head.c
@@ -17,7 +17,7 @@
 	return true;
 }
 
-/* Bytes beyond ASCII may stand in a value; control characters may not. */
+/* A value may have non-ASCII bytes, but no control character except a tab. */
 static bool is_value(const char *text)
 {
 	for (; *text; text++) {
@@ -94,7 +94,7 @@
 		head->host_count++;
 		head->has_bad_field |= !is_authority(text);
 		if (head->authority)
-			return; /* the target's goes before it */
+			return; /* the target's host takes precedence */
 	}
 	fields_add(&head->fields, name, value);
 }
--- a/comfreydockd/caller/listener.c
+++ b/comfreydockd/caller/listener.c
@@ -12,12 +12,12 @@
 #include "common/log.h"
 #include "common/socket.h"
 
-/* Connections that are opened beyond the limit, to be refused. */
+/* Connections accepted beyond the limit, so that they can be refused. */
 #define SURPLUS_CONNECTIONS_MAX 1024
-/* Taken in one turn of the loop, so that those that are open go on. */
+/* Per loop iteration, so that open connections are served in between. */
 #define ACCEPTS_PER_TURN 64
-/* Without descriptors the port stays readable; asked at once, the loop would
- * do nothing else. */
+/* While the process is out of descriptors, the port stays readable. Retried at
+ * once, accept() would keep the loop from doing anything else. */
 #define ACCEPT_RETRY_S 0.1
 
 static bool listener_has_room(const struct listener *listener)
@@ -37,7 +37,7 @@
 	connection_create(listener, fd, address, listener->count >= most);
 }
 
-/* RETURN VALUE: whether there was a connection. */
+/* RETURN VALUE: whether a connection was accepted. */
 static bool listener_accept(struct listener *listener)
 {
 	struct sockaddr_storage from;
@@ -164,7 +164,7 @@
 {
 	if (listener->fd < 0)
 		return;
-	/* Connections that the kernel has taken already; to close their queue
+	/* Accepts the connections that the kernel has queued: closing the port
 	 * would reset them. */
 	while (listener_accept(listener))
 		;
--- a/comfreydockd/caller/outcome.c
+++ b/comfreydockd/caller/outcome.c
@@ -43,7 +43,11 @@
 		fields_add(fields, headers->trace, trace);
 }
 
-/* Whole seconds for every client, and the exact time for those that know. */
+/*
+ * Retry-After is for every client, in whole seconds (rounded up) unless the
+ * settings allow fractions. FIELD_RETRY_AFTER_MS has the exact time for clients
+ * that know it.
+ */
 void outcome_add_come_back(struct fields *fields, const struct headers *headers,
 			   uint32_t come_back_ms)
 {
--- a/comfreydockd/caller/parallel.c
+++ b/comfreydockd/caller/parallel.c
@@ -66,9 +66,10 @@
 }
 
 /*
- * The attempt that is out gives nothing: its upstream hangs, or its host has
- * lost its power. Another is sent beside it, within the budget for repeats. The
- * first goes on: broken off, it would be lost where the second fails too.
+ * The outstanding attempt gives no answer: its upstream hangs, or its host has
+ * lost power. Sends a second attempt in parallel, within the retry budget. The
+ * first attempt keeps running: if it were cancelled and the second failed too,
+ * the call would have lost both.
  */
 static void call_overtake(struct call *call)
 {
@@ -127,7 +128,8 @@
 			 deadline_verdict_us(&attempt->upstream->path));
 }
 
-/* First to ask the owner; then, where it does not answer, to overtake it. */
+/* Asks the owner whether the attempt is overdue. If the owner has not replied
+ * by the next expiry, overtakes the attempt. */
 static void handle_patience(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct call *call = timer->data;
@@ -153,18 +155,19 @@
 	(void)events;
 	if (call->answering)
 		return;
-	/* By then a slot that is taken now is most likely free. */
+	/* A slot that is busy now is most likely free after a typical run. */
 	call->min_come_back_ms =
 		(uint32_t)(call_typical_service_us(call) / US_PER_MS);
 	call_give_up(call);
 }
 
 /*
- * The first request of a connection is alone when its owner takes it, and may
- * wait there to its deadline. Without this, what came behind it waits as long,
- * although it has been answered. One notices entry.failed with the reason deadline
- * and a took_us far beyond the target, and late answers that an upstream gave in
- * time. What runs goes on.
+ * The first request of a connection has no other behind it when its owner takes
+ * it, so it may queue there until its deadline. Without this limit, the
+ * requests that arrive behind it wait as long, although their answers are
+ * ready. The symptoms are entry.failed with the reason deadline and a took_us
+ * far beyond the target, and late answers that an upstream gave in time. An
+ * attempt that already runs is not cancelled.
  */
 void call_hold_others(struct call *call)
 {
--- a/comfreydockd/caller/reader.c
+++ b/comfreydockd/caller/reader.c
@@ -14,7 +14,8 @@
 	return parser->data;
 }
 
-/* A head is given in one piece, and so are its parts. */
+/* The parser gets a whole head at once, so each callback gets its whole part at
+ * once. */
 
 static int handle_url(http_parser *parser, const char *bytes, size_t size)
 {
@@ -41,7 +42,7 @@
 	char *value;
 
 	if (reader->head_ends)
-		return 0; /* of a trailer, which is not passed on */
+		return 0; /* a trailer field, which is not forwarded */
 	while (size > 0 && (bytes[size - 1] == ' ' || bytes[size - 1] == '\t'))
 		size--;
 	value = g_strndup(bytes, size);
@@ -63,7 +64,7 @@
 	return 0;
 }
 
-/* What follows belongs to the next request. */
+/* Pauses the parser: the bytes that follow belong to the next request. */
 static int handle_message_end(http_parser *parser)
 {
 	reader_of(parser)->is_whole = true;
@@ -80,7 +81,7 @@
 	.on_message_complete = handle_message_end,
 };
 
-/* Makes ready for the next request. */
+/* Prepares for the next request. */
 static void reader_reset(struct reader *reader)
 {
 	http_parser_init(&reader->parser, HTTP_REQUEST);
@@ -138,7 +139,7 @@
 
 static const char *line_byte_fault(const struct reader_line *line, uint8_t byte)
 {
-	/* In the request line the library refuses it. */
+	/* The HTTP library refuses a NUL byte in the request line. */
 	if (byte == '\0' && !line->is_first)
 		return "the head holds a NUL byte";
 	if ((byte == '\n') != line->after_cr)
@@ -149,10 +150,10 @@
 }
 
 /*
- * Looks at the lines of a head, from where it stopped.
+ * Scans the lines of a head, from where the last call stopped.
  *
- * RETURN VALUE: the head's size; 0 if its end has not come, or for a fault,
- * which is then set.
+ * RETURN VALUE: the head's size; 0 if its end has not arrived, or on a fault,
+ * which is then in reader->fault.
  */
 static size_t reader_find_end(struct reader *reader, const uint8_t *bytes,
 			      size_t size)
@@ -176,7 +177,7 @@
 	return 0;
 }
 
-/* RFC 9112 wants an empty line before a request to be passed over. */
+/* RFC 9112, section 2.2: empty lines before a request are to be ignored. */
 static size_t count_empty_lines(const uint8_t *bytes, size_t size)
 {
 	size_t count = 0;
--- a/comfreydockd/caller/request.c
+++ b/comfreydockd/caller/request.c
@@ -7,7 +7,7 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-/* An answer that is no longer is written only once it is whole. */
+/* An answer up to this size is written only once it is complete. */
 #define BUFFERED_ANSWER_MAX (16 * 1024)
 #define STATUS_LOST 502
 
@@ -29,7 +29,7 @@
 	g_free(request);
 }
 
-/* What the call tells. */
+/* Callbacks from the call. */
 
 static void handle_head(void *data, unsigned int status, struct fields *fields,
 			int64_t length)
@@ -85,10 +85,11 @@
 }
 
 /*
- * An upstream broke off its answer. Had some of it gone out, only a broken
- * connection could tell the caller; and with it the answers of all requests
- * behind would be lost, though their upstreams are sound. What is still here
- * as a whole is replaced by a failure that says as little as is known.
+ * The upstream broke off its answer. If the answer's head is written, only a
+ * broken connection can tell the caller, and the answers to all requests behind
+ * it are lost too, although their upstreams are healthy. If nothing is written
+ * yet, the answer is replaced by a failure of unknown outcome, and the
+ * connection stays open.
  */
 static void handle_abort(void *data)
 {
@@ -130,7 +131,7 @@
 	.handle_body_window = handle_body_window,
 };
 
-/* The answer's way out. */
+/* Writing the answer. */
 
 static size_t request_unwritten(const struct caller_request *request)
 {
@@ -147,7 +148,7 @@
 	       request->length < 0 || request->length > BUFFERED_ANSWER_MAX;
 }
 
-/* The time in the refusal counts from when it is sent. */
+/* The time to come back counts from the moment that the refusal is sent. */
 static void request_add_come_back(struct caller_request *request)
 {
 	int64_t waited_ms = (clock_mono_us() - request->answered_us) / US_PER_MS;
@@ -192,8 +193,11 @@
 		call_note_consumed(request->call, size);
 }
 
-/* Another length than was told: what follows would be read as part of it, or
- * it as part of what follows. */
+/*
+ * RETURN VALUE: whether the body does not fit the length in the head. The
+ * caller would take its surplus bytes for the next answer, or the next answer
+ * for its missing bytes.
+ */
 static bool request_has_wrong_length(const struct caller_request *request)
 {
 	int64_t known = request->written + (int64_t)request_unwritten(request);
--- a/comfreydockd/caller/response.c
+++ b/comfreydockd/caller/response.c
@@ -32,7 +32,7 @@
 	write_text(out, line);
 }
 
-/* By hand: strftime() writes the days in the locale's language. */
+/* Doesn't use strftime(), which writes the days in the locale's language. */
 static void write_date(GByteArray *out)
 {
 	static const char *const days[] = {"Sun", "Mon", "Tue", "Wed",
--- a/comfreydockd/caller/services.c
+++ b/comfreydockd/caller/services.c
@@ -12,11 +12,14 @@
 #include "common/log.h"
 #include "common/metric.h"
 
-/* A service without calls for so long is left out of the tick. */
+/* The tick skips a service that has had no calls for this time. */
 #define INACTIVE_AFTER_US (10 * US_PER_S)
-/* Of an upstream that warms up and tells its load: it takes all its slots, at
- * about half the speed. With a tenth at first, nearly all calls would be told
- * that there is no room where all upstreams start together. */
+/*
+ * The least weight of an upstream that warms up and reports its load. Such an
+ * upstream uses all its slots, at about half the speed. If the weight began at
+ * a tenth, nearly all calls would be refused for lack of room where all
+ * upstreams start together.
+ */
 #define WARM_WEIGHT_MIN 0.5
 
 LIST_HEAD(service_list, service);
@@ -134,7 +137,7 @@
 			     member_is_usable(member));
 }
 
-/* Marks the members that this entry uses; all of them in a small service. */
+/* Marks the members that this entry uses: in a small service, all of them. */
 static void service_choose_subset(const struct service *service,
 				  const GPtrArray *members,
 				  struct subset_upstream *subset)
@@ -196,7 +199,7 @@
 	g_free(subset);
 }
 
-/* What the tick would have done while the service was not in use. */
+/* Does what the tick skipped while the service was not in use. */
 static void service_activate(struct service *service, int64_t now_us)
 {
 	service->is_active = true;
@@ -274,7 +277,7 @@
 	struct service_upstream *upstream;
 	struct pick_candidate *chosen;
 
-	/* Between two attempts of one call a host may have gone for good. */
+	/* Between two attempts of a call, a host may have left for good. */
 	service_update(service);
 	TAILQ_FOREACH (upstream, &service->upstreams, link)
 		upstream->candidate.usable = health_is_usable(&upstream->health);
@@ -312,8 +315,8 @@
 		health_note_heard(&upstream->health, now_us);
 }
 
-/* What this entry holds of an upstream changes with the ends of attempts; it is
- * told once a tick, so that an upstream that flaps fills no log. */
+/* The health of an upstream changes as attempts end. It is logged once a tick,
+ * so that a flapping upstream doesn't fill the log. */
 static void service_log_health(struct service *service, int64_t now_us)
 {
 	static const char *const states[] = {
@@ -356,7 +359,8 @@
 	}
 }
 
-/* The weight of an upstream that warms up grows by time alone. */
+/* RETURN VALUE: whether an upstream warms up. Its weight grows with time alone,
+ * so the service must be refreshed. */
 static bool service_is_warming(const struct service *service)
 {
 	const struct service_upstream *upstream;
