--- a/include/comfreydockd/caller/call.h
+++ b/include/comfreydockd/caller/call.h
@@ -3,12 +3,15 @@
  *	call - one caller's request, and its attempts
  *
  * DESCRIPTION
- *	Internal to caller/. call.c decides what follows what and parallel.c what
- *	goes beside an attempt that is out. attempts.c sends to owners, frames.c
- *	takes what they answer, and outcome.c words the answers of our own.
+ *	Internal to caller/. call.c decides on retries and on the end of a call,
+ *	and parallel.c on attempts that run in parallel to another one.
+ *	attempts.c sends frames to owners and frames.c handles the owners'
+ *	frames. outcome.c writes the answers that come from this daemon and not
+ *	from an upstream.
  *
- *	They call downwards: frames.c calls call.c, call.c calls parallel.c, and
- *	each of them attempts.c; call_state.c is what they share.
+ *	Calls go in one direction only: frames.c calls call.c, call.c calls
+ *	parallel.c, and each of them calls attempts.c. call_state.c has what
+ *	they share.
  */
 #ifndef COMFREYDOCKD_CALLER_CALL_H
 #define COMFREYDOCKD_CALLER_CALL_H
@@ -26,31 +29,32 @@
 #include "common/latency.h"
 #include "common/timeline.h"
 
-/* What an entry keeps of a request's body: so much can be sent again. */
+/* An entry buffers this much of a request's body. A longer body can't be sent
+ * again. */
 #define CALL_BODY_BUFFER_MAX (64 * 1024)
-/* Credit for an answer is given back in pieces of this size. */
+/* The owner's window for an answer is extended in steps of this size. */
 #define CALL_WINDOW_UPDATE_BYTES (64 * 1024)
-/* Half a dozen attempts with the names of their hosts. */
+/* Enough for six attempts with the names of their hosts. */
 #define CALL_HISTORY_MAX 256
 
 struct entry_attempt {
-	LIST_ENTRY(entry_attempt) link; /* of its call */
-	LIST_ENTRY(entry_attempt) peer_link; /* of its connection */
+	LIST_ENTRY(entry_attempt) link; /* in its call */
+	LIST_ENTRY(entry_attempt) peer_link; /* in its connection */
 	struct call *call;
 	struct peer *peer;
 	struct service_upstream *upstream;
 	uint64_t seq;
-	uint64_t position; /* in the connection's stream */
+	uint64_t position; /* of its frame in the connection's stream */
 	enum attempt_entry_state state;
 	int64_t sent_us;
-	uint32_t epoch; /* of its upstream's health */
+	uint32_t epoch; /* of its upstream's health when it was sent */
 	int64_t head_us; /* when the answer began */
-	uint32_t pace_percent; /* of the host as its run began; 0: not told */
+	uint32_t pace_percent; /* of the host as the run began; 0: unknown */
 	bool is_hedge;
-	bool failed; /* its answer is the upstream's own error */
+	bool failed; /* its answer is an error of the upstream */
 	bool cancelled;
-	bool has_small_window; /* sent while its answer had to wait */
-	bool is_overtaken; /* by another, as it gave nothing for too long */
+	bool has_small_window; /* sent while its answer was blocked */
+	bool is_overtaken; /* by another, as it gave no answer */
 };
 
 LIST_HEAD(entry_attempt_list, entry_attempt);
@@ -63,7 +67,7 @@
 	struct config_snapshot *snapshot;
 	const struct config_service *config;
 	const struct config_rule *rule;
-	const char *group; /* the upstreams that it goes to */
+	const char *group; /* of the upstreams that it goes to */
 	uint64_t content; /* see content.h */
 	struct service *service;
 	char trace[TIMELINE_TRACE_MAX];
@@ -74,42 +78,42 @@
 	char *target;
 	char *fairness_key;
 	struct fields fields;
-	GByteArray *body; /* the first part, kept until an answer begins */
-	bool holds_others; /* its caller's other answers wait for this one's */
-	bool answer_blocked; /* its answer waits for others: a small window */
-	size_t body_window; /* credit of the owner beyond the first part */
+	GByteArray *body; /* the first part, buffered for retries */
+	bool holds_others; /* its caller's other answers wait for this one */
+	bool answer_blocked; /* by answers in front: small window */
+	size_t body_window; /* the owner's window beyond the first part */
 	bool body_ends;
-	bool body_exceeds_buffer; /* more came than is kept: no further attempt */
+	bool body_exceeds_buffer; /* no further attempt is possible */
 	struct pick_tried tried;
-	struct pick_tried tried_busy; /* of them, refused for want of a slot */
-	bool returned_to_busy; /* to the busy ones, to queue there */
+	struct pick_tried tried_busy; /* of them, those that had no free slot */
+	bool returned_to_busy; /* to queue at the busy ones */
 	uint32_t attempts; /* without hedges */
-	uint32_t busy_refusals; /* of them, refused for want of a free slot */
-	uint32_t uncounted_attempts; /* of them, never sent or not for this upstream */
+	uint32_t busy_refusals; /* of them, refused as busy */
+	uint32_t uncounted_attempts; /* of them, see retry_counts() */
 	uint32_t hedges;
 	uint32_t max_attempts;
-	bool may_have_run; /* some attempt ended UNKNOWN */
-	bool lost; /* and by a lost connection, not by time */
+	bool may_have_run; /* an attempt ended UNKNOWN */
+	bool lost; /* it ended with a lost connection, not by timeout */
 	Cfd__Reason reason; /* of the last refusal */
 	uint32_t come_back_ms;
-	char history[CALL_HISTORY_MAX]; /* "HOST:END,...", of its attempts */
+	char history[CALL_HISTORY_MAX]; /* "HOST:END,..." of its attempts */
 	struct entry_attempt_list active;
 	struct entry_attempt *answering;
-	size_t consumed; /* not yet given back as credit */
-	size_t unread; /* of the answer, waits for the caller to take it */
-	int64_t heard_us; /* the answer's last sign of life */
+	size_t consumed; /* sent to the caller, window not yet extended */
+	size_t unread; /* bytes of the answer that wait for the caller */
+	int64_t heard_us; /* when the last part of the answer came */
 	ev_timer deadline;
-	ev_timer retry_timer; /* of a retry */
+	ev_timer retry_timer;
 	ev_timer hedge;
-	ev_timer patience; /* with one attempt */
-	bool awaits_verdict; /* and waits for the owners' verdict */
-	ev_timer queue_timeout; /* until it is late, where others came to wait for it */
-	uint32_t min_come_back_ms; /* of a refusal that this entry asked for */
+	ev_timer patience; /* until the attempt's owner is queried */
+	bool awaits_verdict; /* the owner was asked whether it is overdue */
+	ev_timer queue_timeout; /* see call_hold_others() */
+	uint32_t min_come_back_ms; /* for a call given up by this entry */
 	bool cancels_sent;
-	bool no_more_attempts; /* no further attempt: this daemon ends */
+	bool no_more_attempts; /* see call_give_up() */
 	bool is_started;
 	unsigned int status; /* of the answer */
-	bool answered; /* whole */
+	bool answered; /* completely */
 };
 
 LIST_HEAD(call_list, call);
@@ -129,12 +133,12 @@
 
 /* attempts.c */
 
-/* Sends the call's request to an upstream. */
+/* Sends the call's request to the owner of an upstream. */
 void entry_attempt_send(struct call *call, struct service_upstream *upstream,
 			bool may_queue, bool is_hedge);
 void entry_attempt_cancel(struct entry_attempt *attempt);
 
-/* The same, but what runs goes on. */
+/* Cancels the attempt only if it still waits at its owner, not if it runs. */
 void entry_attempt_cancel_waiting(struct entry_attempt *attempt);
 
 /* Asks the owner whether the attempt is overdue. */
@@ -150,10 +154,10 @@
 struct entry_attempt_list *entry_attempts_of(struct entry *entry,
 					     struct peer *peer);
 
-/* frames.c: the handlers for the connections to owners */
+/* frames.c: handlers for the connections to owners */
 void entry_fill_role(struct entry *entry, struct peers_role *role);
 
-/* call.c: what has become of an attempt, after its state has changed */
+/* call.c and parallel.c: called after the state of an attempt has changed */
 
 void call_note_not_run(struct entry_attempt *attempt, Cfd__Reason reason,
 		       bool never_sent, uint32_t retry_after_ms);
@@ -161,36 +165,36 @@
 void call_note_head(struct entry_attempt *attempt, const Cfd__Answer *answer);
 void call_note_end(struct entry_attempt *attempt);
 
-/* The owner tells whether the attempt is overdue. */
+/* The owner has answered whether the attempt is overdue. */
 void call_note_verdict(struct entry_attempt *attempt, bool is_overdue);
 void call_note_body_window(struct entry_attempt *attempt, uint32_t bytes);
 
-/* Into the time line and the log. */
+/* Adds an event to the time line and to the log. */
 #define call_note(call, event, ...)                                           \
 	timeline_note(&(call)->entry->daemon->timeline, (call)->trace, event, \
 		      __VA_ARGS__)
 
 const char *outcome_reason_name(Cfd__Reason reason);
 
-/* outcome.c: answers of our own; the call is freed by the caller of these */
+/* outcome.c: answers from this daemon; these functions don't free the call */
 
-/* Counts a call that has ended, and how long its caller waited. */
+/* Counts a call that has ended, and records how long its caller waited. */
 void outcome_count(const struct call *call, struct latency *latency,
 		   const char *outcome);
 
 void outcome_reply_not_run(struct call *call);
 void outcome_reply_unknown(struct call *call);
 
-/* Answers a request that did not become a call. */
+/* Refuses a request that did not become a call. */
 void outcome_refuse(const struct headers *headers, const struct call_sink *sink,
 		    void *data, unsigned int status, const char *reason,
 		    uint32_t come_back_ms, const char *text);
 
-/* When to come back, from the moment that the answer is sent. */
+/* come_back_ms counts from the moment that the answer is sent. */
 void outcome_add_come_back(struct fields *fields, const struct headers *headers,
 			   uint32_t come_back_ms);
 
-/* The fields that tell a caller what became of its request. */
+/* Adds the fields that tell a caller the outcome of its request. */
 void outcome_add_fields(struct fields *fields, const struct headers *headers,
 			const char *outcome, const char *reason,
 			const char *trace);
--- a/include/comfreydockd/caller/call_internal.h
+++ b/include/comfreydockd/caller/call_internal.h
@@ -10,35 +10,35 @@
 
 void call_init_timers(struct call *call);
 
-/* Sends the first attempt. The call may be gone after this. */
+/* Sends the first attempt. This may free the call. */
 void call_start(struct call *call);
 void call_free(struct call *call);
 
 void call_send_attempt(struct call *call);
 
-/* Makes no further attempt, and cancels those that wait: what runs goes on. */
+/* Makes no further attempt. Cancels those that wait, but not those that run. */
 void call_give_up(struct call *call);
 
-/* Tells the caller what is known by now; a begun answer is broken off. */
+/* Ends the call with what is known by now. Aborts an answer that has begun. */
 void call_end_now(struct call *call);
 
 void call_fill_hedge_question(const struct call *call,
 			      struct hedge_question *question);
 
-/* RETURN VALUE: the attempts so far that count against the rule's. */
+/* RETURN VALUE: the attempts so far that count against the rule's limit. */
 uint32_t call_counted_attempts(const struct call *call);
 
 /* call_state.c */
 
 void call_start_timer(struct call *call, ev_timer *timer, int64_t us);
 
-/* RETURN VALUE: the upstreams left to try. */
+/* RETURN VALUE: the number of upstreams not yet tried. */
 size_t call_untried(const struct call *call);
 void call_fill_retry_question(const struct call *call, enum retry_outcome outcome,
 			      struct retry_question *question);
 
-/* parallel.c: attempts that are sent beside one that is out, as it may be slow
- * (a hedge) or its owner may be gone (an overtaking one). */
+/* parallel.c: attempts that are sent in parallel to an outstanding one, which
+ * may be slow (a hedge) or whose owner may be gone (an overtaking attempt). */
 void call_init_parallel(struct call *call);
 void call_arm_hedge(struct call *call);
 void call_arm_patience(struct call *call);
@@ -46,13 +46,14 @@
 
 /* call_quarantine.c */
 
-/* RETURN VALUE: the key of what the call asks for, see content.h. */
+/* RETURN VALUE: the key of the call's content, see content.h. */
 uint64_t call_content_key(const struct call *call);
 
 /*
- * The upstream for the next attempt. RETURN VALUE: NULL where there is none, or
- * where the call is quarantined: its content is held, or may be tried only where
- * this call can't go.
+ * Chooses the upstream for the next attempt.
+ *
+ * RETURN VALUE: NULL if there is none, or if the call is quarantined: its content
+ * is held, or may be tried only on an upstream that this call can't use.
  */
 struct service_upstream *call_choose_upstream(struct call *call, int64_t now_us);
 
--- a/include/comfreydockd/caller/connection.h
+++ b/include/comfreydockd/caller/connection.h
@@ -3,18 +3,19 @@
  *	connection - one connection of a caller, and the requests on it
  *
  * DESCRIPTION
- *	Internal to caller/. Reads requests as they come, begins their calls,
- *	ahead of those in front where ahead.h allows it, and writes the answers
- *	in the order of the requests.
+ *	Internal to caller/. Reads requests as they arrive, begins their calls
+ *	and writes the answers in the order of the requests. A call begins ahead
+ *	of the requests in front of it where ahead.h allows that.
  *
- *	A request that may not begin yet is the last one read; what follows it
- *	stays with the kernel. So does everything behind one that closes the
- *	connection. Where an answer closes it, the calls behind are cancelled:
- *	their caller sends them again, whatever their kind, and none that may
+ *	A request that may not begin yet is the last one read: the bytes that
+ *	follow it stay in the kernel. The same holds for all bytes behind a
+ *	request that closes the connection. Where an answer closes the
+ *	connection, the calls behind it are cancelled. Their caller sends all of
+ *	them again, whatever their kind, which is safe because no call that may
  *	run only once was begun.
  *
- *	A caller that goes away is noticed at once while the connection is
- *	read, else by a look every 250 ms; all of its calls are abandoned.
+ *	While the connection is read, a caller that goes away is noticed at
+ *	once, otherwise by a poll every 250 ms. All of its calls are abandoned.
  */
 #ifndef COMFREYDOCKD_CALLER_CONNECTION_H
 #define COMFREYDOCKD_CALLER_CONNECTION_H
@@ -30,24 +31,24 @@
 
 LIST_HEAD(connection_list, connection);
 
-/* The callers' port, as its connections see it. */
+/* The callers' port and its connections. */
 struct listener {
 	struct daemon *daemon;
-	int fd; /* -1: takes no new connections */
+	int fd; /* -1: accepts no new connections */
 	uint16_t port;
 	ev_io accepts;
-	ev_timer accept_retry; /* after the process was out of descriptors */
+	ev_timer accept_retry; /* after the process ran out of descriptors */
 	struct connection_list connections;
-	uint32_t count; /* of them */
+	uint32_t count; /* length of the list */
 	uint32_t ahead; /* requests begun ahead and not answered */
 	bool announces_close; /* see listener_announce_close() */
 	bool turns_away; /* see listener_turn_away() */
 };
 
 /*
- * Takes the descriptor over.
+ * Takes ownership of the descriptor.
  *
- * is_surplus: more are open than may be served, so it is only told so.
+ * is_surplus: the connection is beyond the limit, so its request is refused.
  */
 struct connection *connection_create(struct listener *listener, int fd,
 				     const char *address, bool is_surplus);
@@ -55,7 +56,7 @@
 /* Abandons its calls. */
 void connection_destroy(struct connection *connection);
 
-/* Something of an answer has come, or room for a request's body. */
+/* Part of an answer has arrived, or more of a request's body may be passed. */
 void connection_wake(struct connection *connection);
 
 const struct headers *connection_headers(const struct connection *connection);
--- a/include/comfreydockd/caller/connection_internal.h
+++ b/include/comfreydockd/caller/connection_internal.h
@@ -1,10 +1,10 @@
 /*
  * NAME
- *	connection_internal - what the two halves of connection share
+ *	connection_internal - what the files of connection share
  *
  * DESCRIPTION
- *	connection_input.c takes requests out of the bytes and begins them;
- *	connection.c reads, writes the answers, and ends the connection.
+ *	connection_input.c parses requests and begins them. connection.c reads
+ *	from the socket, writes the answers, and closes the connection.
  */
 #ifndef COMFREYDOCKD_CALLER_CONNECTION_INTERNAL_H
 #define COMFREYDOCKD_CALLER_CONNECTION_INTERNAL_H
@@ -14,7 +14,7 @@
 #include "comfreydockd/caller/request.h"
 #include "common/address.h"
 
-/* One read: a few heads, or a body's next part. */
+/* Size of one read: a few heads, or the next part of a body. */
 #define READ_BYTES (16 * 1024)
 
 struct connection {
@@ -24,44 +24,44 @@
 	char address[ADDRESS_TEXT_SIZE];
 	ev_io read;
 	ev_io write; /* also fed by connection_wake() */
-	ev_timer hangup_poll; /* while nothing is read */
+	ev_timer hangup_poll; /* while the socket is not read */
 	ev_timer idle;
 	struct reader reader;
-	GByteArray *in; /* read and not used */
-	GByteArray *out; /* written and not taken */
-	guint in_peak; /* since the buffer was allocated */
+	GByteArray *in; /* read and not yet parsed */
+	GByteArray *out; /* written and not yet taken by the kernel */
+	guint in_peak; /* largest length since the buffer was allocated */
 	guint out_peak;
 	struct caller_request_list requests;
 	uint32_t unanswered; /* length of the list */
-	struct caller_request *waiting; /* the last of them: not yet begun */
+	struct caller_request *waiting; /* the last, if not yet begun */
 	int64_t waiting_since_us;
-	struct caller_request *in_body; /* the last of them: its body comes */
+	struct caller_request *in_body; /* the last, while its body arrives */
 	bool is_surplus;
-	bool is_pipelined; /* its caller does, or has done so */
+	bool is_pipelined; /* its caller has sent requests ahead of answers */
 	bool has_request; /* a request line was read */
 	bool input_ended; /* no request follows those in the list */
-	bool output_full; /* of an answer, than fits into what is written */
-	bool must_reset; /* its end must not look like an answer's */
-	bool lingers; /* nothing more is written */
+	bool output_full; /* more of an answer is ready than fits in */
+	bool must_reset; /* a normal close would look like an answer's end */
+	bool lingers; /* no more answers are written; input is dropped */
 	size_t lingered_bytes;
-	int64_t active_us; /* bytes came or went */
-	int64_t head_since_us; /* of an unfinished head; 0: none */
+	int64_t active_us; /* when bytes were last read or written */
+	int64_t head_since_us; /* when an unfinished head began; 0: none */
 };
 
 /* connection_input.c */
 
-/* Takes from the input what may be taken now. */
+/* Handles as much of the input as may be handled now. */
 void connection_parse(struct connection *connection);
 
-/* RETURN VALUE: whether to read from the kernel. */
+/* RETURN VALUE: whether to read from the socket. */
 bool connection_wants_input(const struct connection *connection);
 
-/* Where the request has a call, it is abandoned. */
+/* Abandons the request's call, if it has one. */
 void connection_remove_request(struct connection *connection,
 			       struct caller_request *request);
 void connection_remove_all_requests(struct connection *connection);
 
-/* No answer is in front of this one's any more. */
+/* Called once no answer is in front of this request's. */
 void connection_end_ahead(struct caller_request *request);
 
 #endif
--- a/include/comfreydockd/caller/content.h
+++ b/include/comfreydockd/caller/content.h
@@ -3,15 +3,16 @@
  *	content - a key that requests with the same content share
  *
  * DESCRIPTION
- *	Requests are alike where service, method, target, caller and the first
- *	CALL_BODY_BUFFER_MAX bytes of the body are the same, whatever their ids, the
- *	entries that they come by and their other header fields. The caller is
- *	the rule's fairness key, where a header field holds it; an address and
- *	the service beside the entry are none, since the same request may come
- *	anywhere.
+ *	Requests have the same content if service, method, target, caller and
+ *	the first CALL_BODY_BUFFER_MAX bytes of the body are equal, whatever
+ *	their ids, their entries and their other header fields. The caller is
+ *	the rule's fairness key, if a header field holds it. The caller's
+ *	address and the service that runs beside the entry are not used, since
+ *	the same request may arrive at any entry.
  *
- *	The seed is made of the daemons' shared key, so that all of them agree
- *	and no caller can choose a request with another one's key.
+ *	The seed is derived from the daemons' shared key, so that all daemons
+ *	compute the same key and no caller can craft a request that has the key
+ *	of another one.
  */
 #ifndef COMFREYDOCKD_CALLER_CONTENT_H
 #define COMFREYDOCKD_CALLER_CONTENT_H
--- a/include/comfreydockd/caller/entry.h
+++ b/include/comfreydockd/caller/entry.h
@@ -1,19 +1,20 @@
 /*
  * NAME
- *	entry - takes callers' requests to upstreams
+ *	entry - forwards callers' requests to upstreams
  *
  * DESCRIPTION
- *	A call is one request of one caller. It finds its rule, makes attempts
- *	one after another (two at once where it hedges) and hands the caller
- *	one whole answer, or a clear failure:
+ *	A call is one request of one caller. The entry matches it to a rule,
+ *	makes attempts one after another (two at once where it hedges or
+ *	overtakes) and gives the caller one complete answer or a failure with a
+ *	definite outcome:
  *
  *	run	 the answer of the upstream
- *	not-run	 503: every attempt was refused or never left
+ *	not-run	 503: every attempt was refused or never sent
  *	unknown	 502 or 504: an attempt may have run
  *
- *	The caller's side is a table of functions, so that tests need no HTTP.
- *	The sink's functions are called from the loop, and after one of
- *	handle_reply, handle_end and handle_abort the call is gone.
+ *	The caller's side is a table of functions, the sink, so that tests need
+ *	no HTTP. The event loop calls the sink's functions. After handle_reply,
+ *	handle_end or handle_abort the call is freed.
  */
 #ifndef COMFREYDOCKD_CALLER_ENTRY_H
 #define COMFREYDOCKD_CALLER_ENTRY_H
@@ -28,83 +29,90 @@
 struct call;
 struct entry;
 
-/* An answer that no upstream gave. */
+/* An answer that comes from this daemon, not from an upstream. */
 struct call_reply {
 	unsigned int status;
 	struct fields fields;
-	uint32_t come_back_ms; /* counts from now; 0: not told */
+	uint32_t come_back_ms; /* counts from now; 0: not sent */
 	const char *text;
 };
 
 struct call_sink {
-	/* The head of an answer; length is -1 where it is not known. */
-	/* May move the fields out and leave them empty. */
+	/* The head of an answer; length is -1 if unknown. It may move the
+	 * fields out and leave them empty. */
 	void (*handle_head)(void *data, unsigned int status,
 			    struct fields *fields, int64_t length);
 	void (*handle_body)(void *data, const void *bytes, size_t size);
 	void (*handle_end)(void *data);
-	/* The answer can't be ended: the caller's connection must break. */
+	/* The answer can't be completed: the caller's connection must break. */
 	void (*handle_abort)(void *data);
-	/* An answer of our own. May move the fields out. */
+	/* A complete answer from this daemon. It may move the fields out. */
 	void (*handle_reply)(void *data, struct call_reply *reply);
-	/* More of the request's body may be given. */
+	/* More of the request's body may be passed. */
 	void (*handle_body_window)(void *data);
 };
 
 struct call_request {
 	const char *method;
 	const char *target; /* as sent, with the query */
-	const char *host; /* the Host field; NULL: none */
-	const char *caller; /* the caller's IP number */
+	const char *host; /* of the Host field; NULL: none */
+	const char *caller; /* the caller's IP address */
 	const struct fields *fields;
 	bool has_body;
-	int64_t arrived_us; /* when its head was whole */
-	bool holds_others; /* its caller sends others before it is answered */
-	uint32_t in_front; /* unanswered ones that its answer waits for */
+	int64_t arrived_us; /* when its head was complete */
+	bool holds_others; /* its caller sends others meanwhile */
+	uint32_t in_front; /* unanswered requests that its answer waits for */
 };
 
 struct entry *entry_create(struct daemon *daemon);
 void entry_destroy(struct entry *entry);
 
-/* RETURN VALUE: whether the rule that it would get lets it run again. */
+/* RETURN VALUE: whether the rule that matches the request is idempotent. */
 bool entry_may_repeat(const struct entry *entry,
 		      const struct call_request *request);
 
 /*
- * Begins a call. The sink may be called before this returns only with
- * handle_reply(), in which case the return value is NULL.
+ * Begins a call.
+ *
+ * RETURN VALUE: NULL if the call has already ended. handle_reply() was then called
+ * before this function returned; it is the only sink function that may be.
  */
 struct call *entry_begin(struct entry *entry, const struct call_request *request,
 			 const struct call_sink *sink, void *data);
 
-/* RETURN VALUE: how many bytes of the body the call takes now. */
+/* RETURN VALUE: how many bytes of the body the call accepts now. */
 size_t call_body_window(const struct call *call);
 void call_add_body(struct call *call, const void *bytes, size_t size);
 void call_end_body(struct call *call);
 
-/* No other answer is in front any more: the owner may send on as usual. */
+/* Gives the owner the full window, once no other answer is in front of this
+ * one. */
 void call_open_window(struct call *call);
 
-/* Another request of its caller has come, whose answer waits for this one's. From
- * now on it waits for a slot only while it can be in time for its target. */
+/*
+ * Called when another request of the caller arrives, whose answer waits for
+ * this one. From now on the call queues for a slot only as long as it can still
+ * meet its target.
+ */
 void call_hold_others(struct call *call);
 
-/* So many bytes of the answer went to the caller. */
+/* Called when size bytes of the answer have gone to the caller. */
 void call_note_consumed(struct call *call, size_t size);
 
-/* The caller went away; no function of the sink follows. */
+/* Called when the caller has gone away. Calls no function of the sink. */
 void call_abandon(struct call *call);
 
-/* Ends the calls of which nothing runs, as not run. */
+/* Ends the calls of which no attempt runs, as not run. */
 void entry_cancel_all(struct entry *entry);
 
-/* Ends all others, too, as of unknown outcome; begun answers break. */
+/* Ends all calls now: aborts answers that have begun, and ends a call as of
+ * unknown outcome if an attempt is out or may have run. */
 void entry_end_all(struct entry *entry);
 
-/* RETURN VALUE: the calls that have not ended. */
+/* RETURN VALUE: the number of calls that have not ended. */
 size_t entry_count(const struct entry *entry);
 
-/* The budgets of the services that were called of late. */
+/* Appends the retry budgets of the services in use as Prometheus text. */
 void entry_append_metrics(const struct entry *entry, GString *text);
 
 #endif
--- a/include/comfreydockd/caller/listener.h
+++ b/include/comfreydockd/caller/listener.h
@@ -3,15 +3,16 @@
  *	listener - HTTP/1.1 from callers
  *
  * DESCRIPTION
- *	Opens the callers' port and takes their connections; connection.h
- *	serves each.
+ *	Opens the callers' port and accepts their connections. connection.h
+ *	serves each of them.
  *
- *	A request whose end can be read in two ways (a length beside chunked
+ *	A request whose end is ambiguous (Content-Length together with chunked
  *	coding, two lengths, a coding other than chunked) is refused and its
- *	connection closed: what follows it might be a second, hidden request.
+ *	connection closed: the bytes that follow might be a second, smuggled
+ *	request.
  *
- *	A caller that goes away while its calls are out is noticed, and they
- *	are abandoned. One that closes only its sending side counts as gone, too.
+ *	The calls of a caller that goes away are abandoned. A caller that closes
+ *	only its sending side counts as gone, too.
  */
 #ifndef COMFREYDOCKD_CALLER_LISTENER_H
 #define COMFREYDOCKD_CALLER_LISTENER_H
@@ -28,16 +29,18 @@
 
 uint16_t listener_port(const struct listener *listener);
 
-/* Answers with "Connection: close" from now on, so that callers go elsewhere. */
+/* Answers with "Connection: close" from now on, so that callers connect to
+ * other daemons. */
 void listener_announce_close(struct listener *listener);
 
-/* Answers each new request as not run, to be sent elsewhere. */
+/* Refuses each new request as not run, so that its caller sends it to another
+ * daemon. */
 void listener_turn_away(struct listener *listener);
 
-/* A connection is gone: there is room for another. */
+/* Called when a connection has closed: there is room for another. */
 void listener_note_closed(struct listener *listener);
 
-/* Takes no new connections; those that are open go on. */
+/* Stops accepting connections. Open connections are still served. */
 void listener_quiesce(struct listener *listener);
 
 #endif
--- a/include/comfreydockd/caller/response.h
+++ b/include/comfreydockd/caller/response.h
@@ -1,10 +1,11 @@
 /*
  * NAME
- *	response - an answer as bytes of HTTP/1.1
+ *	response - writes an answer as HTTP/1.1
  *
  * DESCRIPTION
- *	Writes heads and bodies to a buffer. An answer whose length is not
- *	known is chunked; to an HTTP/1.0 caller it ends with the connection.
+ *	Writes heads and bodies to a buffer. An answer of unknown length is
+ *	chunked. An HTTP/1.0 caller gets it without a length instead, and the
+ *	end of the connection ends it.
  *
  * SOURCE
  *	RFC 9112, sections 6 and 9.6
@@ -19,9 +20,9 @@
 
 #include "comfreydockd/peer/fields.h"
 
-/* How the end of a body is told. */
+/* How the end of a body is marked. */
 enum response_framing {
-	RESPONSE_NO_BODY, /* of HEAD, 204 and 304 */
+	RESPONSE_NO_BODY, /* for HEAD, 204 and 304 */
 	RESPONSE_LENGTH,
 	RESPONSE_CHUNKED,
 	RESPONSE_UNTIL_CLOSE,
@@ -30,10 +31,10 @@
 struct response_head {
 	unsigned int status;
 	const struct fields *fields;
-	int64_t length; /* -1: not known beforehand */
-	bool is_head_method; /* the request's method is HEAD */
-	bool is_http_1_0; /* the request is HTTP/1.0 */
-	bool closes; /* the connection ends behind this answer */
+	int64_t length; /* -1: not known in advance */
+	bool is_head_method;
+	bool is_http_1_0;
+	bool closes; /* the connection closes after this answer */
 };
 
 /* RETURN VALUE: how the body must be written. */
--- a/include/comfreydockd/caller/services.h
+++ b/include/comfreydockd/caller/services.h
@@ -1,12 +1,13 @@
 /*
  * NAME
- *	services - what an entry knows of each service and its upstreams
+ *	services - an entry's state for each service and its upstreams
  *
  * DESCRIPTION
- *	One struct service for each group of upstreams that was called,
- *	whichever rules led there: the candidates for a pick, their health, and the budgets for retries and hedges. The
- *	candidates follow the member table; a service with more upstreams than
- *	SUBSET_SIZE uses a subset of them.
+ *	Keeps one struct service for each group of upstreams that was called,
+ *	whichever rules led there. It holds the candidates for a pick, their
+ *	health, and the budgets for retries and hedges. The candidates follow
+ *	the member table. A service with more upstreams than SUBSET_SIZE uses a
+ *	subset of them.
  */
 #ifndef COMFREYDOCKD_CALLER_SERVICES_H
 #define COMFREYDOCKD_CALLER_SERVICES_H
@@ -28,8 +29,8 @@
 struct service_upstream {
 	TAILQ_ENTRY(service_upstream) link;
 	struct service *service;
-	unsigned int references; /* attempts that use it, and its service */
-	bool listed; /* still one of the service's */
+	unsigned int references; /* held by its attempts and its service */
+	bool listed; /* the service still uses it */
 	char host[MEMBER_HOST_MAX];
 	struct pick_candidate candidate;
 	struct health_upstream health;
@@ -41,10 +42,10 @@
 
 struct service {
 	LIST_ENTRY(service) active_link;
-	bool is_active; /* used of late, or attempts are out */
+	bool is_active; /* used recently, or attempts are out */
 	int64_t used_us;
 	struct services *services;
-	char *group; /* whose upstreams these are */
+	char *group; /* that the upstreams belong to */
 	uint32_t retry_budget_percent;
 	uint32_t hedge_budget_percent;
 	struct service_upstream_list upstreams;
@@ -52,8 +53,8 @@
 	struct health health;
 	struct retry retry;
 	struct hedge hedge;
-	uint64_t group_version; /* of the group's members, as last seen */
-	bool stale; /* to be brought up to date whatever the version says */
+	uint64_t group_version; /* of the group's members, at the last refresh */
+	bool stale; /* to be refreshed whatever the version is */
 };
 
 struct services;
@@ -61,23 +62,27 @@
 struct services *services_create(struct daemon *daemon);
 void services_destroy(struct services *services);
 
-/* The state for the upstreams of a group, brought up to date. */
+/* RETURN VALUE: the service for a group, created if needed, and up to date. */
 struct service *services_get(struct services *services, const char *group);
 
-/* The upstream for the next attempt, with the weights of this moment. */
+/*
+ * Chooses the upstream for the next attempt by the current weights.
+ *
+ * RETURN VALUE: NULL if there is none.
+ */
 struct service_upstream *service_choose(struct service *service,
 					const struct pick_tried *tried,
 					int64_t now_us);
 
-/* RETURN VALUE: the upstream of the host with that member_host_hash(), or
- * NULL. */
+/* RETURN VALUE: the upstream on the host with this hash (member_host_hash()),
+ * or NULL. */
 struct service_upstream *service_find_by_host_hash(const struct service *service,
 						   uint32_t host_hash);
 
-/* RETURN VALUE: false where no owner of the group answers; see health.h. */
+/* RETURN VALUE: false if no owner of the group answers, see health.h. */
 bool service_may_try(struct service *service, bool idempotent, int64_t now_us);
 
-/* The upstream's owner left a question open, or gave a sign of life. */
+/* The upstream's owner didn't answer a question in time, or was heard. */
 void service_upstream_note_mute(struct service_upstream *upstream,
 				int64_t now_us);
 void service_upstream_note_heard(struct service_upstream *upstream,
@@ -86,16 +91,20 @@
 struct service_upstream *service_upstream_ref(struct service_upstream *upstream);
 void service_upstream_unref(struct service_upstream *upstream);
 
-/* An owner tells its load by itself. */
+/* Takes a load report that an owner sent unasked. */
 void services_note_load(struct services *services, const char *host,
 			const struct pick_load *load);
 
-/* Ends ejections and finds silent upstreams; called ten times a second. Looks
- * at the services in use only: of the thousands that an entry has once called,
- * few are, and a walk over all would hold up every call that comes meanwhile. */
+/*
+ * Ends ejections and finds silent upstreams. Called ten times a second. It
+ * walks only the services in use: these are few of the thousands that an entry
+ * may have called, and a walk over all would delay every call that arrives
+ * meanwhile.
+ */
 void services_tick(struct services *services, int64_t now_us);
 
-/* What is left of the budgets of the services in use, as Prometheus text. */
+/* Appends what is left of the retry budgets of the services in use, as
+ * Prometheus text. */
 void services_append_metrics(const struct services *services, GString *text);
 
 #endif
