--- a/tests/reader_record.c
+++ b/tests/reader_record.c
@@ -4,7 +4,8 @@
 
 #include "comfreydockd/caller/reader.h"
 
-/* What was read, as text; bodies are joined, as pieces depend on the reads. */
+/* The events as text. The pieces of a body are joined, as they depend on the
+ * reads. */
 struct record {
 	GString *text;
 	GString *body;
@@ -42,7 +43,7 @@
 	g_string_truncate(record->body, 0);
 }
 
-/* RETURN VALUE: whether it goes on. */
+/* RETURN VALUE: whether the reader may have another event. */
 static bool record_event(struct record *record, const struct reader *reader,
 			 enum reader_event event)
 {
--- a/tests/reader_record.h
+++ b/tests/reader_record.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	reader_record - what a reader makes of a stream, as text
+ *	reader_record - the events of a reader, as text
  *
  * DESCRIPTION
- *	A line for each head, the whole of each body in "<>", and "fault" where
- *	the stream can't be read on. The same bytes give the same text however
- *	they are cut.
+ *	Has one line for each head, one for each complete body in "<>", and
+ *	"fault" where the stream is malformed. The same bytes give the same text
+ *	however they are split.
  */
 #ifndef TESTS_READER_RECORD_H
 #define TESTS_READER_RECORD_H
--- a/tests/test_content.c
+++ b/tests/test_content.c
@@ -21,7 +21,8 @@
 	g_assert_cmpuint(key_of(base_request), !=, 0);
 }
 
-/* Guards against callers that are refused for what another one's request did. */
+/* Guards against two different requests with one key: a caller would be refused
+ * for what another caller's request did. */
 static void test_each_field_changes_the_key(void)
 {
 	uint64_t key = key_of(base_request);
@@ -48,7 +49,7 @@
 	g_assert_cmpuint(key_of(other), !=, key);
 }
 
-/* Guards against callers that choose a request with another one's key. */
+/* Guards against a caller that crafts a request with the key of another one. */
 static void test_seed_depends_on_the_shared_key(void)
 {
 	uint64_t seed = content_seed("secret", 6);
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -19,11 +19,11 @@
 	"\"group\":\"g\",\"rules\":[{\"name\":\"r\",\"path_prefix\":\"/r/\"," \
 	"\"deadline_ms\":" G_STRINGIFY(DEADLINE_MS) "}]}}}"
 
-/* An entry with peers and a configuration, and no owner. */
+/* An entry with peers and a configuration, but without any owner. */
 struct fixture {
 	struct settings settings;
 	struct daemon daemon;
-	unsigned int status; /* of the answer of our own */
+	unsigned int status; /* of the entry's own reply */
 	uint32_t come_back_ms;
 };
 
@@ -64,7 +64,7 @@
 	timeline_finish(&f->daemon.timeline);
 }
 
-/* What a peer that holds this version lists. */
+/* Records the listing of a peer that holds this version. */
 static void note_listing(struct fixture *f, uint64_t version)
 {
 	struct config_version line = {
@@ -86,7 +86,11 @@
 	g_free(body);
 }
 
-/* RETURN VALUE: the status of the answer that the entry gave by itself. */
+/*
+ * Begins a call that the entry must answer at once.
+ *
+ * RETURN VALUE: the status of the entry's own reply.
+ */
 static unsigned int request_status(struct fixture *f, const char *host,
 				   const char *target)
 {
@@ -118,13 +122,13 @@
 }
 
 /*
- * An operator adds routes. This daemon hears from a peer that there is a newer
- * configuration, and for some reason can't get it: the file is large, its link
- * slow, its peers busy. A caller who uses a new route here was answered 404, which
- * no client tries again, while other daemons served it: the answer came from what
- * was held, without a look at what was known of. The evidence was the line of each
- * such request, with known_head above head. What the version on its way may allow
- * is not run, and the caller is told when to come back.
+ * Guards against a 404 for a route that a newer configuration adds. No client
+ * retries a 404, while other daemons serve the route already. It happens if the
+ * entry looks only at the configuration it holds, when a peer has reported a
+ * newer one that this daemon can't fetch yet: the file is large, its link slow
+ * or its peers are busy. The symptom is a log line for each such request, with
+ * known_head above head. The request must end as not run, with a time to come
+ * back.
  */
 static void test_no_404_while_a_newer_version_is_known(struct fixture *f,
 						       gconstpointer unused)
@@ -142,10 +146,11 @@
 }
 
 /*
- * A failure domain loses its way to the platform and to all others. Its daemons
- * tell each other that they hold the same, so none is behind; elsewhere routes are
- * added meanwhile. Callers here were told for good that there is no such route. What
- * counts is how old the platform's word is, not how new that of a peer.
+ * Guards against a 404 in a failure domain that is cut off from the platform
+ * and from all other domains. Its daemons all hold the same version, so none of
+ * them is behind, while routes are added elsewhere. What counts is the age of
+ * the platform's last confirmation that nothing newer exists, not how recently
+ * a peer has passed it on.
  */
 static void test_no_404_on_an_old_confirmation(struct fixture *f,
 					       gconstpointer unused)
@@ -167,8 +172,11 @@
 	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
 }
 
-/* Its configuration came from peers that pass on no word, and the platform is out of
- * reach since the start: for long nobody has told, here as above. */
+/*
+ * Guards against a 404 from a daemon that never got a confirmation: its peers
+ * gave it a configuration but pass on none, and the platform has been
+ * unreachable since the start.
+ */
 static void test_no_404_without_confirmation(struct fixture *f,
 					     gconstpointer unused)
 {
@@ -182,8 +190,8 @@
 	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 503);
 }
 
-/* Guards against a caller that uses up its retries within a few milliseconds of a
- * daemon's start, before any upstream could become known there. */
+/* Guards against a caller that uses up its retries within a few milliseconds of
+ * a daemon's start, before the daemon can know any upstream. */
 static void test_no_upstream_come_back_time(struct fixture *f,
 					    gconstpointer unused)
 {
@@ -194,8 +202,8 @@
 	g_assert_cmpuint(f->come_back_ms, <=, DEADLINE_MS / 3);
 }
 
-/* Guards against a request that is sent to an upstream though it has crashed three,
- * and against one that is refused for what another has done. */
+/* Guards against a request that is sent to an upstream although it has crashed
+ * three, and against one that is refused for the crashes of another. */
 static void test_quarantined_request_is_not_sent(struct fixture *f,
 						 gconstpointer unused)
 {
@@ -223,8 +231,8 @@
 	g_assert_cmpuint(f->come_back_ms, ==, US_PER_S / US_PER_MS);
 }
 
-/* Guards against a request that ends three upstreams more for each service that
- * stands beside an entry where it comes. */
+/* Guards against a key that depends on the service beside the entry: the same
+ * request would crash three more upstreams for each such service. */
 static void test_caller_service_does_not_change_the_key(struct fixture *f,
 							gconstpointer unused)
 {
--- a/tests/test_reader.c
+++ b/tests/test_reader.c
@@ -29,7 +29,7 @@
 	return g_string_free(reader_record(bytes, size, step, MAX_HEAD), FALSE);
 }
 
-/* Bytes come in whatever pieces the network makes of them. */
+/* The network may split a stream at any byte. */
 static void test_pieces(void)
 {
 	for (size_t step = 1; step <= strlen(stream); step++) {
@@ -40,11 +40,8 @@
 	}
 }
 
-/*
- * Somebody looks for bytes of which two readers make two things. Whatever they
- * are, they must mean the same however they are cut into pieces; else a request
- * could be hidden behind a pause.
- */
+/* Guards against bytes that the reader parses differently depending on how they
+ * are split: an attacker could hide a request behind a pause. */
 static void test_corrupted_stream_in_pieces(void)
 {
 	static const char odd[] = "\r\n\0 \t:;,0123456789abcdefGETPOSTHTTP/.-+";
@@ -79,7 +76,7 @@
 	g_assert_nonnull(reader_fault(&reader, &status));
 	g_assert_cmpuint(status, >=, 400);
 	g_assert_cmpint(reader_is_http(&reader), ==, is_http);
-	/* It stays so, whatever follows. */
+	/* The fault stays, whatever follows. */
 	g_assert_cmpint(reader_read(&reader, (const uint8_t *)stream,
 				    strlen(stream), &used),
 			==, READER_FAULT);
@@ -89,7 +86,8 @@
 #define EXPECT_FAULT(text, is_http) \
 	expect_fault(text, sizeof(text) - 1, is_http)
 
-/* Each is one request to some readers and another, or two, to others. */
+/* Some parsers take each of these for one request, others for another one or
+ * for two. */
 static void test_ambiguous_requests(void)
 {
 	EXPECT_FAULT("GET / HTTP/1.1\nHost: h\n\n", false);
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -10,7 +10,7 @@
 
 static unsigned int wakes;
 
-/* The connection is the test's own. */
+/* These two stand in for connection.c. */
 void connection_wake(struct connection *connection)
 {
 	(void)connection;
@@ -101,10 +101,10 @@
 }
 
 /*
- * An upstream breaks off a short answer after its head. Had the head gone out,
- * the connection would have to break, and the callers' requests behind it on
- * the connection would be lost with it. The caller gets a failure instead, and
- * its other requests go on.
+ * Guards against the loss of other requests when an upstream breaks off a short
+ * answer after its head. If the head were written by then, the connection would
+ * have to break, and all requests behind this one would be lost with it. The
+ * caller must get a failure instead, and the connection must stay open.
  */
 static void test_abort_before_head_is_written(struct fixture *f,
 					      gconstpointer data)
@@ -120,8 +120,8 @@
 	g_assert_false(f->request->closes);
 }
 
-/* Of a long answer the head is out; ended in its middle, it must not look
- * whole. */
+/* Guards against an answer that looks complete although its upstream broke it
+ * off after the head was written. */
 static void test_abort_after_head_is_written(struct fixture *f, gconstpointer data)
 {
 	(void)data;
@@ -132,8 +132,8 @@
 	g_assert_cmpint(write_out(f), ==, REQUEST_BROKEN);
 }
 
-/* An upstream sends more, or less, than it told. What is over would be read as
- * the next answer. */
+/* Guards against an answer that is longer or shorter than its Content-Length:
+ * the caller would take surplus bytes for the next answer. */
 static void test_wrong_length(struct fixture *f, gconstpointer data)
 {
 	(void)data;
@@ -144,9 +144,10 @@
 }
 
 /*
- * A refusal stands behind a lookup that takes 300 ms. Its caller reads it only
- * then; told to come back after 400 ms from that moment, it would come 300 ms
- * after there was room.
+ * Guards against a come-back time that is too long for a refusal behind a
+ * lookup of 300 ms. The caller reads the refusal only after the lookup's
+ * answer. If 400 ms counted from then, it would come back 300 ms after there is
+ * room.
  */
 static void test_come_back_counts_from_sending(struct fixture *f,
 					       gconstpointer data)
