--- a/comfreydockd/caller/attempts.c
+++ b/comfreydockd/caller/attempts.c
@@ -51,12 +51,12 @@
 }
 
 static size_t fill_shed_statuses(const struct config_service *config,
-				 uint32_t *statuses, size_t most)
+				 uint32_t *statuses, size_t max_count)
 {
 	size_t count = 0;
 
 	while (config->shed_statuses && config->shed_statuses[count] &&
-	       count < most) {
+	       count < max_count) {
 		statuses[count] = config->shed_statuses[count];
 		count++;
 	}
@@ -122,15 +122,16 @@
 	attempt->epoch = health_note_sent(&upstream->service->health,
 					  &upstream->health, attempt->sent_us);
 	counters.entry_attempts++;
-	call_note(call, is_hedge ? EV_ENTRY_HEDGED : EV_ENTRY_SENT,
-		  LOG_INT("seq", attempt->seq), LOG_STR("to", upstream->host),
-		  LOG_STR("content", key_text(call->content, content)),
-		  LOG_INT("may_queue", may_queue),
-		  LOG_INT("outstanding", upstream->candidate.outstanding),
-		  LOG_INT("running", upstream->candidate.load.running),
-		  LOG_INT("pace", upstream->candidate.load.pace_percent),
-		  LOG_INT("load_age_us",
-			  attempt->sent_us - upstream->candidate.load_at_us));
+	call_log_event(
+		call, is_hedge ? EV_ENTRY_HEDGED : EV_ENTRY_SENT,
+		LOG_INT("seq", attempt->seq), LOG_STR("to", upstream->host),
+		LOG_STR("content", key_text(call->content, content)),
+		LOG_INT("may_queue", may_queue),
+		LOG_INT("outstanding", upstream->candidate.outstanding),
+		LOG_INT("running", upstream->candidate.load.running),
+		LOG_INT("pace", upstream->candidate.load.pace_percent),
+		LOG_INT("load_age_us",
+			attempt->sent_us - upstream->candidate.load_at_us));
 }
 
 static void send_cancel(struct entry_attempt *attempt, bool if_waiting)
--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -40,11 +40,11 @@
 
 	while ((attempt = LIST_FIRST(&call->active)))
 		entry_attempt_destroy(attempt);
-	ev_timer_stop(loop, &call->deadline);
+	ev_timer_stop(loop, &call->deadline_timer);
 	ev_timer_stop(loop, &call->retry_timer);
-	ev_timer_stop(loop, &call->hedge);
-	ev_timer_stop(loop, &call->patience);
-	ev_timer_stop(loop, &call->queue_timeout);
+	ev_timer_stop(loop, &call->hedge_timer);
+	ev_timer_stop(loop, &call->patience_timer);
+	ev_timer_stop(loop, &call->queue_timer);
 	LIST_REMOVE(call, link);
 	call->entry->count--;
 	config_snapshot_unref(call->snapshot);
@@ -203,11 +203,11 @@
 	    reason == CFD__REASON__REASON_FAILING)
 		pick_tried_add(&call->tried_busy,
 			       attempt->upstream->candidate.id);
-	call_note(call, EV_ENTRY_NOT_RUN,
-		  LOG_STR("from", attempt->upstream->host),
-		  LOG_STR("reason", outcome_reason_name(reason)),
-		  LOG_INT("after_us", clock_mono_us() - attempt->sent_us),
-		  LOG_INT("come_back_ms", retry_after_ms));
+	call_log_event(call, EV_ENTRY_NOT_RUN,
+		       LOG_STR("from", attempt->upstream->host),
+		       LOG_STR("reason", outcome_reason_name(reason)),
+		       LOG_INT("after_us", clock_mono_us() - attempt->sent_us),
+		       LOG_INT("come_back_ms", retry_after_ms));
 	call_append_history(call, attempt, outcome_reason_name(reason));
 	entry_attempt_destroy(attempt);
 	if (!LIST_EMPTY(&call->active))
@@ -225,10 +225,10 @@
 	enum attempt_entry_state state = attempt->state;
 	bool answering = call->answering == attempt;
 
-	call_note(call, EV_ENTRY_UNKNOWN,
-		  LOG_STR("from", attempt->upstream->host),
-		  LOG_STR("why", lost ? "lost" : "timeout"),
-		  LOG_INT("after_us", clock_mono_us() - attempt->sent_us));
+	call_log_event(call, EV_ENTRY_UNKNOWN,
+		       LOG_STR("from", attempt->upstream->host),
+		       LOG_STR("why", lost ? "lost" : "timeout"),
+		       LOG_INT("after_us", clock_mono_us() - attempt->sent_us));
 	call_append_history(call, attempt, lost ? "lost" : "timeout");
 	entry_attempt_destroy(attempt);
 	if (answering) {
@@ -257,12 +257,12 @@
 	left_us =
 		deadline_silence_left_us(call->deadline_us, call->heard_us, now);
 	if (left_us > 0) {
-		call_start_timer(call, &call->deadline, left_us);
+		call_start_timer(call, &call->deadline_timer, left_us);
 		return;
 	}
-	call_note(call, EV_ENTRY_FAILED, LOG_STR("outcome", "aborted"),
-		  LOG_STR("reason", "the answer stopped"),
-		  LOG_STR("attempts", call->history));
+	call_log_event(call, EV_ENTRY_FAILED, LOG_STR("outcome", "aborted"),
+		       LOG_STR("reason", "the answer stopped"),
+		       LOG_STR("attempts", call->history));
 	call_abort(call);
 }
 
@@ -277,17 +277,17 @@
 	call->status = answer->status;
 	call->heard_us = attempt->head_us;
 	call_check_stalled_answer(call);
-	ev_timer_stop(loop, &call->hedge);
+	ev_timer_stop(loop, &call->hedge_timer);
 	call_stop_patience(call);
 	hedge_note_latency(&call->service->hedge,
 			   attempt->head_us - call->began_us);
 	latency_note_us(&latencies.call_added,
 			attempt->head_us - call->began_us -
 				(int64_t)answer->upstream_us);
-	call_note(call, EV_ENTRY_ANSWERED,
-		  LOG_STR("from", attempt->upstream->host),
-		  LOG_INT("status", answer->status),
-		  LOG_INT("after_us", attempt->head_us - attempt->sent_us));
+	call_log_event(call, EV_ENTRY_ANSWERED,
+		       LOG_STR("from", attempt->upstream->host),
+		       LOG_INT("status", answer->status),
+		       LOG_INT("after_us", attempt->head_us - attempt->sent_us));
 	fields_init(&fields);
 	for (size_t i = 0; i < answer->n_headers; i++)
 		fields_add_passed(&fields, call->entry->daemon->headers,
@@ -313,9 +313,9 @@
 	counters.caller_run++;
 	outcome_count(call, &latencies.call_run, "run");
 	call->answered = true;
-	call_note(call, EV_ENTRY_ENDED, LOG_STR("outcome", "run"),
-		  LOG_INT("status", call->status),
-		  LOG_INT("took_us", clock_mono_us() - call->began_us));
+	call_log_event(call, EV_ENTRY_ENDED, LOG_STR("outcome", "run"),
+		       LOG_INT("status", call->status),
+		       LOG_INT("took_us", clock_mono_us() - call->began_us));
 	call->sink->handle_end(call->sink_data);
 	call_free(call);
 }
@@ -404,12 +404,12 @@
 
 void call_init_timers(struct call *call)
 {
-	ev_init(&call->deadline, handle_deadline);
+	ev_init(&call->deadline_timer, handle_deadline);
 	ev_init(&call->retry_timer, handle_retry);
-	call->deadline.data = call;
+	call->deadline_timer.data = call;
 	call->retry_timer.data = call;
 	call_init_parallel(call);
-	call_start_timer(call, &call->deadline,
+	call_start_timer(call, &call->deadline_timer,
 			 deadline_cancel_us(call->began_us, call->deadline_us) -
 				 clock_mono_us());
 }
@@ -475,7 +475,8 @@
 void call_abandon(struct call *call)
 {
 	counters.caller_gone++;
-	call_note(call, EV_ENTRY_CALLER_GONE, LOG_STR("attempts", call->history),
-		  LOG_INT("took_us", clock_mono_us() - call->began_us));
+	call_log_event(call, EV_ENTRY_CALLER_GONE,
+		       LOG_STR("attempts", call->history),
+		       LOG_INT("took_us", clock_mono_us() - call->began_us));
 	call_free(call);
 }
--- a/comfreydockd/caller/call_quarantine.c
+++ b/comfreydockd/caller/call_quarantine.c
@@ -38,9 +38,9 @@
 	call->reason = CFD__REASON__REASON_QUARANTINED;
 	call->come_back_ms = (uint32_t)(left_us / US_PER_MS);
 	counters.quarantine_refused++;
-	call_note(call, EV_QUARANTINE_REFUSED,
-		  LOG_STR("content", key_text(call->content, content)),
-		  LOG_INT("left_us", left_us));
+	call_log_event(call, EV_QUARANTINE_REFUSED,
+		       LOG_STR("content", key_text(call->content, content)),
+		       LOG_INT("left_us", left_us));
 }
 
 struct service_upstream *call_choose_upstream(struct call *call, int64_t now_us)
--- a/comfreydockd/caller/connection.c
+++ b/comfreydockd/caller/connection.c
@@ -61,13 +61,13 @@
 
 /* A buffer keeps the largest allocation it ever had, 128 KiB after a large
  * answer. 500 idle callers that once received one would hold 64 MB. */
-static void buffer_trim(GByteArray **buffer, guint *most)
+static void buffer_trim(GByteArray **buffer, guint *peak)
 {
-	if ((*buffer)->len > 0 || *most <= IDLE_BUFFER_MAX)
+	if ((*buffer)->len > 0 || *peak <= IDLE_BUFFER_MAX)
 		return;
 	g_byte_array_unref(*buffer);
 	*buffer = g_byte_array_new();
-	*most = 0;
+	*peak = 0;
 }
 
 /* Input. */
@@ -263,21 +263,21 @@
 static void handle_write(struct ev_loop *loop, ev_io *io, int events)
 {
 	struct connection *connection = io->data;
-	bool goes_on = true;
+	bool stays_open = true;
 
 	(void)loop;
 	(void)events;
 	if (!connection->lingers)
-		goes_on = connection_write_answers(connection);
+		stays_open = connection_write_answers(connection);
 	if (!connection_send(connection)) {
 		connection_destroy(connection);
 		return;
 	}
-	if (!goes_on && connection->must_reset) {
+	if (!stays_open && connection->must_reset) {
 		connection_reset(connection);
 		return;
 	}
-	if (!goes_on)
+	if (!stays_open)
 		connection_start_linger(connection);
 	else if (connection->lingers && connection->out->len == 0)
 		connection_end_output(connection);
--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -199,12 +199,13 @@
 	LIST_INSERT_HEAD(&entry->calls, call, link);
 	entry->count++;
 	call_init_timers(call);
-	call_note(call, EV_ENTRY_TAKEN, LOG_STR("method", request->method),
-		  LOG_STR("service", config->name), LOG_STR("rule", rule->name),
-		  LOG_STR("group", call->group), LOG_INT("class", rule->class),
-		  LOG_INT("head", config_store_head(entry->daemon->config)),
-		  LOG_INT("left_us", call->deadline_us - call->began_us),
-		  LOG_INT("in_front", request->in_front));
+	call_log_event(
+		call, EV_ENTRY_TAKEN, LOG_STR("method", request->method),
+		LOG_STR("service", config->name), LOG_STR("rule", rule->name),
+		LOG_STR("group", call->group), LOG_INT("class", rule->class),
+		LOG_INT("head", config_store_head(entry->daemon->config)),
+		LOG_INT("left_us", call->deadline_us - call->began_us),
+		LOG_INT("in_front", request->in_front));
 	return call;
 }
 
--- a/comfreydockd/caller/frames.c
+++ b/comfreydockd/caller/frames.c
@@ -161,10 +161,10 @@
 
 static void attempt_handle_link_lost(struct entry_attempt *attempt)
 {
-	bool left = peer_has_handed_over(attempt->peer, attempt->position);
+	bool was_sent = peer_has_handed_over(attempt->peer, attempt->position);
 
 	attempt_entry_step(&attempt->state,
-			   left ? ENTRY_LINK_LOST : ENTRY_LINK_LOST_UNSENT);
+			   was_sent ? ENTRY_LINK_LOST : ENTRY_LINK_LOST_UNSENT);
 	feedback_note_end(attempt, ATTEMPT_LOST, NULL);
 	if (attempt->state == ENTRY_NOT_RUN)
 		call_note_not_run(attempt, CFD__REASON__REASON_CONNECT, true, 0);
--- a/comfreydockd/caller/listener.c
+++ b/comfreydockd/caller/listener.c
@@ -29,12 +29,12 @@
 static void listener_add_connection(struct listener *listener, int fd,
 				    const struct sockaddr *from)
 {
-	uint32_t most = listener->daemon->settings->max_connections;
+	uint32_t limit = listener->daemon->settings->max_connections;
 	char address[ADDRESS_TEXT_SIZE] = "";
 
 	socket_set_options(fd);
 	address_to_text(from, address);
-	connection_create(listener, fd, address, listener->count >= most);
+	connection_create(listener, fd, address, listener->count >= limit);
 }
 
 /* RETURN VALUE: whether a connection was accepted. */
--- a/comfreydockd/caller/outcome.c
+++ b/comfreydockd/caller/outcome.c
@@ -87,13 +87,13 @@
 
 static void log_failed(struct call *call, const char *outcome, const char *reason)
 {
-	call_note(call, EV_ENTRY_FAILED, LOG_STR("outcome", outcome),
-		  LOG_STR("reason", reason), LOG_STR("group", call->group),
-		  LOG_STR("rule", call->rule->name),
-		  LOG_INT("took_us", clock_mono_us() - call->began_us),
-		  LOG_INT("left_us", call->deadline_us - clock_mono_us()),
-		  LOG_INT("come_back_ms", call->come_back_ms),
-		  LOG_STR("attempts", call->history));
+	call_log_event(call, EV_ENTRY_FAILED, LOG_STR("outcome", outcome),
+		       LOG_STR("reason", reason), LOG_STR("group", call->group),
+		       LOG_STR("rule", call->rule->name),
+		       LOG_INT("took_us", clock_mono_us() - call->began_us),
+		       LOG_INT("left_us", call->deadline_us - clock_mono_us()),
+		       LOG_INT("come_back_ms", call->come_back_ms),
+		       LOG_STR("attempts", call->history));
 }
 
 void outcome_reply_not_run(struct call *call)
--- a/comfreydockd/caller/parallel.c
+++ b/comfreydockd/caller/parallel.c
@@ -20,12 +20,12 @@
 	call_fill_hedge_question(call, &question);
 	delay = hedge_delay_us(&call->service->hedge, &question, now);
 	if (delay >= 0)
-		call_start_timer(call, &call->hedge, delay);
+		call_start_timer(call, &call->hedge_timer, delay);
 }
 
 void call_stop_patience(struct call *call)
 {
-	ev_timer_stop(call->entry->daemon->loop, &call->patience);
+	ev_timer_stop(call->entry->daemon->loop, &call->patience_timer);
 	call->awaits_verdict = false;
 }
 
@@ -38,7 +38,7 @@
 	call_stop_patience(call);
 	if (patience_us < DEADLINE_VERDICT_MIN_US)
 		return;
-	call_start_timer(call, &call->patience, patience_us);
+	call_start_timer(call, &call->patience_timer, patience_us);
 }
 
 static void handle_hedge(struct ev_loop *loop, ev_timer *timer, int events)
@@ -88,12 +88,13 @@
 			       &call->entry->random, now)
 			  .verdict;
 	if (verdict != RETRY_GO) {
-		call_note(call, EV_ENTRY_NOT_OVERTAKEN,
-			  LOG_STR("host", slow->upstream->host),
-			  LOG_STR("verdict", retry_verdict_name(verdict)),
-			  LOG_INT("budget_left",
-				  (int64_t)retry_left(&call->service->retry, now)),
-			  LOG_INT("out_us", now - slow->sent_us));
+		call_log_event(
+			call, EV_ENTRY_NOT_OVERTAKEN,
+			LOG_STR("host", slow->upstream->host),
+			LOG_STR("verdict", retry_verdict_name(verdict)),
+			LOG_INT("budget_left",
+				(int64_t)retry_left(&call->service->retry, now)),
+			LOG_INT("out_us", now - slow->sent_us));
 		return;
 	}
 	upstream = service_choose(call->service, &call->tried, now);
@@ -124,7 +125,7 @@
 
 	call->awaits_verdict = true;
 	entry_attempt_query_overdue(attempt);
-	call_start_timer(call, &call->patience,
+	call_start_timer(call, &call->patience_timer,
 			 deadline_verdict_us(&attempt->upstream->path));
 }
 
@@ -177,15 +178,15 @@
 	if (call->holds_others || call->rule->target_ms == 0)
 		return;
 	call->holds_others = true;
-	call_start_timer(call, &call->queue_timeout, late_us - clock_mono_us());
+	call_start_timer(call, &call->queue_timer, late_us - clock_mono_us());
 }
 
 void call_init_parallel(struct call *call)
 {
-	ev_init(&call->queue_timeout, handle_queue_timeout);
-	call->queue_timeout.data = call;
-	ev_init(&call->hedge, handle_hedge);
-	ev_init(&call->patience, handle_patience);
-	call->hedge.data = call;
-	call->patience.data = call;
+	ev_init(&call->queue_timer, handle_queue_timeout);
+	call->queue_timer.data = call;
+	ev_init(&call->hedge_timer, handle_hedge);
+	ev_init(&call->patience_timer, handle_patience);
+	call->hedge_timer.data = call;
+	call->patience_timer.data = call;
 }
--- a/comfreydockd/caller/reader.c
+++ b/comfreydockd/caller/reader.c
@@ -41,7 +41,7 @@
 	struct reader *reader = reader_of(parser);
 	char *value;
 
-	if (reader->head_ends)
+	if (reader->head_complete)
 		return 0; /* a trailer field, which is not forwarded */
 	while (size > 0 && (bytes[size - 1] == ' ' || bytes[size - 1] == '\t'))
 		size--;
@@ -53,7 +53,7 @@
 
 static int handle_head_end(http_parser *parser)
 {
-	reader_of(parser)->head_ends = true;
+	reader_of(parser)->head_complete = true;
 	return 0;
 }
 
@@ -67,7 +67,7 @@
 /* Pauses the parser: the bytes that follow belong to the next request. */
 static int handle_message_end(http_parser *parser)
 {
-	reader_of(parser)->is_whole = true;
+	reader_of(parser)->is_complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -88,8 +88,8 @@
 	reader->parser.data = reader;
 	reader->line = (struct reader_line){.is_first = true};
 	reader->in_body = false;
-	reader->is_whole = false;
-	reader->head_ends = false;
+	reader->is_complete = false;
+	reader->head_complete = false;
 	head_finish(&reader->head);
 	head_init(&reader->head, "");
 }
@@ -218,7 +218,7 @@
 				   "this is no HTTP/1.1 request");
 	parsed = http_parser_execute(&reader->parser, &callbacks,
 				     (const char *)bytes, length);
-	if (parsed != length || !reader->head_ends)
+	if (parsed != length || !reader->head_complete)
 		return reader_fail(reader, STATUS_BAD_REQUEST,
 				   http_errno_description(
 					   HTTP_PARSER_ERRNO(&reader->parser)));
@@ -237,11 +237,11 @@
 	parsed = http_parser_execute(&reader->parser, &callbacks,
 				     (const char *)bytes, size);
 	*used = parsed;
-	if (parsed != size && !reader->is_whole)
+	if (parsed != size && !reader->is_complete)
 		return reader_fail(reader, STATUS_BAD_REQUEST,
 				   http_errno_description(
 					   HTTP_PARSER_ERRNO(&reader->parser)));
-	if (reader->body->len || reader->is_whole)
+	if (reader->body->len || reader->is_complete)
 		return READER_BODY;
 	return READER_NEEDS_BYTES;
 }
@@ -252,7 +252,7 @@
 	*used = 0;
 	if (reader->fault)
 		return READER_FAULT;
-	if (reader->is_whole)
+	if (reader->is_complete)
 		reader_reset(reader);
 	if (reader->in_body)
 		return size ? reader_read_body(reader, bytes, size, used) :
@@ -274,7 +274,7 @@
 		.is_http_1_0 = reader->parser.http_minor == 0,
 		.keeps_alive = http_should_keep_alive(&reader->parser) != 0,
 		.awaits_continue = expects && strcasecmp(expects, CONTINUE) == 0,
-		.ends = reader->is_whole,
+		.ends = reader->is_complete,
 	};
 }
 
@@ -283,7 +283,7 @@
 	*body = (struct reader_body){
 		.bytes = reader->body->data,
 		.size = reader->body->len,
-		.ends = reader->is_whole,
+		.ends = reader->is_complete,
 	};
 }
 
--- a/comfreydockd/caller/request.c
+++ b/comfreydockd/caller/request.c
@@ -209,7 +209,7 @@
 }
 
 enum request_progress request_write(struct caller_request *request,
-				    GByteArray *out, size_t most, bool closes)
+				    GByteArray *out, size_t max_size, bool closes)
 {
 	size_t room;
 
@@ -220,7 +220,7 @@
 	}
 	if (request->aborted || request_has_wrong_length(request))
 		return REQUEST_BROKEN;
-	room = most > out->len ? most - out->len : 0;
+	room = max_size > out->len ? max_size - out->len : 0;
 	request_write_body(request, out, MIN(room, request_unwritten(request)));
 	if (request_unwritten(request) > 0)
 		return REQUEST_FULL;
--- a/include/comfreydockd/caller/call.h
+++ b/include/comfreydockd/caller/call.h
@@ -102,12 +102,12 @@
 	size_t consumed; /* sent to the caller, window not yet extended */
 	size_t unread; /* bytes of the answer that wait for the caller */
 	int64_t heard_us; /* when the last part of the answer came */
-	ev_timer deadline;
+	ev_timer deadline_timer;
 	ev_timer retry_timer;
-	ev_timer hedge;
-	ev_timer patience; /* until the attempt's owner is queried */
+	ev_timer hedge_timer;
+	ev_timer patience_timer; /* until the attempt's owner is queried */
 	bool awaits_verdict; /* the owner was asked whether it is overdue */
-	ev_timer queue_timeout; /* see call_hold_others() */
+	ev_timer queue_timer; /* see call_hold_others() */
 	uint32_t min_come_back_ms; /* for a call given up by this entry */
 	bool cancels_sent;
 	bool no_more_attempts; /* see call_give_up() */
@@ -170,7 +170,7 @@
 void call_note_body_window(struct entry_attempt *attempt, uint32_t bytes);
 
 /* Adds an event to the time line and to the log. */
-#define call_note(call, event, ...)                                           \
+#define call_log_event(call, event, ...)                                      \
 	timeline_note(&(call)->entry->daemon->timeline, (call)->trace, event, \
 		      __VA_ARGS__)
 
--- a/include/comfreydockd/caller/reader.h
+++ b/include/comfreydockd/caller/reader.h
@@ -50,8 +50,8 @@
 	size_t max_head_bytes;
 	struct reader_line line;
 	bool in_body;
-	bool is_whole; /* the library found the end of the request */
-	bool head_ends; /* the library found the end of the head */
+	bool is_complete; /* the library found the end of the request */
+	bool head_complete; /* the library found the end of the head */
 	struct head head;
 	char *name; /* of the field whose value comes next */
 	GByteArray *body; /* of the last event */
--- a/include/comfreydockd/caller/request.h
+++ b/include/comfreydockd/caller/request.h
@@ -73,10 +73,11 @@
  * Writes as much of the answer as is ready. To be called only for the first
  * request of the connection's list.
  *
- * most: writes body bytes only while out is shorter than this.
+ * max_size: writes body bytes only while out is shorter than this.
  * closes: the answer tells the caller that the connection closes after it.
  */
 enum request_progress request_write(struct caller_request *request,
-				    GByteArray *out, size_t most, bool closes);
+				    GByteArray *out, size_t max_size,
+				    bool closes);
 
 #endif
