--- a/comfreydockd/caller/connection.c
+++ b/comfreydockd/caller/connection.c
@@ -88,8 +88,11 @@
 
 static void connection_handle_hangup(struct connection *connection)
 {
-	/* This daemon paused before it read the request. The caller is gone and
-	 * may have sent the request elsewhere since, so it is not begun. */
+	/*
+	 * Counts a request that this daemon, after a pause, read only once its
+	 * caller had gone. The caller may have sent it elsewhere since, so it
+	 * is not begun.
+	 */
 	if (connection->unanswered == 0 && connection->in->len > 0)
 		counters.caller_gone++;
 	connection_destroy(connection);
@@ -224,8 +227,9 @@
 			 LINGER_TIMEOUT_US);
 }
 
-/* Some answers end where the connection is closed. Only a reset tells the
- * caller that such an answer is incomplete. */
+/* For an answer that ends with the connection: its caller would take a normal
+ * close for the end of the answer. Only a reset tells it that more was to come.
+ * */
 static void connection_reset(struct connection *connection)
 {
 	struct linger linger = {.l_onoff = 1};
--- a/comfreydockd/caller/parallel.c
+++ b/comfreydockd/caller/parallel.c
@@ -29,7 +29,8 @@
 	call->awaits_verdict = false;
 }
 
-/* See deadline_patience_us(). */
+/* Restarts the time after which the owner is asked whether the attempt is
+ * overdue, see deadline_patience_us(). */
 void call_arm_patience(struct call *call)
 {
 	int64_t patience_us =
--- a/include/comfreydockd/caller/call.h
+++ b/include/comfreydockd/caller/call.h
@@ -87,9 +87,9 @@
 	struct pick_tried tried;
 	struct pick_tried tried_busy; /* of them, those that had no free slot */
 	bool returned_to_busy; /* to queue at the busy ones */
-	uint32_t attempts; /* without hedges */
+	uint32_t attempts; /* without hedges, but with overtaking attempts */
 	uint32_t busy_refusals; /* of them, refused as busy */
-	uint32_t uncounted_attempts; /* of them, see retry_counts() */
+	uint32_t uncounted_attempts; /* of them, never sent or NOT_HERE */
 	uint32_t hedges;
 	uint32_t max_attempts;
 	bool may_have_run; /* an attempt ended UNKNOWN */
@@ -150,7 +150,8 @@
 			     size_t size, bool ends);
 void entry_attempt_send_window(struct entry_attempt *attempt, uint32_t bytes);
 
-/* The attempts on a connection, until it is lost. */
+/* RETURN VALUE: the attempts on a connection. Valid until the connection is
+ * lost. */
 struct entry_attempt_list *entry_attempts_of(struct entry *entry,
 					     struct peer *peer);
 
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -10,7 +10,7 @@
 
 static unsigned int wakes;
 
-/* These two stand in for connection.c. */
+/* Stubs of the functions of connection.c that request.c calls. */
 void connection_wake(struct connection *connection)
 {
 	(void)connection;
