--- a/comfreydockd/caller/connection.c
+++ b/comfreydockd/caller/connection.c
@@ -227,9 +227,11 @@
 			 LINGER_TIMEOUT_US);
 }
 
-/* For an answer that ends with the connection: its caller would take a normal
- * close for the end of the answer. Only a reset tells it that more was to come.
- * */
+/*
+ * Called for an incomplete answer that ends with the connection. Its caller
+ * would take a normal close for the end of the answer; a reset is an error to
+ * it.
+ */
 static void connection_reset(struct connection *connection)
 {
 	struct linger linger = {.l_onoff = 1};
