--- a/comfreydockd/caller/attempts.c
+++ b/comfreydockd/caller/attempts.c
@@ -10,7 +10,8 @@
 #include "common/counters.h"
 #include "common/key_text.h"
 
-/* RETURN VALUE: 0 where the rule has no target. */
+/* RETURN VALUE: the time left until the rule's target, at least 1; 0 if the
+ * rule has no target. */
 static uint64_t call_target_left_us(const struct call *call, int64_t path_us)
 {
 	int64_t target_us = call->rule->target_ms * US_PER_MS;
@@ -36,7 +37,7 @@
 		call->deadline_us, path_us, clock_mono_us());
 	out->idempotent = call->rule->idempotent;
 	out->may_repeat = call->rule->idempotent &&
-			  call_work_attempts(call) < call->max_attempts;
+			  call_counted_attempts(call) < call->max_attempts;
 	out->target_us = call_target_left_us(call, path_us);
 	out->priority = call->rule->class;
 	out->fairness_key = call->fairness_key;
@@ -46,16 +47,16 @@
 	out->content_key = call->content;
 	out->depth = call->depth;
 	out->holds_others = call->holds_others;
-	out->answer_window = call->is_behind ? AHEAD_WINDOW_BYTES : 0;
+	out->answer_window = call->answer_blocked ? AHEAD_WINDOW_BYTES : 0;
 }
 
 static size_t fill_shed_statuses(const struct config_service *config,
-				 uint32_t *statuses, size_t most)
+				 uint32_t *statuses, size_t max_count)
 {
 	size_t count = 0;
 
 	while (config->shed_statuses && config->shed_statuses[count] &&
-	       count < most) {
+	       count < max_count) {
 		statuses[count] = config->shed_statuses[count];
 		count++;
 	}
@@ -92,7 +93,7 @@
 	attempt->upstream = service_upstream_ref(upstream);
 	attempt->seq = ++entry->next_seq;
 	attempt->is_hedge = is_hedge;
-	attempt->has_small_window = call->is_behind;
+	attempt->has_small_window = call->answer_blocked;
 	attempt->sent_us = clock_mono_us();
 	attempt->state = ENTRY_PICKED;
 	attempt->peer = peers_connect(entry->daemon->peers, member);
@@ -107,7 +108,8 @@
 	out.other_pace_percent =
 		pick_other_pace(&upstream->service->picks, &upstream->candidate,
 				&call->tried, attempt->sent_us);
-	out.last_resort = !is_hedge && (call->returns || call_untried(call) == 0);
+	out.last_resort = !is_hedge &&
+			  (call->returned_to_busy || call_untried(call) == 0);
 	out.shed_statuses = shed;
 	out.n_shed_statuses =
 		fill_shed_statuses(call->config, shed, G_N_ELEMENTS(shed));
@@ -120,15 +122,16 @@
 	attempt->epoch = health_note_sent(&upstream->service->health,
 					  &upstream->health, attempt->sent_us);
 	counters.entry_attempts++;
-	call_note(call, is_hedge ? EV_ENTRY_HEDGED : EV_ENTRY_SENT,
-		  LOG_INT("seq", attempt->seq), LOG_STR("to", upstream->host),
-		  LOG_STR("content", key_text(call->content, content)),
-		  LOG_INT("may_queue", may_queue),
-		  LOG_INT("outstanding", upstream->candidate.outstanding),
-		  LOG_INT("running", upstream->candidate.load.running),
-		  LOG_INT("pace", upstream->candidate.load.pace_percent),
-		  LOG_INT("load_age_us",
-			  attempt->sent_us - upstream->candidate.load_at_us));
+	call_log_event(
+		call, is_hedge ? EV_ENTRY_HEDGED : EV_ENTRY_SENT,
+		LOG_INT("seq", attempt->seq), LOG_STR("to", upstream->host),
+		LOG_STR("content", key_text(call->content, content)),
+		LOG_INT("may_queue", may_queue),
+		LOG_INT("outstanding", upstream->candidate.outstanding),
+		LOG_INT("running", upstream->candidate.load.running),
+		LOG_INT("pace", upstream->candidate.load.pace_percent),
+		LOG_INT("load_age_us",
+			attempt->sent_us - upstream->candidate.load_at_us));
 }
 
 static void send_cancel(struct entry_attempt *attempt, bool if_waiting)
@@ -156,7 +159,7 @@
 	send_cancel(attempt, false);
 }
 
-void entry_attempt_ask(struct entry_attempt *attempt)
+void entry_attempt_query_overdue(struct entry_attempt *attempt)
 {
 	Cfd__LoadQuery query = CFD__LOAD_QUERY__INIT;
 	Cfd__Frame frame = CFD__FRAME__INIT;
--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -11,17 +11,21 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-/* Another daemon can most likely take the call; this one knows more after its
- * next trial, see HEALTH_MUTE_TRIAL_US. */
+/* Another daemon can most likely take the call. This one knows more after it
+ * has tried a silent owner again, see HEALTH_MUTE_TRIAL_US. */
 #define UNREACHABLE_COME_BACK_MS 100
-/* After its start a daemon knows most upstreams within so long. One that comes
- * back sooner is refused again, and has few retries. */
+/*
+ * A daemon knows most upstreams within this time after its start. A caller that
+ * comes back sooner is refused again and has few retries. The wait is at most
+ * 1/NO_UPSTREAM_LEFT_SHARE of the time left to the deadline.
+ */
 #define NO_UPSTREAM_COME_BACK_MS 200
 #define NO_UPSTREAM_LEFT_SHARE 4
 
-/* What became of its attempts, for the one line that tells of a failure. */
-static void call_remember(struct call *call,
-			  const struct entry_attempt *attempt, const char *end)
+/* Records how the attempt ended, for the log line of a failed call. */
+static void call_append_history(struct call *call,
+				const struct entry_attempt *attempt,
+				const char *end)
 {
 	size_t used = strlen(call->history);
 
@@ -36,11 +40,11 @@
 
 	while ((attempt = LIST_FIRST(&call->active)))
 		entry_attempt_destroy(attempt);
-	ev_timer_stop(loop, &call->deadline);
-	ev_timer_stop(loop, &call->next);
-	ev_timer_stop(loop, &call->hedge);
-	ev_timer_stop(loop, &call->patience);
-	ev_timer_stop(loop, &call->hold);
+	ev_timer_stop(loop, &call->deadline_timer);
+	ev_timer_stop(loop, &call->retry_timer);
+	ev_timer_stop(loop, &call->hedge_timer);
+	ev_timer_stop(loop, &call->patience_timer);
+	ev_timer_stop(loop, &call->queue_timer);
 	LIST_REMOVE(call, link);
 	call->entry->count--;
 	config_snapshot_unref(call->snapshot);
@@ -52,7 +56,8 @@
 	g_free(call);
 }
 
-/* Ended here an answer would look whole: the connection must break. */
+/* Breaks the caller's connection: an answer that just ended here would look
+ * complete. */
 static void call_abort(struct call *call)
 {
 	counters.caller_aborted++;
@@ -63,29 +68,29 @@
 static void call_finish_unanswered(struct call *call)
 {
 	if (call->may_have_run)
-		outcome_say_unknown(call);
+		outcome_reply_unknown(call);
 	else
-		outcome_say_not_run(call);
+		outcome_reply_not_run(call);
 	call_free(call);
 }
 
 /*
- * Refused as busy by some, because another seemed to have room, and then that
- * one turned out to be gone or to drain, or is left out by now: the call goes back, once, to wait at
- * those that are only busy. Without this it would be told "not run" while
- * upstreams that could serve it in milliseconds are up; callers would notice
- * for as long as a crashed upstream looks idle.
+ * Sends the call back, once, to queue at the upstreams that refused it as busy.
+ * They refused it because another upstream seemed to have room, but that one is
+ * gone, drains or has been ejected since. Without this, the call would end as
+ * "not run" although upstreams that could serve it within milliseconds are up,
+ * and callers would see that for as long as a crashed upstream looks idle.
  */
 static bool call_return_to_busy(struct call *call)
 {
-	if (call->returns || call->tried_busy.count == 0)
+	if (call->returned_to_busy || call->tried_busy.count == 0)
 		return false;
-	call->returns = true;
+	call->returned_to_busy = true;
 	pick_tried_forget(&call->tried, &call->tried_busy);
 	return true;
 }
 
-/* Nobody is known who could take the call. */
+/* No upstream is known that could take the call. */
 static void call_note_no_upstream(struct call *call, int64_t now)
 {
 	int64_t left_ms = MAX(call->deadline_us - now, 0) / US_PER_MS;
@@ -108,7 +113,7 @@
 		call_finish_unanswered(call);
 		return;
 	}
-	upstream = call_choose(call, now);
+	upstream = call_choose_upstream(call, now);
 	if (!upstream && call->reason == CFD__REASON__REASON_QUARANTINED) {
 		call_finish_unanswered(call);
 		return;
@@ -121,10 +126,10 @@
 		call_finish_unanswered(call);
 		return;
 	}
-	may_queue =
-		call->returns ||
-		pick_may_queue(&call->service->picks, &upstream->candidate,
-			       &call->tried, call->busy >= RETRY_BUSY_MAX, now);
+	may_queue = call->returned_to_busy ||
+		    pick_may_queue(&call->service->picks, &upstream->candidate,
+				   &call->tried,
+				   call->busy_refusals >= RETRY_BUSY_MAX, now);
 	pick_tried_add(&call->tried, upstream->candidate.id);
 	call->attempts++;
 	entry_attempt_send(call, upstream, may_queue, false);
@@ -132,7 +137,7 @@
 	call_arm_patience(call);
 }
 
-static enum retry_outcome outcome_of(Cfd__Reason reason, bool never_sent)
+static enum retry_outcome retry_outcome_of(Cfd__Reason reason, bool never_sent)
 {
 	if (never_sent)
 		return RETRY_OUTCOME_NEVER_SENT;
@@ -155,29 +160,30 @@
 	}
 }
 
-/* What follows after an attempt, where no other is out. */
-static void call_decide(struct call *call, enum retry_outcome outcome,
-			enum attempt_entry_state state)
+/* Retries or ends the call, once its last outstanding attempt has ended. */
+static void call_decide_retry(struct call *call, enum retry_outcome outcome,
+			      enum attempt_entry_state state)
 {
 	struct retry_question question;
 	struct retry_answer answer;
 	int64_t now = clock_mono_us();
 
 	if (outcome == RETRY_OUTCOME_BUSY)
-		call->busy++;
+		call->busy_refusals++;
 	else if (!retry_counts(outcome))
-		call->unheard++;
+		call->uncounted_attempts++;
 	call_fill_retry_question(call, outcome, &question);
 	if ((outcome == RETRY_OUTCOME_BUSY || !retry_counts(outcome)) &&
 	    question.untried == 0 && call_return_to_busy(call))
 		question.untried = call_untried(call);
 	answer = retry_decide(&call->service->retry, &question,
 			      &call->entry->random, now);
-	/* A body of which more is gone than is kept can't be sent again. */
-	if (answer.verdict == RETRY_GO && !call->body_streams && !call->gives_up &&
+	/* A body that exceeds the buffer can't be sent again. */
+	if (answer.verdict == RETRY_GO && !call->body_exceeds_buffer &&
+	    !call->no_more_attempts &&
 	    attempt_allows_another(state, call->rule->idempotent)) {
 		counters.entry_retries++;
-		call_start_timer(call, &call->next, answer.delay_us);
+		call_start_timer(call, &call->retry_timer, answer.delay_us);
 		return;
 	}
 	call->come_back_ms = MAX(call->come_back_ms,
@@ -197,20 +203,20 @@
 	    reason == CFD__REASON__REASON_FAILING)
 		pick_tried_add(&call->tried_busy,
 			       attempt->upstream->candidate.id);
-	call_note(call, EV_ENTRY_NOT_RUN,
-		  LOG_STR("from", attempt->upstream->host),
-		  LOG_STR("reason", outcome_reason_name(reason)),
-		  LOG_INT("after_us", clock_mono_us() - attempt->sent_us),
-		  LOG_INT("come_back_ms", retry_after_ms));
-	call_remember(call, attempt, outcome_reason_name(reason));
+	call_log_event(call, EV_ENTRY_NOT_RUN,
+		       LOG_STR("from", attempt->upstream->host),
+		       LOG_STR("reason", outcome_reason_name(reason)),
+		       LOG_INT("after_us", clock_mono_us() - attempt->sent_us),
+		       LOG_INT("come_back_ms", retry_after_ms));
+	call_append_history(call, attempt, outcome_reason_name(reason));
 	entry_attempt_destroy(attempt);
 	if (!LIST_EMPTY(&call->active))
-		return; /* the other one goes on */
+		return; /* the parallel attempt is still out */
 	if (!was_hedge || call->reason == CFD__REASON__REASON_UNSPECIFIED)
 		call->reason = reason;
-	call->come_back_ms = MAX(retry_after_ms, call->least_come_back_ms);
+	call->come_back_ms = MAX(retry_after_ms, call->min_come_back_ms);
 	call_stop_patience(call);
-	call_decide(call, outcome_of(reason, never_sent), state);
+	call_decide_retry(call, retry_outcome_of(reason, never_sent), state);
 }
 
 void call_note_unknown(struct entry_attempt *attempt, bool lost)
@@ -219,11 +225,11 @@
 	enum attempt_entry_state state = attempt->state;
 	bool answering = call->answering == attempt;
 
-	call_note(call, EV_ENTRY_UNKNOWN,
-		  LOG_STR("from", attempt->upstream->host),
-		  LOG_STR("why", lost ? "lost" : "timeout"),
-		  LOG_INT("after_us", clock_mono_us() - attempt->sent_us));
-	call_remember(call, attempt, lost ? "lost" : "timeout");
+	call_log_event(call, EV_ENTRY_UNKNOWN,
+		       LOG_STR("from", attempt->upstream->host),
+		       LOG_STR("why", lost ? "lost" : "timeout"),
+		       LOG_INT("after_us", clock_mono_us() - attempt->sent_us));
+	call_append_history(call, attempt, lost ? "lost" : "timeout");
 	entry_attempt_destroy(attempt);
 	if (answering) {
 		call_abort(call);
@@ -234,29 +240,29 @@
 	if (!LIST_EMPTY(&call->active))
 		return;
 	call_stop_patience(call);
-	call_decide(call, RETRY_OUTCOME_UNKNOWN, state);
+	call_decide_retry(call, RETRY_OUTCOME_UNKNOWN, state);
 }
 
-/* See deadline_silence_left_us(). The call may be gone after this, but not when
- * its answer has just begun. */
-static void call_watch_answer(struct call *call)
+/* Aborts the call if its answer has stalled, see deadline_silence_left_us().
+ * This may free the call, but not when its answer has just begun. */
+static void call_check_stalled_answer(struct call *call)
 {
 	int64_t now = clock_mono_us();
 	int64_t left_us;
 
-	/* Silence while bytes wait for the caller is its own; the owner ends
-	 * that one. */
+	/* While bytes wait for the caller, the caller causes the silence. The
+	 * owner ends the answer in that case. */
 	if (call->unread > 0)
 		call->heard_us = now;
 	left_us =
 		deadline_silence_left_us(call->deadline_us, call->heard_us, now);
 	if (left_us > 0) {
-		call_start_timer(call, &call->deadline, left_us);
+		call_start_timer(call, &call->deadline_timer, left_us);
 		return;
 	}
-	call_note(call, EV_ENTRY_FAILED, LOG_STR("outcome", "aborted"),
-		  LOG_STR("reason", "the answer stopped"),
-		  LOG_STR("attempts", call->history));
+	call_log_event(call, EV_ENTRY_FAILED, LOG_STR("outcome", "aborted"),
+		       LOG_STR("reason", "the answer stopped"),
+		       LOG_STR("attempts", call->history));
 	call_abort(call);
 }
 
@@ -270,18 +276,18 @@
 	call->answering = attempt;
 	call->status = answer->status;
 	call->heard_us = attempt->head_us;
-	call_watch_answer(call);
-	ev_timer_stop(loop, &call->hedge);
+	call_check_stalled_answer(call);
+	ev_timer_stop(loop, &call->hedge_timer);
 	call_stop_patience(call);
 	hedge_note_latency(&call->service->hedge,
 			   attempt->head_us - call->began_us);
 	latency_note_us(&latencies.call_added,
 			attempt->head_us - call->began_us -
 				(int64_t)answer->upstream_us);
-	call_note(call, EV_ENTRY_ANSWERED,
-		  LOG_STR("from", attempt->upstream->host),
-		  LOG_INT("status", answer->status),
-		  LOG_INT("after_us", attempt->head_us - attempt->sent_us));
+	call_log_event(call, EV_ENTRY_ANSWERED,
+		       LOG_STR("from", attempt->upstream->host),
+		       LOG_INT("status", answer->status),
+		       LOG_INT("after_us", attempt->head_us - attempt->sent_us));
 	fields_init(&fields);
 	for (size_t i = 0; i < answer->n_headers; i++)
 		fields_add_passed(&fields, call->entry->daemon->headers,
@@ -294,7 +300,7 @@
 	fields_finish(&fields);
 	if (LIST_NEXT(LIST_FIRST(&call->active), link))
 		hedge_note_race(&call->service->hedge, attempt->is_hedge);
-	/* The slower of a hedged pair. */
+	/* Cancels the slower of two parallel attempts. */
 	while ((other = LIST_FIRST(&call->active)) != attempt ||
 	       (other = LIST_NEXT(attempt, link)))
 		entry_attempt_destroy(other);
@@ -307,30 +313,34 @@
 	counters.caller_run++;
 	outcome_count(call, &latencies.call_run, "run");
 	call->answered = true;
-	call_note(call, EV_ENTRY_ENDED, LOG_STR("outcome", "run"),
-		  LOG_INT("status", call->status),
-		  LOG_INT("took_us", clock_mono_us() - call->began_us));
+	call_log_event(call, EV_ENTRY_ENDED, LOG_STR("outcome", "run"),
+		       LOG_INT("status", call->status),
+		       LOG_INT("took_us", clock_mono_us() - call->began_us));
 	call->sink->handle_end(call->sink_data);
 	call_free(call);
 }
 
-void call_note_room(struct entry_attempt *attempt, uint32_t bytes)
+void call_note_body_window(struct entry_attempt *attempt, uint32_t bytes)
 {
 	struct call *call = attempt->call;
 
-	call->body_room += bytes;
+	call->body_window += bytes;
 	if (!call->body_ends)
-		call->sink->handle_room(call->sink_data);
+		call->sink->handle_body_window(call->sink_data);
 }
 
-static void handle_next(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_retry(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	(void)loop;
 	(void)events;
 	call_send_attempt(timer->data);
 }
 
-/* First shortly before the deadline, to cancel; then at it, to give up. */
+/*
+ * Expires shortly before the deadline to cancel the attempts, then at the
+ * deadline to end the call. Once an answer has begun, checks whether it
+ * stalled.
+ */
 static void handle_deadline(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct call *call = timer->data;
@@ -339,7 +349,7 @@
 	(void)loop;
 	(void)events;
 	if (call->answering) {
-		call_watch_answer(call);
+		call_check_stalled_answer(call);
 		return;
 	}
 	if (!call->cancels_sent) {
@@ -351,7 +361,7 @@
 		return;
 	}
 	LIST_FOREACH (attempt, &call->active, link)
-		call_remember(call, attempt, "silent");
+		call_append_history(call, attempt, "silent");
 	call->reason = CFD__REASON__REASON_DEADLINE;
 	if (!LIST_EMPTY(&call->active))
 		call->may_have_run = true;
@@ -362,7 +372,7 @@
 {
 	struct entry_attempt *attempt;
 
-	call->gives_up = true;
+	call->no_more_attempts = true;
 	LIST_FOREACH (attempt, &call->active, link)
 		entry_attempt_cancel_waiting(attempt);
 	if (LIST_EMPTY(&call->active))
@@ -384,7 +394,7 @@
 
 void call_start(struct call *call)
 {
-	call->content = call_content(call);
+	call->content = call_content_key(call);
 	call->is_started = true;
 	hedge_note_request(&call->service->hedge);
 	retry_note_request(&call->service->retry, clock_mono_us());
@@ -394,33 +404,34 @@
 
 void call_init_timers(struct call *call)
 {
-	ev_init(&call->deadline, handle_deadline);
-	ev_init(&call->next, handle_next);
-	call->deadline.data = call;
-	call->next.data = call;
-	call_init_beside(call);
-	call_start_timer(call, &call->deadline,
+	ev_init(&call->deadline_timer, handle_deadline);
+	ev_init(&call->retry_timer, handle_retry);
+	call->deadline_timer.data = call;
+	call->retry_timer.data = call;
+	call_init_parallel(call);
+	call_start_timer(call, &call->deadline_timer,
 			 deadline_cancel_us(call->began_us, call->deadline_us) -
 				 clock_mono_us());
 }
 
-size_t call_room(const struct call *call)
+size_t call_body_window(const struct call *call)
 {
 	if (!call->is_started)
-		return CALL_BODY_KEPT - MIN(call->body->len, CALL_BODY_KEPT);
-	return LIST_EMPTY(&call->active) ? 0 : call->body_room;
+		return CALL_BODY_BUFFER_MAX -
+		       MIN(call->body->len, CALL_BODY_BUFFER_MAX);
+	return LIST_EMPTY(&call->active) ? 0 : call->body_window;
 }
 
 void call_add_body(struct call *call, const void *bytes, size_t size)
 {
 	if (!call->is_started) {
 		g_byte_array_append(call->body, bytes, (guint)size);
-		if (call->body->len >= CALL_BODY_KEPT)
+		if (call->body->len >= CALL_BODY_BUFFER_MAX)
 			call_start(call);
 		return;
 	}
-	call->body_streams = true;
-	call->body_room -= MIN(size, call->body_room);
+	call->body_exceeds_buffer = true;
+	call->body_window -= MIN(size, call->body_window);
 	entry_attempt_send_body(LIST_FIRST(&call->active), bytes, size, false);
 }
 
@@ -441,7 +452,7 @@
 {
 	struct entry_attempt *attempt;
 
-	call->is_behind = false;
+	call->answer_blocked = false;
 	LIST_FOREACH (attempt, &call->active, link) {
 		if (!attempt->has_small_window)
 			continue;
@@ -455,7 +466,7 @@
 {
 	call->consumed += size;
 	call->unread -= size;
-	if (call->consumed < CALL_CREDIT_STEP || !call->answering)
+	if (call->consumed < CALL_WINDOW_UPDATE_BYTES || !call->answering)
 		return;
 	entry_attempt_send_window(call->answering, (uint32_t)call->consumed);
 	call->consumed = 0;
@@ -464,7 +475,8 @@
 void call_abandon(struct call *call)
 {
 	counters.caller_gone++;
-	call_note(call, EV_ENTRY_CALLER_GONE, LOG_STR("attempts", call->history),
-		  LOG_INT("took_us", clock_mono_us() - call->began_us));
+	call_log_event(call, EV_ENTRY_CALLER_GONE,
+		       LOG_STR("attempts", call->history),
+		       LOG_INT("took_us", clock_mono_us() - call->began_us));
 	call_free(call);
 }
--- a/comfreydockd/caller/connection.c
+++ b/comfreydockd/caller/connection.c
@@ -13,23 +13,26 @@
 #include "common/counters.h"
 #include "common/timer.h"
 
-/* What is written but not yet taken by the kernel. */
-#define OUT_BYTES (64 * 1024)
-/* An empty buffer that was larger is given back. */
-#define KEPT_BYTES (4 * 1024)
-/* The kernel shows a hang-up behind unread bytes only to those who ask. */
-#define WATCH_S 0.25
-/* A caller that neither sends, though it should, nor reads; more than any pause
- * of a live one. */
-#define IDLE_US (60 * US_PER_S)
-/* From a head's first byte to its last: one that grows by a byte a second
- * would hold its connection for ever. */
-#define HEAD_US (60 * US_PER_S)
-/* After the last answer: what is still on its way is read and dropped, as bytes
- * that nobody reads make the kernel reset the connection, and the answer is lost
- * with it. */
-#define LINGER_US (2 * US_PER_S)
-#define LINGER_BYTES (16 * 1024 * 1024)
+/* Limit of the bytes that are written but not yet taken by the kernel. */
+#define OUTPUT_BUFFER_MAX (64 * 1024)
+/* An empty buffer that once held more than this is freed. */
+#define IDLE_BUFFER_MAX (4 * 1024)
+/* The event loop does not report a hang-up behind unread bytes, so a timer
+ * polls for it. */
+#define HANGUP_POLL_S 0.25
+/* For a caller that neither reads nor sends the bytes it owes. Longer than any
+ * pause of a live caller. */
+#define IDLE_TIMEOUT_US (60 * US_PER_S)
+/* From the first byte of a head to its last. Without this limit, a head that
+ * grows by one byte a second would hold its connection forever. */
+#define HEAD_TIMEOUT_US (60 * US_PER_S)
+/*
+ * After the last answer, bytes that still arrive are read and dropped. Unread
+ * bytes would make the kernel reset the connection, and the answer would be
+ * lost with it.
+ */
+#define LINGER_TIMEOUT_US (2 * US_PER_S)
+#define LINGER_BYTES_MAX (16 * 1024 * 1024)
 
 const struct headers *connection_headers(const struct connection *connection)
 {
@@ -56,37 +59,40 @@
 	return poll(&poller, 1, 0) > 0;
 }
 
-/* A buffer keeps the room of the most it ever held, 128 KiB behind a large answer:
- * 500 callers who once took one would hold 64 MB while they are idle. */
-static void buffer_trim(GByteArray **buffer, guint *most)
+/* A buffer keeps the largest allocation it ever had, 128 KiB after a large
+ * answer. 500 idle callers that once received one would hold 64 MB. */
+static void buffer_trim(GByteArray **buffer, guint *peak)
 {
-	if ((*buffer)->len > 0 || *most <= KEPT_BYTES)
+	if ((*buffer)->len > 0 || *peak <= IDLE_BUFFER_MAX)
 		return;
 	g_byte_array_unref(*buffer);
 	*buffer = g_byte_array_new();
-	*most = 0;
+	*peak = 0;
 }
 
-/* Reading from the kernel. */
+/* Input. */
 
-static void connection_watch_input(struct connection *connection)
+static void connection_update_read_event(struct connection *connection)
 {
 	struct ev_loop *loop = connection_loop(connection);
 
 	if (connection_wants_input(connection)) {
 		ev_io_start(loop, &connection->read);
-		ev_timer_stop(loop, &connection->watch);
+		ev_timer_stop(loop, &connection->hangup_poll);
 		return;
 	}
 	ev_io_stop(loop, &connection->read);
-	if (!ev_is_active(&connection->watch))
-		ev_timer_again(loop, &connection->watch);
+	if (!ev_is_active(&connection->hangup_poll))
+		ev_timer_again(loop, &connection->hangup_poll);
 }
 
-static void connection_lose(struct connection *connection)
+static void connection_handle_hangup(struct connection *connection)
 {
-	/* Read after a pause of this daemon: nobody waits for it any more, and
-	 * it may have been sent elsewhere since. */
+	/*
+	 * Counts a request that this daemon, after a pause, read only once its
+	 * caller had gone. The caller may have sent it elsewhere since, so it
+	 * is not begun.
+	 */
 	if (connection->unanswered == 0 && connection->in->len > 0)
 		counters.caller_gone++;
 	connection_destroy(connection);
@@ -112,8 +118,8 @@
 
 	if (count < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
-	connection->lingered += (size_t)MAX(count, 0);
-	if (count <= 0 || connection->lingered > LINGER_BYTES)
+	connection->lingered_bytes += (size_t)MAX(count, 0);
+	if (count <= 0 || connection->lingered_bytes > LINGER_BYTES_MAX)
 		connection_destroy(connection);
 }
 
@@ -129,16 +135,16 @@
 	}
 	if (!connection_fill_input(connection) ||
 	    connection_is_hung_up(connection)) {
-		connection_lose(connection);
+		connection_handle_hangup(connection);
 		return;
 	}
-	connection->in_most = MAX(connection->in_most, connection->in->len);
+	connection->in_peak = MAX(connection->in_peak, connection->in->len);
 	connection_parse(connection);
-	buffer_trim(&connection->in, &connection->in_most);
-	connection_watch_input(connection);
+	buffer_trim(&connection->in, &connection->in_peak);
+	connection_update_read_event(connection);
 }
 
-static void handle_watch(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_hangup_poll(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct connection *connection = timer->data;
 
@@ -148,16 +154,17 @@
 		connection_destroy(connection);
 }
 
-/* Answers. */
+/* Output. */
 
-/* Nothing may stand behind an answer that closes the connection but what was
- * not begun. */
-static bool connection_closes_behind(const struct connection *connection,
-				     const struct caller_request *request)
+/* RETURN VALUE: whether the answer closes the connection. No request that has
+ * been begun may be behind such an answer. */
+static bool connection_closes_after(const struct connection *connection,
+				    const struct caller_request *request)
 {
 	if (!request->keeps_alive || !request->body_done)
 		return true;
-	return connection->listener->closes && TAILQ_NEXT(request, link) == NULL;
+	return connection->listener->announces_close &&
+	       TAILQ_NEXT(request, link) == NULL;
 }
 
 static void connection_open_window(struct caller_request *request)
@@ -169,8 +176,8 @@
 		call_open_window(request->call);
 }
 
-/* RETURN VALUE: whether the connection goes on. */
-static bool connection_write_front(struct connection *connection)
+/* RETURN VALUE: false if the connection ends after what was written. */
+static bool connection_write_answers(struct connection *connection)
 {
 	struct caller_request *request;
 	enum request_progress progress;
@@ -179,15 +186,15 @@
 	while ((request = TAILQ_FIRST(&connection->requests))) {
 		connection_open_window(request);
 		progress = request_write(
-			request, connection->out, OUT_BYTES,
-			connection_closes_behind(connection, request));
-		connection->has_more = progress == REQUEST_FULL;
+			request, connection->out, OUTPUT_BUFFER_MAX,
+			connection_closes_after(connection, request));
+		connection->output_full = progress == REQUEST_FULL;
 		if (progress == REQUEST_WAITS || progress == REQUEST_FULL)
 			return true;
 		closes = request->closes || progress == REQUEST_BROKEN;
-		connection->resets = progress == REQUEST_BROKEN &&
-				     request->framing == RESPONSE_UNTIL_CLOSE;
-		connection_remove(connection, request);
+		connection->must_reset = progress == REQUEST_BROKEN &&
+					 request->framing == RESPONSE_UNTIL_CLOSE;
+		connection_remove_request(connection, request);
 		if (closes)
 			return false;
 	}
@@ -202,26 +209,29 @@
 
 	if (out->len == 0)
 		return true;
-	connection->out_most = MAX(connection->out_most, out->len);
+	connection->out_peak = MAX(connection->out_peak, out->len);
 	count = send(connection->fd, out->data, out->len, MSG_NOSIGNAL);
 	if (count < 0)
 		return errno == EAGAIN || errno == EINTR;
 	g_byte_array_remove_range(out, 0, (guint)count);
-	buffer_trim(&connection->out, &connection->out_most);
+	buffer_trim(&connection->out, &connection->out_peak);
 	connection->active_us = clock_mono_us();
 	return true;
 }
 
-/* The last byte was given to the kernel. */
+/* Called once the kernel has taken the last byte. */
 static void connection_end_output(struct connection *connection)
 {
 	shutdown(connection->fd, SHUT_WR);
 	timer_restart_us(connection_loop(connection), &connection->idle,
-			 LINGER_US);
+			 LINGER_TIMEOUT_US);
 }
 
-/* The caller of an answer that ends with the connection takes an end for the
- * answer's own; only a reset tells it that there was more. */
+/*
+ * Called for an incomplete answer that ends with the connection. Its caller
+ * would take a normal close for the end of the answer; a reset is an error to
+ * it.
+ */
 static void connection_reset(struct connection *connection)
 {
 	struct linger linger = {.l_onoff = 1};
@@ -231,75 +241,77 @@
 	connection_destroy(connection);
 }
 
-/* Nothing more is sent but what was written already. */
-static void connection_close_behind(struct connection *connection)
+/* Sends what is already in the output buffer and nothing more. */
+static void connection_start_linger(struct connection *connection)
 {
-	connection_remove_all(connection);
+	connection_remove_all_requests(connection);
 	connection->lingers = true;
 	g_byte_array_set_size(connection->in, 0);
 	if (connection->out->len == 0)
 		connection_end_output(connection);
 }
 
-static void connection_watch_output(struct connection *connection)
+static void connection_update_write_event(struct connection *connection)
 {
 	struct ev_loop *loop = connection_loop(connection);
 
-	if (connection->out->len > 0 || connection->has_more)
+	if (connection->out->len > 0 || connection->output_full)
 		ev_io_start(loop, &connection->write);
 	else
 		ev_io_stop(loop, &connection->write);
 }
 
 /*
- * Writes what may be written. Fed once for all that came in one turn, so that
- * the head and the body of a short answer leave in one packet.
+ * Writes the answers whose turn has come. connection_wake() feeds one event for
+ * everything that arrives in one loop iteration, so that the head and the body
+ * of a short answer leave in one packet.
  */
 static void handle_write(struct ev_loop *loop, ev_io *io, int events)
 {
 	struct connection *connection = io->data;
-	bool goes_on = true;
+	bool stays_open = true;
 
 	(void)loop;
 	(void)events;
 	if (!connection->lingers)
-		goes_on = connection_write_front(connection);
+		stays_open = connection_write_answers(connection);
 	if (!connection_send(connection)) {
 		connection_destroy(connection);
 		return;
 	}
-	if (!goes_on && connection->resets) {
+	if (!stays_open && connection->must_reset) {
 		connection_reset(connection);
 		return;
 	}
-	if (!goes_on)
-		connection_close_behind(connection);
+	if (!stays_open)
+		connection_start_linger(connection);
 	else if (connection->lingers && connection->out->len == 0)
 		connection_end_output(connection);
 	else if (!connection->lingers)
 		connection_parse(connection);
-	connection_watch_input(connection);
-	connection_watch_output(connection);
+	connection_update_read_event(connection);
+	connection_update_write_event(connection);
 }
 
-/* Its end in time. */
+/* Timeouts. */
 
-static int64_t connection_due_us(const struct connection *connection)
+static int64_t connection_timeout_at_us(const struct connection *connection)
 {
 	if (connection->lingers && connection->out->len == 0)
 		return 0;
 	if (connection->head_since_us)
-		return connection->head_since_us + HEAD_US;
+		return connection->head_since_us + HEAD_TIMEOUT_US;
 	if (connection->unanswered > 0 && connection->out->len == 0 &&
 	    !connection->in_body)
-		return clock_mono_us() + IDLE_US; /* its calls have a deadline */
-	return connection->active_us + IDLE_US;
+		return clock_mono_us() +
+		       IDLE_TIMEOUT_US; /* its calls have deadlines */
+	return connection->active_us + IDLE_TIMEOUT_US;
 }
 
 static void handle_idle(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct connection *connection = timer->data;
-	int64_t left_us = connection_due_us(connection) - clock_mono_us();
+	int64_t left_us = connection_timeout_at_us(connection) - clock_mono_us();
 
 	(void)events;
 	if (left_us <= 0) {
@@ -326,12 +338,13 @@
 	TAILQ_INIT(&connection->requests);
 	ev_io_init(&connection->read, handle_read, fd, EV_READ);
 	ev_io_init(&connection->write, handle_write, fd, EV_WRITE);
-	ev_timer_init(&connection->watch, handle_watch, 0.0, WATCH_S);
+	ev_timer_init(&connection->hangup_poll, handle_hangup_poll, 0.0,
+		      HANGUP_POLL_S);
 	ev_timer_init(&connection->idle, handle_idle,
-		      (double)IDLE_US / US_PER_S, 0.0);
+		      (double)IDLE_TIMEOUT_US / US_PER_S, 0.0);
 	connection->read.data = connection;
 	connection->write.data = connection;
-	connection->watch.data = connection;
+	connection->hangup_poll.data = connection;
 	connection->idle.data = connection;
 	ev_io_start(listener->daemon->loop, &connection->read);
 	ev_timer_start(listener->daemon->loop, &connection->idle);
@@ -344,12 +357,12 @@
 {
 	struct ev_loop *loop = connection_loop(connection);
 
-	connection_remove_all(connection);
-	/* Not even a request line could be read where none has begun. */
+	connection_remove_all_requests(connection);
+	/* No request line could be read on this connection. */
 	counters.caller_empty_connections += !connection->has_request;
 	ev_io_stop(loop, &connection->read);
 	ev_io_stop(loop, &connection->write);
-	ev_timer_stop(loop, &connection->watch);
+	ev_timer_stop(loop, &connection->hangup_poll);
 	ev_timer_stop(loop, &connection->idle);
 	close(connection->fd);
 	reader_finish(&connection->reader);
--- a/comfreydockd/caller/frames.c
+++ b/comfreydockd/caller/frames.c
@@ -5,8 +5,8 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-/* RETURN VALUE: NULL, counted, for an attempt that is over: a late or doubled
- * answer reaches nobody. */
+/* RETURN VALUE: NULL if the attempt is over, which is counted: a late or
+ * duplicate answer reaches no caller. */
 static struct entry_attempt *entry_find(struct entry *entry, struct peer *peer,
 					uint64_t seq)
 {
@@ -20,9 +20,9 @@
 }
 
 /*
- * An upstream that has crashed refuses each connection at once, so its slots
- * look free and it draws the calls. Told to health as a mere refusal, it would
- * stay in use for as long as its daemon lives.
+ * A crashed upstream refuses each connection at once, so its slots look free
+ * and it attracts calls. If health saw these as ordinary refusals, the upstream
+ * would stay in use for as long as its daemon lives.
  */
 static enum attempt_end refusal_end(Cfd__Reason reason)
 {
@@ -44,7 +44,7 @@
 	if (!attempt || !attempt_entry_step(&attempt->state, ENTRY_GET_NOT_RUN))
 		return;
 	feedback_note_end(attempt, end, not_run->load);
-	/* A refusal does no work: its time is the way there and back. */
+	/* A refusal does no work, so its duration is the network round trip. */
 	if (busy)
 		deadline_path_note(&attempt->upstream->path,
 				   clock_mono_us() - attempt->sent_us);
@@ -151,7 +151,7 @@
 	case CFD__FRAME__KIND_WINDOW:
 		attempt = entry_find(entry, peer, frame->window->seq);
 		if (attempt)
-			call_note_room(attempt, frame->window->bytes);
+			call_note_body_window(attempt, frame->window->bytes);
 		break;
 	default:
 		counters.peer_bad_frames++;
@@ -159,12 +159,12 @@
 	}
 }
 
-static void attempt_lose(struct entry_attempt *attempt)
+static void attempt_handle_link_lost(struct entry_attempt *attempt)
 {
-	bool left = peer_has_handed_over(attempt->peer, attempt->position);
+	bool was_sent = peer_has_handed_over(attempt->peer, attempt->position);
 
 	attempt_entry_step(&attempt->state,
-			   left ? ENTRY_LINK_LOST : ENTRY_LINK_LOST_UNSENT);
+			   was_sent ? ENTRY_LINK_LOST : ENTRY_LINK_LOST_UNSENT);
 	feedback_note_end(attempt, ATTEMPT_LOST, NULL);
 	if (attempt->state == ENTRY_NOT_RUN)
 		call_note_not_run(attempt, CFD__REASON__REASON_CONNECT, true, 0);
@@ -172,8 +172,8 @@
 		call_note_unknown(attempt, true);
 }
 
-/* Whatever one loss leads to may end other attempts of the same connection,
- * so the first of those left is taken each time. */
+/* Handling one lost attempt may end others of the same connection, so the loop
+ * takes the first remaining attempt each time. */
 static void handle_lost(struct peer *peer, const char *error, void *data)
 {
 	struct entry *entry = data;
@@ -182,7 +182,7 @@
 
 	(void)error;
 	while ((attempt = LIST_FIRST(list)))
-		attempt_lose(attempt);
+		attempt_handle_link_lost(attempt);
 	g_hash_table_remove(entry->by_peer, peer);
 }
 
--- a/comfreydockd/caller/beside.c
+++ b/comfreydockd/caller/parallel.c
@@ -6,7 +6,7 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-static int64_t call_typical_us(const struct call *call)
+static int64_t call_typical_service_us(const struct call *call)
 {
 	return (int64_t)call->service->picks.typical_service_us;
 }
@@ -20,16 +20,17 @@
 	call_fill_hedge_question(call, &question);
 	delay = hedge_delay_us(&call->service->hedge, &question, now);
 	if (delay >= 0)
-		call_start_timer(call, &call->hedge, delay);
+		call_start_timer(call, &call->hedge_timer, delay);
 }
 
 void call_stop_patience(struct call *call)
 {
-	ev_timer_stop(call->entry->daemon->loop, &call->patience);
-	call->is_impatient = false;
+	ev_timer_stop(call->entry->daemon->loop, &call->patience_timer);
+	call->awaits_verdict = false;
 }
 
-/* See deadline_patience_us(). */
+/* Restarts the time after which the owner is asked whether the attempt is
+ * overdue, see deadline_patience_us(). */
 void call_arm_patience(struct call *call)
 {
 	int64_t patience_us =
@@ -38,7 +39,7 @@
 	call_stop_patience(call);
 	if (patience_us < DEADLINE_VERDICT_MIN_US)
 		return;
-	call_start_timer(call, &call->patience, patience_us);
+	call_start_timer(call, &call->patience_timer, patience_us);
 }
 
 static void handle_hedge(struct ev_loop *loop, ev_timer *timer, int events)
@@ -50,7 +51,8 @@
 
 	(void)loop;
 	(void)events;
-	if (LIST_EMPTY(&call->active) || !call->body_ends || call->body_streams)
+	if (LIST_EMPTY(&call->active) || !call->body_ends ||
+	    call->body_exceeds_buffer)
 		return;
 	call_fill_hedge_question(call, &question);
 	if (!hedge_take(&call->service->hedge, &question, now))
@@ -65,9 +67,10 @@
 }
 
 /*
- * The attempt that is out gives nothing: its upstream hangs, or its host has
- * lost its power. Another is sent beside it, within the budget for repeats. The
- * first goes on: broken off, it would be lost where the second fails too.
+ * The outstanding attempt gives no answer: its upstream hangs, or its host has
+ * lost power. Sends a second attempt in parallel, within the retry budget. The
+ * first attempt keeps running: if it were cancelled and the second failed too,
+ * the call would have lost both.
  */
 static void call_overtake(struct call *call)
 {
@@ -77,8 +80,8 @@
 	enum retry_verdict verdict;
 	int64_t now = clock_mono_us();
 
-	call->is_impatient = false;
-	if (!slow || LIST_NEXT(slow, link) || call->body_streams ||
+	call->awaits_verdict = false;
+	if (!slow || LIST_NEXT(slow, link) || call->body_exceeds_buffer ||
 	    !call->body_ends)
 		return;
 	call_fill_retry_question(call, RETRY_OUTCOME_UNKNOWN, &question);
@@ -86,12 +89,13 @@
 			       &call->entry->random, now)
 			  .verdict;
 	if (verdict != RETRY_GO) {
-		call_note(call, EV_ENTRY_NOT_OVERTAKEN,
-			  LOG_STR("host", slow->upstream->host),
-			  LOG_STR("verdict", retry_verdict_name(verdict)),
-			  LOG_INT("budget_left",
-				  (int64_t)retry_left(&call->service->retry, now)),
-			  LOG_INT("out_us", now - slow->sent_us));
+		call_log_event(
+			call, EV_ENTRY_NOT_OVERTAKEN,
+			LOG_STR("host", slow->upstream->host),
+			LOG_STR("verdict", retry_verdict_name(verdict)),
+			LOG_INT("budget_left",
+				(int64_t)retry_left(&call->service->retry, now)),
+			LOG_INT("out_us", now - slow->sent_us));
 		return;
 	}
 	upstream = service_choose(call->service, &call->tried, now);
@@ -108,7 +112,7 @@
 {
 	struct call *call = attempt->call;
 
-	if (!call->is_impatient)
+	if (!call->awaits_verdict)
 		return;
 	if (is_overdue)
 		call_overtake(call);
@@ -116,17 +120,18 @@
 		call_arm_patience(call);
 }
 
-static void call_ask_owner(struct call *call)
+static void call_query_owner(struct call *call)
 {
 	struct entry_attempt *attempt = LIST_FIRST(&call->active);
 
-	call->is_impatient = true;
-	entry_attempt_ask(attempt);
-	call_start_timer(call, &call->patience,
+	call->awaits_verdict = true;
+	entry_attempt_query_overdue(attempt);
+	call_start_timer(call, &call->patience_timer,
 			 deadline_verdict_us(&attempt->upstream->path));
 }
 
-/* First to ask the owner; then, where it does not answer, to overtake it. */
+/* Asks the owner whether the attempt is overdue. If the owner has not replied
+ * by the next expiry, overtakes the attempt. */
 static void handle_patience(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct call *call = timer->data;
@@ -135,8 +140,8 @@
 	(void)events;
 	if (LIST_EMPTY(&call->active))
 		return;
-	if (!call->is_impatient) {
-		call_ask_owner(call);
+	if (!call->awaits_verdict) {
+		call_query_owner(call);
 		return;
 	}
 	service_upstream_note_mute(LIST_FIRST(&call->active)->upstream,
@@ -144,7 +149,7 @@
 	call_overtake(call);
 }
 
-static void handle_late(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_queue_timeout(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct call *call = timer->data;
 
@@ -152,35 +157,37 @@
 	(void)events;
 	if (call->answering)
 		return;
-	/* By then a slot that is taken now is most likely free. */
-	call->least_come_back_ms = (uint32_t)(call_typical_us(call) / US_PER_MS);
+	/* A slot that is busy now is most likely free after a typical run. */
+	call->min_come_back_ms =
+		(uint32_t)(call_typical_service_us(call) / US_PER_MS);
 	call_give_up(call);
 }
 
 /*
- * The first request of a connection is alone when its owner takes it, and may
- * wait there to its deadline. Without this, what came behind it waits as long,
- * although it has been answered. One notices entry.failed with the reason deadline
- * and a took_us far beyond the target, and late answers that an upstream gave in
- * time. What runs goes on.
+ * The first request of a connection has no other behind it when its owner takes
+ * it, so it may queue there until its deadline. Without this limit, the
+ * requests that arrive behind it wait as long, although their answers are
+ * ready. The symptoms are entry.failed with the reason deadline and a took_us
+ * far beyond the target, and late answers that an upstream gave in time. An
+ * attempt that already runs is not cancelled.
  */
 void call_hold_others(struct call *call)
 {
 	int64_t late_us = call->began_us + call->rule->target_ms * US_PER_MS -
-			  call_typical_us(call);
+			  call_typical_service_us(call);
 
 	if (call->holds_others || call->rule->target_ms == 0)
 		return;
 	call->holds_others = true;
-	call_start_timer(call, &call->hold, late_us - clock_mono_us());
+	call_start_timer(call, &call->queue_timer, late_us - clock_mono_us());
 }
 
-void call_init_beside(struct call *call)
+void call_init_parallel(struct call *call)
 {
-	ev_init(&call->hold, handle_late);
-	call->hold.data = call;
-	ev_init(&call->hedge, handle_hedge);
-	ev_init(&call->patience, handle_patience);
-	call->hedge.data = call;
-	call->patience.data = call;
+	ev_init(&call->queue_timer, handle_queue_timeout);
+	call->queue_timer.data = call;
+	ev_init(&call->hedge_timer, handle_hedge);
+	ev_init(&call->patience_timer, handle_patience);
+	call->hedge_timer.data = call;
+	call->patience_timer.data = call;
 }
--- a/comfreydockd/caller/reader.c
+++ b/comfreydockd/caller/reader.c
@@ -14,7 +14,8 @@
 	return parser->data;
 }
 
-/* A head is given in one piece, and so are its parts. */
+/* The parser gets a whole head at once, so each callback gets its whole part at
+ * once. */
 
 static int handle_url(http_parser *parser, const char *bytes, size_t size)
 {
@@ -40,8 +41,8 @@
 	struct reader *reader = reader_of(parser);
 	char *value;
 
-	if (reader->head_ends)
-		return 0; /* of a trailer, which is not passed on */
+	if (reader->head_complete)
+		return 0; /* a trailer field, which is not forwarded */
 	while (size > 0 && (bytes[size - 1] == ' ' || bytes[size - 1] == '\t'))
 		size--;
 	value = g_strndup(bytes, size);
@@ -52,7 +53,7 @@
 
 static int handle_head_end(http_parser *parser)
 {
-	reader_of(parser)->head_ends = true;
+	reader_of(parser)->head_complete = true;
 	return 0;
 }
 
@@ -63,10 +64,10 @@
 	return 0;
 }
 
-/* What follows belongs to the next request. */
+/* Pauses the parser: the bytes that follow belong to the next request. */
 static int handle_message_end(http_parser *parser)
 {
-	reader_of(parser)->is_whole = true;
+	reader_of(parser)->is_complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -80,15 +81,15 @@
 	.on_message_complete = handle_message_end,
 };
 
-/* Makes ready for the next request. */
+/* Prepares for the next request. */
 static void reader_reset(struct reader *reader)
 {
 	http_parser_init(&reader->parser, HTTP_REQUEST);
 	reader->parser.data = reader;
 	reader->line = (struct reader_line){.is_first = true};
 	reader->in_body = false;
-	reader->is_whole = false;
-	reader->head_ends = false;
+	reader->is_complete = false;
+	reader->head_complete = false;
 	head_finish(&reader->head);
 	head_init(&reader->head, "");
 }
@@ -138,7 +139,7 @@
 
 static const char *line_byte_fault(const struct reader_line *line, uint8_t byte)
 {
-	/* In the request line the library refuses it. */
+	/* The HTTP library refuses a NUL byte in the request line. */
 	if (byte == '\0' && !line->is_first)
 		return "the head holds a NUL byte";
 	if ((byte == '\n') != line->after_cr)
@@ -149,10 +150,10 @@
 }
 
 /*
- * Looks at the lines of a head, from where it stopped.
+ * Scans the lines of a head, from where the last call stopped.
  *
- * RETURN VALUE: the head's size; 0 if its end has not come, or for a fault,
- * which is then set.
+ * RETURN VALUE: the head's size; 0 if its end has not arrived, or on a fault,
+ * which is then in reader->fault.
  */
 static size_t reader_find_end(struct reader *reader, const uint8_t *bytes,
 			      size_t size)
@@ -176,7 +177,7 @@
 	return 0;
 }
 
-/* RFC 9112 wants an empty line before a request to be passed over. */
+/* RFC 9112, section 2.2: empty lines before a request are to be ignored. */
 static size_t count_empty_lines(const uint8_t *bytes, size_t size)
 {
 	size_t count = 0;
@@ -192,7 +193,7 @@
 	const char *fault;
 
 	reader_get_head(reader, &head);
-	fault = head_fault(&reader->head, head.method, head.is_1_0);
+	fault = head_fault(&reader->head, head.method, head.is_http_1_0);
 	if (fault)
 		return reader_fail(reader, STATUS_BAD_REQUEST, fault);
 	return READER_HEAD;
@@ -217,7 +218,7 @@
 				   "this is no HTTP/1.1 request");
 	parsed = http_parser_execute(&reader->parser, &callbacks,
 				     (const char *)bytes, length);
-	if (parsed != length || !reader->head_ends)
+	if (parsed != length || !reader->head_complete)
 		return reader_fail(reader, STATUS_BAD_REQUEST,
 				   http_errno_description(
 					   HTTP_PARSER_ERRNO(&reader->parser)));
@@ -236,11 +237,11 @@
 	parsed = http_parser_execute(&reader->parser, &callbacks,
 				     (const char *)bytes, size);
 	*used = parsed;
-	if (parsed != size && !reader->is_whole)
+	if (parsed != size && !reader->is_complete)
 		return reader_fail(reader, STATUS_BAD_REQUEST,
 				   http_errno_description(
 					   HTTP_PARSER_ERRNO(&reader->parser)));
-	if (reader->body->len || reader->is_whole)
+	if (reader->body->len || reader->is_complete)
 		return READER_BODY;
 	return READER_NEEDS_BYTES;
 }
@@ -251,7 +252,7 @@
 	*used = 0;
 	if (reader->fault)
 		return READER_FAULT;
-	if (reader->is_whole)
+	if (reader->is_complete)
 		reader_reset(reader);
 	if (reader->in_body)
 		return size ? reader_read_body(reader, bytes, size, used) :
@@ -270,10 +271,10 @@
 	*head = (struct reader_head){
 		.head = &reader->head,
 		.method = http_method_str((enum http_method)reader->parser.method),
-		.is_1_0 = reader->parser.http_minor == 0,
+		.is_http_1_0 = reader->parser.http_minor == 0,
 		.keeps_alive = http_should_keep_alive(&reader->parser) != 0,
 		.awaits_continue = expects && strcasecmp(expects, CONTINUE) == 0,
-		.ends = reader->is_whole,
+		.ends = reader->is_complete,
 	};
 }
 
@@ -282,7 +283,7 @@
 	*body = (struct reader_body){
 		.bytes = reader->body->data,
 		.size = reader->body->len,
-		.ends = reader->is_whole,
+		.ends = reader->is_complete,
 	};
 }
 
--- a/comfreydockd/caller/request.c
+++ b/comfreydockd/caller/request.c
@@ -7,8 +7,8 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-/* An answer that is no longer is written only once it is whole. */
-#define WHOLE_BYTES (16 * 1024)
+/* An answer up to this size is written only once it is complete. */
+#define BUFFERED_ANSWER_MAX (16 * 1024)
 #define STATUS_LOST 502
 
 struct caller_request *request_create(struct connection *connection)
@@ -29,7 +29,7 @@
 	g_free(request);
 }
 
-/* What the call tells. */
+/* Callbacks from the call. */
 
 static void handle_head(void *data, unsigned int status, struct fields *fields,
 			int64_t length)
@@ -57,7 +57,7 @@
 	struct caller_request *request = data;
 
 	request->call = NULL;
-	request->answer_ends = true;
+	request->answer_complete = true;
 	connection_wake(request->connection);
 }
 
@@ -68,7 +68,7 @@
 
 	request->call = NULL;
 	request->has_answer = true;
-	request->answer_ends = true;
+	request->answer_complete = true;
 	request->status = reply->status;
 	request->come_back_ms = reply->come_back_ms;
 	request->answered_us = clock_mono_us();
@@ -85,10 +85,11 @@
 }
 
 /*
- * An upstream broke off its answer. Had some of it gone out, only a broken
- * connection could tell the caller; and with it the answers of all requests
- * behind would be lost, though their upstreams are sound. What is still here
- * as a whole is replaced by a failure that says as little as is known.
+ * The upstream broke off its answer. If the answer's head is written, only a
+ * broken connection can tell the caller, and the answers to all requests behind
+ * it are lost too, although their upstreams are healthy. If nothing is written
+ * yet, the answer is replaced by a failure of unknown outcome, and the
+ * connection stays open.
  */
 static void handle_abort(void *data)
 {
@@ -109,12 +110,12 @@
 	request_set_reply(request, &reply);
 }
 
-static void handle_whole(void *data, struct call_reply *reply)
+static void handle_reply(void *data, struct call_reply *reply)
 {
 	request_set_reply(data, reply);
 }
 
-static void handle_room(void *data)
+static void handle_body_window(void *data)
 {
 	struct caller_request *request = data;
 
@@ -126,13 +127,13 @@
 	.handle_body = handle_body,
 	.handle_end = handle_end,
 	.handle_abort = handle_abort,
-	.handle_whole = handle_whole,
-	.handle_room = handle_room,
+	.handle_reply = handle_reply,
+	.handle_body_window = handle_body_window,
 };
 
-/* The answer's way out. */
+/* Writing the answer. */
 
-static size_t request_left(const struct caller_request *request)
+static size_t request_unwritten(const struct caller_request *request)
 {
 	return request->body->len - request->body_start;
 }
@@ -142,11 +143,12 @@
 {
 	if (!request->has_answer)
 		return false;
-	return request->answer_ends || request_left(request) >= WHOLE_BYTES ||
-	       request->length < 0 || request->length > WHOLE_BYTES;
+	return request->answer_complete ||
+	       request_unwritten(request) >= BUFFERED_ANSWER_MAX ||
+	       request->length < 0 || request->length > BUFFERED_ANSWER_MAX;
 }
 
-/* The time in the refusal counts from when it is sent. */
+/* The time to come back counts from the moment that the refusal is sent. */
 static void request_add_come_back(struct caller_request *request)
 {
 	int64_t waited_ms = (clock_mono_us() - request->answered_us) / US_PER_MS;
@@ -165,8 +167,8 @@
 		.status = request->status,
 		.fields = &request->fields,
 		.length = request->length,
-		.is_to_head = request->is_to_head,
-		.is_1_0 = request->is_1_0,
+		.is_head_method = request->is_head_method,
+		.is_http_1_0 = request->is_http_1_0,
 		.closes = closes,
 	};
 
@@ -176,14 +178,14 @@
 	request->closes = closes || request->framing == RESPONSE_UNTIL_CLOSE;
 }
 
-static void request_write_some(struct caller_request *request, GByteArray *out,
+static void request_write_body(struct caller_request *request, GByteArray *out,
 			       size_t size)
 {
 	response_write_body(out, request->framing,
 			    request->body->data + request->body_start, size);
 	request->body_start += size;
 	request->written += (int64_t)size;
-	if (request_left(request) == 0) {
+	if (request_unwritten(request) == 0) {
 		g_byte_array_set_size(request->body, 0);
 		request->body_start = 0;
 	}
@@ -191,20 +193,23 @@
 		call_note_consumed(request->call, size);
 }
 
-/* Another length than was told: what follows would be read as part of it, or
- * it as part of what follows. */
+/*
+ * RETURN VALUE: whether the body does not fit the length in the head. The
+ * caller would take its surplus bytes for the next answer, or the next answer
+ * for its missing bytes.
+ */
 static bool request_has_wrong_length(const struct caller_request *request)
 {
-	int64_t known = request->written + (int64_t)request_left(request);
+	int64_t known = request->written + (int64_t)request_unwritten(request);
 
 	if (request->framing != RESPONSE_LENGTH)
 		return false;
 	return known > request->length ||
-	       (request->answer_ends && known < request->length);
+	       (request->answer_complete && known < request->length);
 }
 
 enum request_progress request_write(struct caller_request *request,
-				    GByteArray *out, size_t most, bool closes)
+				    GByteArray *out, size_t max_size, bool closes)
 {
 	size_t room;
 
@@ -215,11 +220,11 @@
 	}
 	if (request->aborted || request_has_wrong_length(request))
 		return REQUEST_BROKEN;
-	room = most > out->len ? most - out->len : 0;
-	request_write_some(request, out, MIN(room, request_left(request)));
-	if (request_left(request) > 0)
+	room = max_size > out->len ? max_size - out->len : 0;
+	request_write_body(request, out, MIN(room, request_unwritten(request)));
+	if (request_unwritten(request) > 0)
 		return REQUEST_FULL;
-	if (!request->answer_ends)
+	if (!request->answer_complete)
 		return REQUEST_WAITS;
 	response_write_end(out, request->framing);
 	return REQUEST_ANSWERED;
--- a/tests/reader_record.c
+++ b/tests/reader_record.c
@@ -4,7 +4,8 @@
 
 #include "comfreydockd/caller/reader.h"
 
-/* What was read, as text; bodies are joined, as pieces depend on the reads. */
+/* The events as text. The pieces of a body are joined, as they depend on the
+ * reads. */
 struct record {
 	GString *text;
 	GString *body;
@@ -15,10 +16,10 @@
 	struct reader_head head;
 
 	reader_get_head(reader, &head);
-	g_string_append_printf(record->text, "%s %s %s%s%s", head.method,
-			       head.head->target, head.is_1_0 ? "1.0" : "1.1",
-			       head.keeps_alive ? " keeps" : "",
-			       head.ends ? " ends" : "");
+	g_string_append_printf(
+		record->text, "%s %s %s%s%s", head.method, head.head->target,
+		head.is_http_1_0 ? "1.0" : "1.1",
+		head.keeps_alive ? " keeps" : "", head.ends ? " ends" : "");
 	for (size_t i = 0; i < head.head->fields.count; i++)
 		g_string_append_printf(record->text, " %s=%s",
 				       head.head->fields.items[i]->name,
@@ -42,7 +43,7 @@
 	g_string_truncate(record->body, 0);
 }
 
-/* RETURN VALUE: whether it goes on. */
+/* RETURN VALUE: whether the reader may have another event. */
 static bool record_event(struct record *record, const struct reader *reader,
 			 enum reader_event event)
 {
--- a/tests/test_reader.c
+++ b/tests/test_reader.c
@@ -29,7 +29,7 @@
 	return g_string_free(reader_record(bytes, size, step, MAX_HEAD), FALSE);
 }
 
-/* Bytes come in whatever pieces the network makes of them. */
+/* The network may split a stream at any byte. */
 static void test_pieces(void)
 {
 	for (size_t step = 1; step <= strlen(stream); step++) {
@@ -40,12 +40,9 @@
 	}
 }
 
-/*
- * Somebody looks for bytes of which two readers make two things. Whatever they
- * are, they must mean the same however they are cut into pieces; else a request
- * could be hidden behind a pause.
- */
-static void test_spoilt_in_pieces(void)
+/* Guards against bytes that the reader parses differently depending on how they
+ * are split: an attacker could hide a request behind a pause. */
+static void test_corrupted_stream_in_pieces(void)
 {
 	static const char odd[] = "\r\n\0 \t:;,0123456789abcdefGETPOSTHTTP/.-+";
 	char bytes[sizeof(stream)];
@@ -79,7 +76,7 @@
 	g_assert_nonnull(reader_fault(&reader, &status));
 	g_assert_cmpuint(status, >=, 400);
 	g_assert_cmpint(reader_is_http(&reader), ==, is_http);
-	/* It stays so, whatever follows. */
+	/* The fault stays, whatever follows. */
 	g_assert_cmpint(reader_read(&reader, (const uint8_t *)stream,
 				    strlen(stream), &used),
 			==, READER_FAULT);
@@ -89,8 +86,9 @@
 #define EXPECT_FAULT(text, is_http) \
 	expect_fault(text, sizeof(text) - 1, is_http)
 
-/* Each is one request to some readers and another, or two, to others. */
-static void test_forms_with_two_meanings(void)
+/* Some parsers take each of these for one request, others for another one or
+ * for two. */
+static void test_ambiguous_requests(void)
 {
 	EXPECT_FAULT("GET / HTTP/1.1\nHost: h\n\n", false);
 	EXPECT_FAULT("GET / HTTP/1.1\r\nHost: h\n\r\n", true);
@@ -131,8 +129,9 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/reader/pieces", test_pieces);
-	g_test_add_func("/reader/spoilt-in-pieces", test_spoilt_in_pieces);
-	g_test_add_func("/reader/two-meanings", test_forms_with_two_meanings);
+	g_test_add_func("/reader/corrupted-in-pieces",
+			test_corrupted_stream_in_pieces);
+	g_test_add_func("/reader/ambiguous", test_ambiguous_requests);
 	g_test_add_func("/reader/head-too-large", test_head_too_large);
 	return g_test_run();
 }
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -10,7 +10,7 @@
 
 static unsigned int wakes;
 
-/* The connection is the test's own. */
+/* Stubs of the functions of connection.c that request.c calls. */
 void connection_wake(struct connection *connection)
 {
 	(void)connection;
@@ -101,12 +101,13 @@
 }
 
 /*
- * An upstream breaks off a short answer after its head. Had the head gone out,
- * the connection would have to break, and the callers' requests behind it on
- * the connection would be lost with it. The caller gets a failure instead, and
- * its other requests go on.
+ * Guards against the loss of other requests when an upstream breaks off a short
+ * answer after its head. If the head were written by then, the connection would
+ * have to break, and all requests behind this one would be lost with it. The
+ * caller must get a failure instead, and the connection must stay open.
  */
-static void test_breaks_off_before_its_turn(struct fixture *f, gconstpointer data)
+static void test_abort_before_head_is_written(struct fixture *f,
+					      gconstpointer data)
 {
 	(void)data;
 	give_head(f, 5);
@@ -119,9 +120,9 @@
 	g_assert_false(f->request->closes);
 }
 
-/* Of a long answer the head is out; ended in its middle, it must not look
- * whole. */
-static void test_breaks_off_midway(struct fixture *f, gconstpointer data)
+/* Guards against an answer that looks complete although its upstream broke it
+ * off after the head was written. */
+static void test_abort_after_head_is_written(struct fixture *f, gconstpointer data)
 {
 	(void)data;
 	give_head(f, 1000000);
@@ -131,8 +132,8 @@
 	g_assert_cmpint(write_out(f), ==, REQUEST_BROKEN);
 }
 
-/* An upstream sends more, or less, than it told. What is over would be read as
- * the next answer. */
+/* Guards against an answer that is longer or shorter than its Content-Length:
+ * the caller would take surplus bytes for the next answer. */
 static void test_wrong_length(struct fixture *f, gconstpointer data)
 {
 	(void)data;
@@ -143,9 +144,10 @@
 }
 
 /*
- * A refusal stands behind a lookup that takes 300 ms. Its caller reads it only
- * then; told to come back after 400 ms from that moment, it would come 300 ms
- * after there was room.
+ * Guards against a come-back time that is too long for a refusal behind a
+ * lookup of 300 ms. The caller reads the refusal only after the lookup's
+ * answer. If 400 ms counted from then, it would come back 300 ms after there is
+ * room.
  */
 static void test_come_back_counts_from_sending(struct fixture *f,
 					       gconstpointer data)
@@ -154,7 +156,7 @@
 		.status = 503, .come_back_ms = 400, .text = "not run\n"};
 
 	(void)data;
-	request_sink.handle_whole(f->request, &reply);
+	request_sink.handle_reply(f->request, &reply);
 	paused_clock_advance_us(300 * US_PER_MS);
 	g_assert_cmpint(write_out(f), ==, REQUEST_ANSWERED);
 	g_assert_true(has_text(f, FIELD_RETRY_AFTER_MS ": 100\r\n"));
@@ -168,8 +170,8 @@
 	g_test_init(&argc, &argv, NULL);
 	ADD("/request/whole", test_whole_in_one_piece);
 	ADD("/request/chunks", test_chunks);
-	ADD("/request/breaks-before-turn", test_breaks_off_before_its_turn);
-	ADD("/request/breaks-midway", test_breaks_off_midway);
+	ADD("/request/abort-before-head", test_abort_before_head_is_written);
+	ADD("/request/abort-after-head", test_abort_after_head_is_written);
 	ADD("/request/wrong-length", test_wrong_length);
 	ADD("/request/come-back", test_come_back_counts_from_sending);
 	return g_test_run();
