--- a/bench/capacity/bench_routes.c
+++ b/bench/capacity/bench_routes.c
@@ -81,7 +81,7 @@
 	cost->read_ms = now_ms() - began;
 	began = now_ms();
 	config_body_sha256(body, strlen(body), taken.sha256);
-	g_assert_cmpint(config_store_take(store, &taken, body), ==,
+	g_assert_cmpint(config_store_offer_trusted(store, &taken, body), ==,
 			CONFIG_OFFER_ADOPTED);
 	cost->adopt_ms = now_ms() - began;
 	g_free(body);
--- a/comfreydockd/assembly.c
+++ b/comfreydockd/assembly.c
@@ -269,7 +269,7 @@
 	const struct config_platform_ops *ops = NULL;
 
 	if (daemon->platform)
-		config_store_expect_word(daemon->config);
+		config_store_expect_told(daemon->config);
 	if (daemon->platform && !daemon->settings->follows_platform) {
 		ops = &config_platform_ops;
 		assembly->config_platform =
--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -163,9 +163,10 @@
 static const char *call_draw_group(struct entry *entry,
 				   const struct config_rule *rule)
 {
-	uint64_t weights = config_rule_weights(rule);
+	uint64_t weights = config_rule_total_weight(rule);
 
-	return config_rule_draw(rule, random_below(&entry->random, weights));
+	return config_rule_select_group(rule,
+					random_below(&entry->random, weights));
 }
 
 static struct call *call_create(struct entry *entry,
--- a/comfreydockd/config/apply.c
+++ b/comfreydockd/config/apply.c
@@ -238,7 +238,7 @@
  * outcome stayed unknown counts as well. A row that has moved so far that
  * our version is forgotten leaves a lost answer unknown.
  */
-static void settle_moved(struct config_apply *apply)
+static void resolve_moved_row(struct config_apply *apply)
 {
 	const struct config_commit *commit =
 		config_history_find(&apply->history, apply->commit.version);
@@ -279,7 +279,7 @@
 	}
 	apply->row_version = row_version;
 	if (version_in_force(apply) != apply->base)
-		settle_moved(apply);
+		resolve_moved_row(apply);
 	else if (apply->body_is_put)
 		read_head(apply);
 	else
--- a/comfreydockd/config/check.c
+++ b/comfreydockd/config/check.c
@@ -50,7 +50,8 @@
 	schema_finish(&measure);
 }
 
-static void read_reach(struct schema *schema, struct config_service *service)
+static void read_hosts_and_prefixes(struct schema *schema,
+				    struct config_service *service)
 {
 	service->hosts = schema_strings(schema, "hosts", SCHEMA_OPTIONAL);
 	service->path_prefixes =
@@ -70,7 +71,7 @@
 }
 
 /* RETURN VALUE: the first word that stands in both lists, or NULL. */
-static const char *find_common(char **a, char **b, bool ignore_case)
+static const char *find_common_string(char **a, char **b, bool ignore_case)
 {
 	for (char **left = a; left && *left; left++) {
 		for (char **right = b; right && *right; right++) {
@@ -88,9 +89,9 @@
 	for (guint i = 0; i < services->len; i++) {
 		const struct config_service *other = services->pdata[i];
 		const char *host =
-			find_common(service->hosts, other->hosts, true);
-		const char *path = find_common(service->path_prefixes,
-					       other->path_prefixes, false);
+			find_common_string(service->hosts, other->hosts, true);
+		const char *path = find_common_string(
+			service->path_prefixes, other->path_prefixes, false);
 
 		if (host)
 			schema_error(schema, "hosts",
@@ -118,7 +119,7 @@
 			schema,
 			NULL, "the name may hold up to %d letters, digits, '-', '_' and '.'",
 			CONFIG_NAME_MAX_BYTES);
-	read_reach(schema, service);
+	read_hosts_and_prefixes(schema, service);
 	check_overlap(schema, ns->services, service);
 	service->group = schema_name(schema, "group", SCHEMA_OPTIONAL,
 				     CONFIG_NAME_MAX_BYTES);
@@ -150,10 +151,11 @@
 	schema_finish(&services);
 }
 
-static struct config_upstreams *read_upstreams(struct schema *schema,
-					       const char *group)
+static struct config_group_settings *read_group_settings(struct schema *schema,
+							 const char *group)
 {
-	struct config_upstreams *upstreams = g_new0(struct config_upstreams, 1);
+	struct config_group_settings *upstreams =
+		g_new0(struct config_group_settings, 1);
 
 	upstreams->group = g_strdup(group);
 	upstreams->health_path =
@@ -177,7 +179,7 @@
 			schema_init_child(&schema, &groups, name,
 					  SCHEMA_REQUIRED);
 			g_ptr_array_add(ns->upstreams,
-					read_upstreams(&schema, name));
+					read_group_settings(&schema, name));
 			schema_finish(&schema);
 		}
 	}
@@ -247,18 +249,20 @@
 	char *path = g_strdup_printf("services.%s", service->name);
 
 	for (guint i = 0; i < other->services->len; i++) {
-		const struct config_service *theirs = other->services->pdata[i];
-		const char *word =
-			find_common(service->hosts, theirs->hosts, true);
+		const struct config_service *other_service =
+			other->services->pdata[i];
+		const char *word = find_common_string(
+			service->hosts, other_service->hosts, true);
 
 		if (!word)
-			word = find_common(service->path_prefixes,
-					   theirs->path_prefixes, false);
+			word = find_common_string(service->path_prefixes,
+						  other_service->path_prefixes,
+						  false);
 		if (word)
 			findings_add(findings, FINDING_ERROR, file, 0, path,
 				     "\"%s\" belongs to service \"%s\" of "
 				     "namespace \"%s\" already",
-				     word, theirs->name, other->name);
+				     word, other_service->name, other->name);
 	}
 	g_free(path);
 }
--- a/comfreydockd/config/check_rules.c
+++ b/comfreydockd/config/check_rules.c
@@ -89,7 +89,7 @@
 	else if (!array)
 		schema_error(schema, "to",
 			     "is needed where the service has no group");
-	else if (config_rule_weights(rule) == 0)
+	else if (config_rule_total_weight(rule) == 0)
 		schema_error(schema, "to", "needs a weight above 0");
 }
 
@@ -119,8 +119,8 @@
 	return rule;
 }
 
-static bool rule_covers(const struct config_rule *first,
-			const struct config_rule *later)
+static bool rule_shadows(const struct config_rule *first,
+			 const struct config_rule *later)
 {
 	if (!g_str_has_prefix(later->path_prefix, first->path_prefix))
 		return false;
@@ -135,25 +135,25 @@
 
 /* The rules of a service that were read, to find those before a rule that
  * cover it: one by one, 3,000 rules would take millions of comparisons. */
-struct reach {
+struct rule_index {
 	GHashTable *names;
 	GHashTable *by_prefix; /* path prefix -> GPtrArray of rules */
 	uint64_t lengths; /* of the prefixes, modulo 64, a bit each */
 };
 
-static void reach_init(struct reach *reach)
+static void rule_index_init(struct rule_index *rule_index)
 {
-	reach->lengths = 0;
-	reach->names = g_hash_table_new(g_str_hash, g_str_equal);
-	reach->by_prefix =
+	rule_index->lengths = 0;
+	rule_index->names = g_hash_table_new(g_str_hash, g_str_equal);
+	rule_index->by_prefix =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 				      (GDestroyNotify)g_ptr_array_unref);
 }
 
-static void reach_finish(struct reach *reach)
+static void rule_index_finish(struct rule_index *rule_index)
 {
-	g_hash_table_unref(reach->names);
-	g_hash_table_unref(reach->by_prefix);
+	g_hash_table_unref(rule_index->names);
+	g_hash_table_unref(rule_index->by_prefix);
 }
 
 static uint64_t length_bit(size_t length)
@@ -161,28 +161,30 @@
 	return UINT64_C(1) << (length % 64);
 }
 
-static void reach_add(struct reach *reach, const struct config_rule *rule)
+static void rule_index_add(struct rule_index *rule_index,
+			   const struct config_rule *rule)
 {
 	GPtrArray *rules =
-		g_hash_table_lookup(reach->by_prefix, rule->path_prefix);
+		g_hash_table_lookup(rule_index->by_prefix, rule->path_prefix);
 
 	if (!rules) {
 		rules = g_ptr_array_new();
-		g_hash_table_insert(reach->by_prefix, rule->path_prefix, rules);
-		reach->lengths |= length_bit(strlen(rule->path_prefix));
+		g_hash_table_insert(rule_index->by_prefix, rule->path_prefix,
+				    rules);
+		rule_index->lengths |= length_bit(strlen(rule->path_prefix));
 	}
 	g_ptr_array_add(rules, (gpointer)rule);
 	if (rule->name)
-		g_hash_table_add(reach->names, rule->name);
+		g_hash_table_add(rule_index->names, rule->name);
 }
 
-static void check_covers(struct schema *schema, const GPtrArray *rules,
-			 const struct config_rule *rule)
+static void check_shadowing(struct schema *schema, const GPtrArray *rules,
+			    const struct config_rule *rule)
 {
 	for (guint i = 0; rules && i < rules->len; i++) {
 		const struct config_rule *first = rules->pdata[i];
 
-		if (rule_covers(first, rule))
+		if (rule_shadows(first, rule))
 			schema_error(schema, NULL,
 				     "never applies: rule \"%s\" before it "
 				     "covers all it matches",
@@ -191,19 +193,21 @@
 }
 
 /* The first match wins, so a rule behind a wider one would never apply. */
-static void check_reach(struct schema *schema, const struct reach *reach,
-			const struct config_rule *rule)
+static void check_reachable(struct schema *schema,
+			    const struct rule_index *rule_index,
+			    const struct config_rule *rule)
 {
 	char *prefix = g_strdup(rule->path_prefix);
 
-	if (rule->name && g_hash_table_contains(reach->names, rule->name))
+	if (rule->name && g_hash_table_contains(rule_index->names, rule->name))
 		schema_error(schema, "name", "another rule has this name");
 	for (size_t length = strlen(prefix); length > 0; length--) {
 		prefix[length] = '\0';
-		if (!(reach->lengths & length_bit(length)))
+		if (!(rule_index->lengths & length_bit(length)))
 			continue;
-		check_covers(schema,
-			     g_hash_table_lookup(reach->by_prefix, prefix), rule);
+		check_shadowing(schema,
+				g_hash_table_lookup(rule_index->by_prefix, prefix),
+				rule);
 	}
 	g_free(prefix);
 }
@@ -251,11 +255,11 @@
 {
 	json_object *array = schema_array(schema, "rules", SCHEMA_REQUIRED);
 	size_t length = array ? json_object_array_length(array) : 0;
-	struct reach reach;
+	struct rule_index rule_index;
 
 	if (array && !length)
 		schema_error(schema, "rules", "may not be empty");
-	reach_init(&reach);
+	rule_index_init(&rule_index);
 	for (size_t i = 0; i < length; i++) {
 		struct config_rule *rule;
 		struct schema item;
@@ -264,12 +268,12 @@
 		rule = take_rule(&item, json_object_array_get_idx(array, i),
 				 service->group);
 		if (rule) {
-			check_reach(&item, &reach, rule);
+			check_reachable(&item, &rule_index, rule);
 			g_ptr_array_add(service->rules, rule);
-			reach_add(&reach, rule);
+			rule_index_add(&rule_index, rule);
 		}
 		schema_finish(&item);
 		slice_pause();
 	}
-	reach_finish(&reach);
+	rule_index_finish(&rule_index);
 }
--- a/comfreydockd/config/follow.c
+++ b/comfreydockd/config/follow.c
@@ -18,35 +18,36 @@
 	bool is_watching; /* the version of the store is known */
 	uint64_t version; /* of the store, up to which all was seen */
 	uint64_t number; /* of the newest configuration seen */
-	bool is_unread; /* the row as it is now could not be taken */
+	bool is_row_unreadable; /* the row as it is now could not be taken */
 	int64_t backoff_us;
 	int64_t asked_us; /* boot time of the reading before the watch */
 
 	/* while behind */
-	ev_timer look;
+	ev_timer behind_timer;
 	int64_t behind_since_us;
 	int64_t read_at_us; /* if still behind by then */
 	bool is_reading;
 	int64_t asked_alone_us;
 };
 
-static void follow_later(struct config_follow *follow, int64_t us)
+static void schedule_request(struct config_follow *follow, int64_t us)
 {
 	timer_restart_us(follow->options.loop, &follow->timer, us);
 }
 
 /* Half of the time is drawn, so that daemons which lost the store together
  * don't come back together. */
-static void follow_after_failure(struct config_follow *follow)
+static void schedule_retry(struct config_follow *follow)
 {
 	follow->backoff_us =
 		CLAMP(follow->backoff_us * 2, CONFIG_FOLLOW_RETRY_MIN_US,
 		      CONFIG_FOLLOW_RETRY_MAX_US);
 	counters.config_fetch_failures++;
-	follow_later(follow, follow->backoff_us / 2 +
-				     (int64_t)random_below(
-					     &follow->random,
-					     (uint64_t)follow->backoff_us / 2));
+	schedule_request(
+		follow,
+		follow->backoff_us / 2 +
+			(int64_t)random_below(&follow->random,
+					      (uint64_t)follow->backoff_us / 2));
 }
 
 static void offer(struct config_follow *follow, uint64_t number, const char *body)
@@ -59,11 +60,11 @@
 
 	config_body_sha256(body, strlen(body), version.sha256);
 	config_store_note_listing(follow->options.store, number, &version, 1);
-	config_store_take(follow->options.store, &version, body);
+	config_store_offer_trusted(follow->options.store, &version, body);
 }
 
 /* A row on its way into force. */
-struct taking {
+struct row_adoption {
 	struct config_follow *follow;
 	char *value; /* NULL: the row was deleted */
 	size_t size;
@@ -72,20 +73,20 @@
 	bool was_read; /* asked for at that time, and not watched */
 };
 
-static void free_taking(void *data)
+static void free_row_adoption(void *data)
 {
-	struct taking *taking = data;
+	struct row_adoption *row_adoption = data;
 
-	g_free(taking->value);
-	g_free(taking);
+	g_free(row_adoption->value);
+	g_free(row_adoption);
 }
 
-static void note_word(struct config_follow *follow, int64_t as_of_us,
+static void note_told(struct config_follow *follow, int64_t as_of_us,
 		      bool was_read)
 {
 	struct config_store *store = follow->options.store;
 
-	if (follow->is_unread || config_store_is_taking(store))
+	if (follow->is_row_unreadable || config_store_is_adopting(store))
 		return;
 	if (was_read)
 		config_store_note_newest(store, follow->number, as_of_us);
@@ -94,51 +95,53 @@
 				       clock_boot_us() - as_of_us);
 }
 
-static void take_row(void *data)
+static void adopt_row(void *data)
 {
-	struct taking *taking = data;
-	struct config_follow *follow = taking->follow;
+	struct row_adoption *row_adoption = data;
+	struct config_follow *follow = row_adoption->follow;
 	const struct config_follow_ops *ops = follow->options.ops;
 	const char *error = "";
 	uint64_t number = 0;
 	char *body = NULL;
 
-	counters.config_platform_bytes += taking->size;
-	follow->is_unread = true;
-	if (!taking->value) {
+	counters.config_platform_bytes += row_adoption->size;
+	follow->is_row_unreadable = true;
+	if (!row_adoption->value) {
 		log_event(EV_CONFIG_ROW_UNREADABLE,
 			  LOG_STR("error", "deleted"));
-	} else if (!ops->read(taking->value, taking->size, &number, &body,
-			      &error, ops->data)) {
+	} else if (!ops->read(row_adoption->value, row_adoption->size, &number,
+			      &body, &error, ops->data)) {
 		log_event(EV_CONFIG_ROW_UNREADABLE, LOG_STR("error", error),
-			  LOG_INT("row_version", taking->row_version));
+			  LOG_INT("row_version", row_adoption->row_version));
 	} else {
 		log_event(EV_CONFIG_ROW_SEEN, LOG_INT("version", number),
-			  LOG_INT("row_version", taking->row_version),
+			  LOG_INT("row_version", row_adoption->row_version),
 			  LOG_INT("store_version", follow->version));
 		offer(follow, number, body);
-		follow->is_unread = false;
+		follow->is_row_unreadable = false;
 		follow->number = number;
 	}
 	g_free(body);
-	config_store_end_taking(follow->options.store);
-	note_word(follow, taking->as_of_us, taking->was_read);
+	config_store_end_adoption(follow->options.store);
+	note_told(follow, row_adoption->as_of_us, row_adoption->was_read);
 }
 
-static void begin_taking(struct config_follow *follow,
-			 const struct platform_row *row, int64_t as_of_us,
-			 bool was_read)
+static void begin_row_adoption(struct config_follow *follow,
+			       const struct platform_row *row, int64_t as_of_us,
+			       bool was_read)
 {
-	struct taking *taking = g_new0(struct taking, 1);
-
-	taking->follow = follow;
-	taking->value = row->value ? g_strndup(row->value, row->size) : NULL;
-	taking->size = row->size;
-	taking->row_version = row->version;
-	taking->as_of_us = as_of_us;
-	taking->was_read = was_read;
-	config_store_begin_taking(follow->options.store);
-	slices_add(follow->options.slices, take_row, free_taking, taking);
+	struct row_adoption *row_adoption = g_new0(struct row_adoption, 1);
+
+	row_adoption->follow = follow;
+	row_adoption->value =
+		row->value ? g_strndup(row->value, row->size) : NULL;
+	row_adoption->size = row->size;
+	row_adoption->row_version = row->version;
+	row_adoption->as_of_us = as_of_us;
+	row_adoption->was_read = was_read;
+	config_store_begin_adoption(follow->options.store);
+	slices_add(follow->options.slices, adopt_row, free_row_adoption,
+		   row_adoption);
 }
 
 /* RETURN VALUE: false where the store gave no answer. */
@@ -151,20 +154,21 @@
 	follow->version = MAX(follow->version, answer->version);
 	for (size_t i = 0; i < answer->row_count; i++) {
 		if (strcmp(answer->rows[i].key, follow->options.key) == 0)
-			begin_taking(follow, &answer->rows[i], as_of_us,
-				     was_read);
+			begin_row_adoption(follow, &answer->rows[i], as_of_us,
+					   was_read);
 	}
 	/* Nothing newer is news, too. */
-	note_word(follow, as_of_us, was_read);
+	note_told(follow, as_of_us, was_read);
 	return true;
 }
 
-static void watch_on(struct config_follow *follow,
-		     const struct platform_answer *answer)
+static void continue_watch(struct config_follow *follow,
+			   const struct platform_answer *answer)
 {
 	follow->is_watching = true;
 	follow->backoff_us = 0;
-	follow_later(follow, answer->row_count ? CONFIG_FOLLOW_PAUSE_US : 0);
+	schedule_request(follow,
+			 answer->row_count ? CONFIG_FOLLOW_COALESCE_US : 0);
 }
 
 static void handle_watched(const struct platform_answer *answer, void *data)
@@ -177,14 +181,14 @@
 			  LOG_INT("after", follow->version));
 		follow->version = 0;
 		follow->is_watching = false;
-		follow_later(follow, 0);
+		schedule_request(follow, 0);
 	} else if (take_answer(follow, answer, clock_boot_us(), false)) {
-		watch_on(follow, answer);
+		continue_watch(follow, answer);
 	} else {
 		/* A store that was away may come back from a copy: a watch would
 		 * wait for what it has already. */
 		follow->is_watching = false;
-		follow_after_failure(follow);
+		schedule_retry(follow);
 	}
 }
 
@@ -193,9 +197,9 @@
 	struct config_follow *follow = data;
 
 	if (take_answer(follow, answer, follow->asked_us, true))
-		watch_on(follow, answer);
+		continue_watch(follow, answer);
 	else
-		follow_after_failure(follow);
+		schedule_retry(follow);
 }
 
 static void handle_read_alone(const struct platform_answer *answer, void *data)
@@ -207,15 +211,15 @@
 		counters.config_fetch_failures++;
 }
 
-static bool is_rival(const struct config_follow *follow,
-		     const struct member *member)
+static bool is_candidate(const struct config_follow *follow,
+			 const struct member *member)
 {
 	return member->state == MEMBER_ALIVE &&
 	       strcmp(member->domain, follow->options.domain) == 0 &&
 	       strcmp(member->host, follow->options.host) != 0;
 }
 
-static bool is_drawn(const struct config_follow *follow)
+static bool is_elected_follower(const struct config_follow *follow)
 {
 	uint64_t own =
 		rendezvous_weight(follow->options.host, follow->options.domain);
@@ -223,7 +227,7 @@
 	struct member *member;
 
 	TAILQ_FOREACH (member, member_table_all(follow->options.members), link) {
-		if (is_rival(follow, member) &&
+		if (is_candidate(follow, member) &&
 		    rendezvous_weight(member->host, follow->options.domain) > own)
 			above++;
 		if (above >= CONFIG_FOLLOWERS)
@@ -249,12 +253,12 @@
 	if (!follow->is_watching) {
 		follow->asked_us = clock_boot_us();
 		read_row(follow, handle_read);
-	} else if (is_drawn(follow)) {
+	} else if (is_elected_follower(follow)) {
 		counters.config_head_reads++;
 		platform_watch(options->platform, options->table, follow->version,
 			       CONFIG_FOLLOW_WAIT_MS, handle_watched, follow);
 	} else {
-		follow_later(follow, CONFIG_FOLLOW_RETRY_MAX_US);
+		schedule_request(follow, CONFIG_FOLLOW_RETRY_MAX_US);
 	}
 }
 
@@ -262,13 +266,13 @@
 
 /* Twice the span after a first reading in vain, or all of a large installation
  * would come round faster than they are apart. */
-static void draw_read_time(struct config_follow *follow, bool is_first)
+static void schedule_own_read(struct config_follow *follow, bool is_first)
 {
 	uint64_t span = member_table_size(follow->options.members) *
-				CONFIG_FOLLOW_APART_US +
+				CONFIG_FOLLOW_READ_SPACING_US +
 			1;
 
-	follow->read_at_us = clock_mono_us() + CONFIG_FOLLOW_BEHIND_US +
+	follow->read_at_us = clock_mono_us() + CONFIG_FOLLOW_PEER_GRACE_US +
 			     (is_first ? 0 : (int64_t)span) +
 			     (int64_t)random_below(&follow->random, span);
 }
@@ -278,12 +282,12 @@
 static bool is_due(const struct config_follow *follow)
 {
 	int64_t now_us = clock_mono_us();
-	int64_t moved_us = config_store_moved_us(follow->options.store);
+	int64_t progress_us = config_store_progress_us(follow->options.store);
 
 	return now_us >= follow->read_at_us &&
-	       !config_store_is_taking(follow->options.store) &&
-	       (now_us - moved_us >= CONFIG_FOLLOW_STILL_US ||
-		now_us - follow->behind_since_us >= CONFIG_FOLLOW_PARTS_MAX_US);
+	       !config_store_is_adopting(follow->options.store) &&
+	       (now_us - progress_us >= CONFIG_FOLLOW_STALL_US ||
+		now_us - follow->behind_since_us >= CONFIG_FOLLOW_PIECES_MAX_US);
 }
 
 static void read_alone(struct config_follow *follow)
@@ -296,11 +300,11 @@
 		LOG_INT("behind_us", clock_mono_us() - follow->behind_since_us));
 	follow->is_reading = true;
 	follow->asked_alone_us = clock_boot_us();
-	draw_read_time(follow, false);
+	schedule_own_read(follow, false);
 	read_row(follow, handle_read_alone);
 }
 
-static void handle_look(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_behind_timer(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct config_follow *follow = timer->data;
 
@@ -324,11 +328,11 @@
 
 	(void)head;
 	(void)from_host;
-	if (ev_is_active(&follow->look))
+	if (ev_is_active(&follow->behind_timer))
 		return;
 	follow->behind_since_us = clock_mono_us();
-	draw_read_time(follow, true);
-	ev_timer_again(follow->options.loop, &follow->look);
+	schedule_own_read(follow, true);
+	ev_timer_again(follow->options.loop, &follow->behind_timer);
 }
 
 struct config_follow *
@@ -345,10 +349,10 @@
 	follow->random.state = options->seed;
 	ev_init(&follow->timer, handle_timer);
 	follow->timer.data = follow;
-	ev_timer_init(&follow->look, handle_look, 0.0,
-		      (double)CONFIG_FOLLOW_LOOK_US / US_PER_S);
-	follow->look.data = follow;
-	follow_later(follow, 0);
+	ev_timer_init(&follow->behind_timer, handle_behind_timer, 0.0,
+		      (double)CONFIG_FOLLOW_CHECK_US / US_PER_S);
+	follow->behind_timer.data = follow;
+	schedule_request(follow, 0);
 	return follow;
 }
 
@@ -357,6 +361,6 @@
 	if (!follow)
 		return;
 	ev_timer_stop(follow->options.loop, &follow->timer);
-	ev_timer_stop(follow->options.loop, &follow->look);
+	ev_timer_stop(follow->options.loop, &follow->behind_timer);
 	g_free(follow);
 }
--- a/comfreydockd/config/model.c
+++ b/comfreydockd/config/model.c
@@ -6,15 +6,15 @@
 #include "comfreydockd/config/routes.h"
 #include "common/slice.h"
 
-#define SUM_STEP_BYTES ((size_t)(64 * 1024)) /* some 0.2 ms */
+#define HASH_CHUNK_BYTES ((size_t)(64 * 1024)) /* some 0.2 ms */
 
 void config_body_sha256(const char *body, size_t size, char hex[65])
 {
 	GChecksum *sum = g_checksum_new(G_CHECKSUM_SHA256);
 
-	for (size_t done = 0; done < size; done += SUM_STEP_BYTES) {
+	for (size_t done = 0; done < size; done += HASH_CHUNK_BYTES) {
 		g_checksum_update(sum, (const guchar *)body + done,
-				  (gssize)MIN(size - done, SUM_STEP_BYTES));
+				  (gssize)MIN(size - done, HASH_CHUNK_BYTES));
 		slice_pause();
 	}
 	g_strlcpy(hex, g_checksum_get_string(sum), 65);
@@ -50,7 +50,7 @@
 	g_array_append_val(rule->destinations, destination);
 }
 
-uint64_t config_rule_weights(const struct config_rule *rule)
+uint64_t config_rule_total_weight(const struct config_rule *rule)
 {
 	uint64_t sum = 0;
 
@@ -61,7 +61,8 @@
 	return sum;
 }
 
-const char *config_rule_draw(const struct config_rule *rule, uint64_t drawn)
+const char *config_rule_select_group(const struct config_rule *rule,
+				     uint64_t drawn)
 {
 	const struct config_destination *destination = NULL;
 
@@ -109,9 +110,9 @@
 	g_free(service);
 }
 
-static void upstreams_destroy(void *data)
+static void group_settings_destroy(void *data)
 {
-	struct config_upstreams *upstreams = data;
+	struct config_group_settings *upstreams = data;
 
 	g_free(upstreams->group);
 	g_free(upstreams->health_path);
@@ -125,7 +126,7 @@
 	ns->references = 1;
 	ns->services = g_ptr_array_new_with_free_func(
 		(GDestroyNotify)config_service_destroy);
-	ns->upstreams = g_ptr_array_new_with_free_func(upstreams_destroy);
+	ns->upstreams = g_ptr_array_new_with_free_func(group_settings_destroy);
 	return ns;
 }
 
@@ -183,8 +184,8 @@
 	return strcmp((*left)->name, (*right)->name);
 }
 
-static struct config_group *need_group(struct config_snapshot *snapshot,
-				       const char *name)
+static struct config_group *get_or_create_group(struct config_snapshot *snapshot,
+						const char *name)
 {
 	struct config_group *group = g_hash_table_lookup(snapshot->groups, name);
 
@@ -219,7 +220,7 @@
 		      const struct config_service *service,
 		      const struct config_rule *rule, const char *name)
 {
-	struct config_group *group = need_group(snapshot, name);
+	struct config_group *group = get_or_create_group(snapshot, name);
 
 	group->retry_budget_percent =
 		MAX(group->retry_budget_percent, rule->retry_budget_percent);
@@ -243,14 +244,14 @@
 	}
 }
 
-static void add_upstreams(struct config_snapshot *snapshot,
-			  const struct config_namespace *ns)
+static void apply_group_settings(struct config_snapshot *snapshot,
+				 const struct config_namespace *ns)
 {
 	for (guint i = 0; i < ns->upstreams->len; i++) {
-		const struct config_upstreams *upstreams =
+		const struct config_group_settings *upstreams =
 			ns->upstreams->pdata[i];
 		struct config_group *group =
-			need_group(snapshot, upstreams->group);
+			get_or_create_group(snapshot, upstreams->group);
 
 		group->health_path = upstreams->health_path;
 		group->max_connections = upstreams->max_connections;
@@ -267,7 +268,7 @@
 					  ns->services->pdata[j]);
 			add_groups(snapshot, ns->services->pdata[j]);
 		}
-		add_upstreams(snapshot, ns);
+		apply_group_settings(snapshot, ns);
 	}
 }
 
--- a/comfreydockd/config/rows.c
+++ b/comfreydockd/config/rows.c
@@ -97,12 +97,13 @@
 
 char *config_head_to_recent_text(const struct config_head *head)
 {
-	uint64_t most = CONFIG_RECENT_MOST;
+	uint64_t most = CONFIG_RECENT_MAX;
 
 	return changes_to_text(head, head->head > most ? head->head - most : 0);
 }
 
-static struct config_version *head_line(struct config_head *head, const char *name)
+static struct config_version *find_or_add_version(struct config_head *head,
+						  const char *name)
 {
 	struct config_version fresh = {.name = NULL};
 
@@ -122,7 +123,7 @@
 void config_head_note(struct config_head *head, const char *name,
 		      uint64_t version, const char *sha256)
 {
-	struct config_version *line = head_line(head, name);
+	struct config_version *line = find_or_add_version(head, name);
 
 	line->version = version;
 	g_strlcpy(line->sha256, sha256, sizeof(line->sha256));
--- a/comfreydockd/config/spread.c
+++ b/comfreydockd/config/spread.c
@@ -37,7 +37,7 @@
  * A suspected member does not count: it may be dead, and until that is certain
  * its domain would have a reader less. One more in its place does no harm.
  */
-static bool draw_reader(const struct config_spread *spread)
+static bool is_elected_reader(const struct config_spread *spread)
 {
 	uint64_t own = rendezvous_weight(spread->host, spread->domain);
 	unsigned int above = 0;
@@ -133,7 +133,7 @@
 		spread->read_at_us =
 			config_spread_later(spread, CONFIG_SPREAD_READ_US * 4 / 5,
 					    CONFIG_SPREAD_READ_US * 6 / 5);
-		spread->is_reader = draw_reader(spread);
+		spread->is_reader = is_elected_reader(spread);
 		if (spread->is_reader != was_reader)
 			log_event(EV_CONFIG_READER,
 				  LOG_INT("reads", spread->is_reader));
--- a/comfreydockd/config/spread_answer.c
+++ b/comfreydockd/config/spread_answer.c
@@ -34,13 +34,13 @@
 }
 
 /* What is sent at once may take a full answer's room, a piece only its part. */
-static void give_back_token(struct config_spread *spread)
+static void refund_token(struct config_spread *spread)
 {
 	spread->answer_tokens += 1.0 - (double)CONFIG_SPREAD_PIECE_BYTES /
 					       CONFIG_SPREAD_ANSWER_BYTES;
 }
 
-static bool goes_in_pieces(const Cfd__ConfigQuery *query, size_t size)
+static bool is_sent_in_pieces(const Cfd__ConfigQuery *query, size_t size)
 {
 	return query->takes_pieces && size > CONFIG_SPREAD_PIECE_BYTES &&
 	       size <= CONFIG_SPREAD_BODY_MAX_BYTES;
@@ -66,7 +66,7 @@
 	line->version = version->version;
 	line->sha256 = ns->sha256;
 	line->at = version->at;
-	if (goes_in_pieces(query, size)) {
+	if (is_sent_in_pieces(query, size)) {
 		if (is_first)
 			config_pieces_cut(query, ns->body, size, line);
 		*room = 0;
@@ -128,7 +128,7 @@
 		return answer;
 	answer->is_listing = !query->n_wanted;
 	if (fill_lines(spread, query, answer))
-		give_back_token(spread);
+		refund_token(spread);
 	return answer;
 }
 
--- a/comfreydockd/config/spread_fetch.c
+++ b/comfreydockd/config/spread_fetch.c
@@ -13,7 +13,7 @@
 #define PAUSE_MIN_US (100 * US_PER_MS)
 #define PAUSE_MAX_US (300 * US_PER_MS)
 #define BACKOFF_US (200 * US_PER_MS)
-#define BACKOFF_MOST 4 /* doublings: 3.2 s */
+#define BACKOFF_MAX_DOUBLINGS 4 /* doublings: 3.2 s */
 #define PEER_TRIES 3 /* then the platform is asked */
 #define WANTED_MAX 64
 
@@ -31,10 +31,10 @@
 	       strcmp(member->host, spread->host) != 0;
 }
 
-static bool is_witness(const struct config_spread *spread, const char *host)
+static bool is_startup_peer(const struct config_spread *spread, const char *host)
 {
-	for (unsigned int i = 0; i < spread->witnesses; i++) {
-		if (strcmp(spread->witness_hosts[i], host) == 0)
+	for (unsigned int i = 0; i < spread->startup_peer_count; i++) {
+		if (strcmp(spread->startup_peer_hosts[i], host) == 0)
 			return true;
 	}
 	return false;
@@ -42,7 +42,7 @@
 
 /* Any live peer that is no witness yet, and not the one that was asked last if
  * there is another. */
-static struct member *draw_peer(struct config_spread *spread)
+static struct member *pick_random_peer(struct config_spread *spread)
 {
 	struct member *drawn = NULL;
 	struct member *last = NULL;
@@ -51,7 +51,7 @@
 
 	TAILQ_FOREACH (member, member_table_all(spread->members), link) {
 		if (!is_live_peer(spread, member) ||
-		    is_witness(spread, member->host))
+		    is_startup_peer(spread, member->host))
 			continue;
 		if (strcmp(member->host, spread->asked_host) == 0)
 			last = member;
@@ -68,7 +68,7 @@
 		member_table_find(spread->members, spread->hint_host);
 
 	spread->hint_host[0] = '\0';
-	return is_live_peer(spread, member) ? member : draw_peer(spread);
+	return is_live_peer(spread, member) ? member : pick_random_peer(spread);
 }
 
 static void ask(struct config_spread *spread, const struct member *member,
@@ -86,8 +86,8 @@
 	spread->ops->ask(member, query, spread->ops->data);
 }
 
-static void ask_simply(struct config_spread *spread,
-		       const struct member *member, enum config_fetch_step step)
+static void ask_step(struct config_spread *spread, const struct member *member,
+		     enum config_fetch_step step)
 {
 	Cfd__ConfigQuery query = CFD__CONFIG_QUERY__INIT;
 
@@ -96,7 +96,7 @@
 
 static void note_failure(struct config_spread *spread, const char *why)
 {
-	unsigned int doublings = MIN(spread->tries, BACKOFF_MOST);
+	unsigned int doublings = MIN(spread->tries, BACKOFF_MAX_DOUBLINGS);
 	int64_t most = (int64_t)BACKOFF_US << doublings;
 
 	log_event(EV_CONFIG_FETCH_FAILED, LOG_STR("why", why),
@@ -119,7 +119,8 @@
 	spread->tries = 0;
 	spread->fetch_at_us =
 		config_spread_later(spread, PAUSE_MIN_US, PAUSE_MAX_US);
-	if (config_fetch_is_behind(spread) && config_store_lacks(spread->store))
+	if (config_fetch_is_behind(spread) &&
+	    config_store_has_missing(spread->store))
 		spread->fetch_at_us = spread->now_us;
 }
 
@@ -203,7 +204,7 @@
  * it goes to the object store at once. The others, and one that has just
  * started and lacks everything, do so where two peers fail in a row.
  */
-static bool prefers_store(const struct config_spread *spread)
+static bool prefers_object_store(const struct config_spread *spread)
 {
 	unsigned int turn = spread->tries % PEER_TRIES;
 
@@ -217,7 +218,7 @@
 	bool may_read = spread->platform_ops && !spread->platform_failed;
 	struct member *peer;
 
-	if (may_read && prefers_store(spread)) {
+	if (may_read && prefers_object_store(spread)) {
 		read_object(spread,
 			    &g_array_index(missing, struct config_version, 0));
 		return;
@@ -233,7 +234,7 @@
 }
 
 /* The witness with the highest head, or who named a higher one by gossip. */
-static struct member *choose_first(struct config_spread *spread)
+static struct member *choose_startup_peer(struct config_spread *spread)
 {
 	struct member *best =
 		member_table_find(spread->members, spread->best_host);
@@ -245,28 +246,28 @@
 	spread->hint_host[0] = '\0';
 	spread->best_host[0] = '\0';
 	spread->best_head = 0;
-	spread->witnesses = 0;
+	spread->startup_peer_count = 0;
 	return is_live_peer(spread, best) ? best : NULL;
 }
 
 /* Without the platform: the highest head that some live peers name. */
-static void fetch_first(struct config_spread *spread)
+static void fetch_at_startup(struct config_spread *spread)
 {
 	struct member *member = NULL;
 
 	if (!spread->platform_tried || !spread->platform_failed)
 		return;
-	if (spread->witnesses < CONFIG_SPREAD_WITNESSES)
-		member = draw_peer(spread);
+	if (spread->startup_peer_count < CONFIG_SPREAD_STARTUP_PEERS)
+		member = pick_random_peer(spread);
 	if (member) {
-		g_strlcpy(spread->witness_hosts[spread->witnesses++],
+		g_strlcpy(spread->startup_peer_hosts[spread->startup_peer_count++],
 			  member->host, MEMBER_HOST_MAX);
-		ask_simply(spread, member, CONFIG_FETCH_HEAD);
+		ask_step(spread, member, CONFIG_FETCH_HEAD);
 		return;
 	}
-	member = choose_first(spread);
+	member = choose_startup_peer(spread);
 	if (member)
-		ask_simply(spread, member, CONFIG_FETCH_LISTING);
+		ask_step(spread, member, CONFIG_FETCH_LISTING);
 	else
 		note_failure(spread, "no live peer");
 }
@@ -276,7 +277,7 @@
 	struct member *member = choose_peer(spread);
 
 	if (member)
-		ask_simply(spread, member, CONFIG_FETCH_LISTING);
+		ask_step(spread, member, CONFIG_FETCH_LISTING);
 	else
 		note_failure(spread, "no live peer");
 }
@@ -287,14 +288,14 @@
 
 	if (spread->step != CONFIG_FETCH_NONE ||
 	    spread->now_us < spread->fetch_at_us ||
-	    config_store_is_taking(spread->store) ||
+	    config_store_is_adopting(spread->store) ||
 	    !config_fetch_is_behind(spread))
 		return;
 	missing = config_store_missing(spread->store);
 	if (missing->len)
 		fetch_missing(spread, missing);
 	else if (!config_store_is_ready(spread->store))
-		fetch_first(spread);
+		fetch_at_startup(spread);
 	else
 		fetch_changes(spread);
 	g_array_unref(missing);
@@ -335,43 +336,44 @@
 }
 
 /* A body that came in pieces, on its way into force. */
-struct whole_body {
+struct complete_body {
 	struct config_spread *spread;
 	struct config_pieces pieces;
 };
 
-static void free_whole(void *data)
+static void free_complete_body(void *data)
 {
-	struct whole_body *whole = data;
+	struct complete_body *whole = data;
 
 	config_pieces_finish(&whole->pieces);
 	g_free(whole);
 }
 
-static void take_whole(void *data)
+static void adopt_complete_body(void *data)
 {
-	struct whole_body *whole = data;
+	struct complete_body *whole = data;
 	struct config_spread *spread = whole->spread;
 	const struct config_pieces *pieces = &whole->pieces;
 	enum config_offer result = config_store_offer(
 		spread->store, pieces->name, pieces->version, pieces->sha256,
 		(const char *)pieces->bytes->data, pieces->bytes->len);
 
-	config_store_end_taking(spread->store);
+	config_store_end_adoption(spread->store);
 	if (result != CONFIG_OFFER_ADOPTED && result != CONFIG_OFFER_NOT_NEWER)
 		note_failure(spread, "the body was refused");
 	config_spread_publish(spread);
 }
 
-static void begin_whole(struct config_spread *spread)
+static void begin_body_adoption(struct config_spread *spread)
 {
-	struct whole_body *whole = g_new0(struct whole_body, 1);
+	struct complete_body *whole = g_new0(struct complete_body, 1);
 
 	whole->spread = spread;
 	whole->pieces = spread->pieces;
 	config_pieces_init(&spread->pieces);
-	config_store_begin_taking(spread->store);
-	slices_add(spread->slices, take_whole, free_whole, whole);
+	config_store_begin_adoption(spread->store);
+	slices_add(spread->slices, adopt_complete_body, free_complete_body,
+		   whole);
 }
 
 /* RETURN VALUE: whether there is more of the body than before. */
@@ -382,9 +384,9 @@
 	if (config_store_holds(spread->store, line->namespace_, line->version) ||
 	    !config_pieces_add(pieces, line))
 		return false;
-	config_store_note_part(spread->store);
-	if (config_pieces_are_whole(pieces))
-		begin_whole(spread);
+	config_store_note_piece(spread->store);
+	if (config_pieces_are_complete(pieces))
+		begin_body_adoption(spread);
 	return true;
 }
 
@@ -430,8 +432,8 @@
 	g_array_unref(versions);
 }
 
-static void take_witness(struct config_spread *spread, const char *host,
-			 const Cfd__ConfigBody *answer)
+static void take_startup_head(struct config_spread *spread, const char *host,
+			      const Cfd__ConfigBody *answer)
 {
 	spread->step = CONFIG_FETCH_NONE;
 	if (!answer->ready)
@@ -474,7 +476,7 @@
 		return;
 	}
 	if (spread->step == CONFIG_FETCH_HEAD)
-		take_witness(spread, host, answer);
+		take_startup_head(spread, host, answer);
 	else if (answer->busy || !answer->ready)
 		note_failure(spread, answer->busy ? "busy" : "not ready");
 	else
--- a/comfreydockd/config/spread_pieces.c
+++ b/comfreydockd/config/spread_pieces.c
@@ -21,7 +21,7 @@
 	config_pieces_init(pieces);
 }
 
-static bool piece_is_sound(const Cfd__ConfigLine *line)
+static bool is_valid_piece(const Cfd__ConfigLine *line)
 {
 	return line->size <= CONFIG_SPREAD_BODY_MAX_BYTES &&
 	       line->body.len > 0 && line->offset <= line->size &&
@@ -62,7 +62,7 @@
 
 bool config_pieces_add(struct config_pieces *pieces, const Cfd__ConfigLine *line)
 {
-	if (!piece_is_sound(line))
+	if (!is_valid_piece(line))
 		return false;
 	if (!is_same_body(pieces, line)) {
 		if (!may_replace(pieces, line)) {
@@ -81,7 +81,7 @@
 	return true;
 }
 
-bool config_pieces_are_whole(const struct config_pieces *pieces)
+bool config_pieces_are_complete(const struct config_pieces *pieces)
 {
 	return pieces->bytes->len > 0 && pieces->bytes->len == pieces->size;
 }
--- a/comfreydockd/config/store.c
+++ b/comfreydockd/config/store.c
@@ -22,13 +22,13 @@
 	uint64_t known_head;
 	uint64_t listed_head;
 	int64_t adopted_us;
-	int64_t moved_us;
-	unsigned int takings; /* begun and not ended */
+	int64_t progress_us;
+	unsigned int adoptions_open; /* begun and not ended */
 	bool is_told; /* told_us is known */
 	int64_t told_us; /* boot time at which nothing above the head was there */
-	uint64_t coming_head; /* the same for a head that is not reached yet */
-	int64_t coming_told_us;
-	bool expects_word;
+	uint64_t pending_head; /* the same for a head that is not reached yet */
+	int64_t pending_told_us;
+	bool expects_told;
 	int64_t expects_since_us; /* boot time */
 	int64_t heard_us; /* boot time at which somebody last named known_head */
 	GArray *listing; /* of struct config_version, names owned */
@@ -106,29 +106,29 @@
 	return store->adopted_us;
 }
 
-void config_store_begin_taking(struct config_store *store)
+void config_store_begin_adoption(struct config_store *store)
 {
-	store->takings++;
+	store->adoptions_open++;
 }
 
-void config_store_end_taking(struct config_store *store)
+void config_store_end_adoption(struct config_store *store)
 {
-	store->takings--;
+	store->adoptions_open--;
 }
 
-bool config_store_is_taking(const struct config_store *store)
+bool config_store_is_adopting(const struct config_store *store)
 {
-	return store->takings > 0;
+	return store->adoptions_open > 0;
 }
 
-int64_t config_store_moved_us(const struct config_store *store)
+int64_t config_store_progress_us(const struct config_store *store)
 {
-	return store->moved_us;
+	return store->progress_us;
 }
 
-void config_store_note_part(struct config_store *store)
+void config_store_note_piece(struct config_store *store)
 {
-	store->moved_us = clock_mono_us();
+	store->progress_us = clock_mono_us();
 }
 
 int64_t config_store_told_age_us(const struct config_store *store)
@@ -136,25 +136,25 @@
 	return store->is_told ? MAX(clock_boot_us() - store->told_us, 0) : -1;
 }
 
-void config_store_expect_word(struct config_store *store)
+void config_store_expect_told(struct config_store *store)
 {
-	store->expects_word = true;
+	store->expects_told = true;
 	store->expects_since_us = clock_boot_us();
 }
 
 /* RETURN VALUE: for how long there has been no word; -1: none is to be had. */
-static int64_t without_word_us(const struct config_store *store)
+static int64_t untold_us(const struct config_store *store)
 {
-	if (!store->is_told && store->expects_word)
+	if (!store->is_told && store->expects_told)
 		return clock_boot_us() - store->expects_since_us;
 	return config_store_told_age_us(store);
 }
 
 enum config_doubt config_store_doubt(const struct config_store *store)
 {
-	if (store->known_head > store->head || config_store_lacks(store))
+	if (store->known_head > store->head || config_store_has_missing(store))
 		return CONFIG_DOUBT_BEHIND;
-	if (without_word_us(store) > CONFIG_TOLD_MAX_US)
+	if (untold_us(store) > CONFIG_TOLD_MAX_US)
 		return CONFIG_DOUBT_UNTOLD;
 	return CONFIG_DOUBT_NONE;
 }
@@ -189,7 +189,7 @@
 	return missing;
 }
 
-bool config_store_lacks(const struct config_store *store)
+bool config_store_has_missing(const struct config_store *store)
 {
 	for (guint i = 0; i < store->listing->len; i++) {
 		if (!holds(store, &g_array_index(store->listing,
@@ -249,14 +249,14 @@
 
 /* The head moves only once nothing of its listing is missing: a daemon that
  * claimed a head early would be believed by peers that then miss a version. */
-static void settle(struct config_store *store)
+static void advance_head(struct config_store *store)
 {
-	if (!config_store_lacks(store) &&
+	if (!config_store_has_missing(store) &&
 	    (store->listed_head > store->head || !store->ready)) {
 		store->head = MAX(store->head, store->listed_head);
 		store->ready = true;
-		if (store->coming_head && store->coming_head <= store->head)
-			note_told_at(store, store->coming_told_us);
+		if (store->pending_head && store->pending_head <= store->head)
+			note_told_at(store, store->pending_told_us);
 		log_event(EV_CONFIG_HEAD_REACHED, LOG_INT("head", store->head));
 	}
 }
@@ -268,11 +268,11 @@
 
 	if (head <= store->head) {
 		note_told_at(store, as_of_us);
-	} else if (head > store->coming_head) {
-		store->coming_head = head;
-		store->coming_told_us = as_of_us;
-	} else if (head == store->coming_head) {
-		store->coming_told_us = MAX(store->coming_told_us, as_of_us);
+	} else if (head > store->pending_head) {
+		store->pending_head = head;
+		store->pending_told_us = as_of_us;
+	} else if (head == store->pending_head) {
+		store->pending_told_us = MAX(store->pending_told_us, as_of_us);
 	}
 }
 
@@ -290,7 +290,7 @@
 		  LOG_INT("known_head", store->known_head),
 		  LOG_INT("newest", head), LOG_INT("head", store->head));
 	store->known_head = head;
-	store->coming_head = MIN(store->coming_head, head);
+	store->pending_head = MIN(store->pending_head, head);
 	if (store->listed_head > head) {
 		store->listed_head = store->head;
 		g_array_set_size(store->listing, 0);
@@ -339,7 +339,7 @@
 		version.name = g_strdup(versions[i].name);
 		g_array_append_val(store->listing, version);
 	}
-	settle(store);
+	advance_head(store);
 }
 
 static void adopt(struct config_store *store, struct config_namespace *ns)
@@ -349,7 +349,7 @@
 	store->current = config_snapshot_with(old, ns);
 	config_snapshot_unref(old);
 	store->adopted_us = clock_mono_us();
-	store->moved_us = store->adopted_us;
+	store->progress_us = store->adopted_us;
 	counters.config_adopted++;
 	log_event(EV_CONFIG_ADOPTED, LOG_STR("namespace", ns->name),
 		  LOG_INT("version", ns->version), LOG_STR("sha256", ns->sha256));
@@ -424,13 +424,13 @@
 	ns->version = version;
 	adopt(store, ns);
 	config_namespace_unref(ns);
-	settle(store);
+	advance_head(store);
 	return CONFIG_OFFER_ADOPTED;
 }
 
-enum config_offer config_store_take(struct config_store *store,
-				    const struct config_version *version,
-				    const char *body)
+enum config_offer config_store_offer_trusted(struct config_store *store,
+					     const struct config_version *version,
+					     const char *body)
 {
 	if (!is_newer(store, version->name, version->version))
 		return CONFIG_OFFER_NOT_NEWER;
--- a/comfreydockd/operator/api.c
+++ b/comfreydockd/operator/api.c
@@ -58,7 +58,7 @@
  * the first difference would let a patient caller guess the token byte by byte
  * from the time that the answer takes.
  */
-static bool token_matches(const char *expected, const char *given)
+static bool token_equals(const char *expected, const char *given)
 {
 	size_t length = strlen(expected);
 	size_t given_length = strlen(given);
@@ -79,7 +79,7 @@
 	if (!token)
 		return true;
 	return header && g_str_has_prefix(header, BEARER) &&
-	       token_matches(token, header + strlen(BEARER));
+	       token_equals(token, header + strlen(BEARER));
 }
 
 static int compare_path(const void *key, const void *route)
--- a/comfreydockd/operator/config.c
+++ b/comfreydockd/operator/config.c
@@ -6,22 +6,22 @@
 #include "common/jsonc.h"
 
 /* A request that waits for the platform. */
-struct waiting {
+struct pending_reply {
 	struct operator_api *api;
 	struct http_request *request;
 	json_object *root;
 };
 
-static struct waiting *waiting_create(struct operator_api *api,
-				      struct http_request *request,
-				      json_object *root)
+static struct pending_reply *pending_reply_create(struct operator_api *api,
+						  struct http_request *request,
+						  json_object *root)
 {
-	struct waiting *waiting = g_new0(struct waiting, 1);
+	struct pending_reply *pending_reply = g_new0(struct pending_reply, 1);
 
-	waiting->api = api;
-	waiting->request = request;
-	waiting->root = root;
-	return waiting;
+	pending_reply->api = api;
+	pending_reply->request = request;
+	pending_reply->root = root;
+	return pending_reply;
 }
 
 static json_object *namespace_to_json(const struct config_namespace *ns,
@@ -61,7 +61,7 @@
 static void handle_row(enum config_platform_status status, uint64_t row_version,
 		       const char *value, size_t size, void *data)
 {
-	struct waiting *waiting = data;
+	struct pending_reply *pending_reply = data;
 	json_object *row = NULL;
 
 	(void)row_version;
@@ -70,12 +70,12 @@
 		row = value ? json_tokener_parse(value) :
 			      json_object_new_object();
 	json_object_object_add(
-		waiting->root, "commits",
+		pending_reply->root, "commits",
 		json_object_get(jsonc_get_array(row, "commits")));
-	jsonc_add_bool(waiting->root, "platform_answered", row != NULL);
+	jsonc_add_bool(pending_reply->root, "platform_answered", row != NULL);
 	json_object_put(row);
-	operator_reply(waiting->request, 200, waiting->root);
-	g_free(waiting);
+	operator_reply(pending_reply->request, 200, pending_reply->root);
+	g_free(pending_reply);
 }
 
 void operator_get_config(struct operator_api *api, struct http_request *request)
@@ -92,7 +92,7 @@
 	}
 	key = config_namespace_key(only);
 	api->platform_ops->get(api->platform, key, handle_row,
-			       waiting_create(api, request, root));
+			       pending_reply_create(api, request, root));
 	g_free(key);
 }
 
@@ -125,8 +125,8 @@
 	}
 }
 
-static bool clashes(const struct config_snapshot *snapshot,
-		    const struct config_namespace *ns, const char *file)
+static bool has_conflicts(const struct config_snapshot *snapshot,
+			  const struct config_namespace *ns, const char *file)
 {
 	struct findings findings;
 	bool has_errors;
@@ -145,7 +145,8 @@
  *
  * RETURN VALUE: true where the request was answered so.
  */
-static bool refuse_in_doubt(struct operator_api *api, struct http_request *request)
+static bool refuse_stale_conflict(struct operator_api *api,
+				  struct http_request *request)
 {
 	const struct config_store *store = api->daemon->config;
 	struct config_namespace *ns = NULL;
@@ -158,8 +159,8 @@
 	findings_init(&findings);
 	ns = config_namespace_load(file_argument(request),
 				   http_request_body(request)->str, &findings);
-	is_refused = ns && clashes(config_store_current(store), ns,
-				   file_argument(request));
+	is_refused = ns && has_conflicts(config_store_current(store), ns,
+					 file_argument(request));
 	if (is_refused) {
 		text = g_strdup_printf(
 			"it clashes with another namespace as held here, "
@@ -182,7 +183,7 @@
 	json_object *root;
 	bool passes;
 
-	if (refuse_in_doubt(api, request))
+	if (refuse_stale_conflict(api, request))
 		return;
 	findings_init(&findings);
 	ns = config_namespace_load(file, http_request_body(request)->str,
@@ -229,11 +230,11 @@
 
 static void handle_applied(const struct config_apply_outcome *outcome, void *data)
 {
-	struct waiting *waiting = data;
+	struct pending_reply *pending_reply = data;
 	json_object *root = json_object_new_object();
 
 	if (outcome->result == CONFIG_APPLY_IN_FORCE)
-		adopt_applied(waiting->api->daemon->config, outcome);
+		adopt_applied(pending_reply->api->daemon->config, outcome);
 	jsonc_add_text(root, "result", config_apply_result_name(outcome->result));
 	jsonc_add_text(root, "namespace", outcome->name);
 	jsonc_add_uint(root, "base", outcome->base);
@@ -243,8 +244,9 @@
 	jsonc_add_bool(root, "was_in_force", outcome->was_in_force);
 	json_object_object_add(root, "findings",
 			       jsonc_from_findings(outcome->findings));
-	operator_reply(waiting->request, apply_status(outcome->result), root);
-	g_free(waiting);
+	operator_reply(pending_reply->request, apply_status(outcome->result),
+		       root);
+	g_free(pending_reply);
 }
 
 void operator_apply_config(struct operator_api *api, struct http_request *request)
@@ -269,9 +271,10 @@
 		operator_reply_error(request, 503, "the platform is not set up");
 		return;
 	}
-	if (refuse_in_doubt(api, request))
+	if (refuse_stale_conflict(api, request))
 		return;
 	apply.base = number;
 	config_apply_start(api->platform_ops, api->platform, &apply,
-			   handle_applied, waiting_create(api, request, NULL));
+			   handle_applied,
+			   pending_reply_create(api, request, NULL));
 }
--- a/comfreydockd/operator/gather.c
+++ b/comfreydockd/operator/gather.c
@@ -20,8 +20,8 @@
 	uint64_t id;
 	char *trace;
 	json_object *events;
-	GHashTable *asked; /* host -> itself; those that have not answered */
-	GHashTable *known; /* host -> itself; all that were asked */
+	GHashTable *unanswered; /* host -> itself; those that have not answered */
+	GHashTable *queried; /* host -> itself; all that were asked */
 	ev_timer timeout;
 };
 
@@ -38,7 +38,7 @@
 	GHashTableIter iter;
 	gpointer host;
 
-	g_hash_table_iter_init(&iter, gather->asked);
+	g_hash_table_iter_init(&iter, gather->unanswered);
 	while (g_hash_table_iter_next(&iter, &host, NULL))
 		json_object_array_add(missing, json_object_new_string(host));
 	json_object_object_add(root, "events", gather->events);
@@ -46,8 +46,8 @@
 	operator_reply(gather->request, 200, root);
 	ev_timer_stop(gather->gatherer->daemon->loop, &gather->timeout);
 	LIST_REMOVE(gather, link);
-	g_hash_table_unref(gather->asked);
-	g_hash_table_unref(gather->known);
+	g_hash_table_unref(gather->unanswered);
+	g_hash_table_unref(gather->queried);
 	g_free(gather->trace);
 	g_free(gather);
 }
@@ -66,11 +66,11 @@
 	Cfd__TimelineQuery query = CFD__TIMELINE_QUERY__INIT;
 	Cfd__Frame frame = CFD__FRAME__INIT;
 
-	if (g_hash_table_contains(gather->known, host) ||
-	    g_hash_table_size(gather->known) >= GATHER_MAX_HOSTS)
+	if (g_hash_table_contains(gather->queried, host) ||
+	    g_hash_table_size(gather->queried) >= GATHER_MAX_HOSTS)
 		return;
-	g_hash_table_add(gather->known, g_strdup(host));
-	g_hash_table_add(gather->asked, g_strdup(host));
+	g_hash_table_add(gather->queried, g_strdup(host));
+	g_hash_table_add(gather->unanswered, g_strdup(host));
 	if (!member || member->state == MEMBER_DEAD ||
 	    member->state == MEMBER_LEFT)
 		return;
@@ -119,14 +119,16 @@
 	return g_string_free(text, FALSE);
 }
 
-static void handle_query(struct peer *peer, const Cfd__Frame *asked, void *data)
+static void handle_query(struct peer *peer, const Cfd__Frame *query_frame,
+			 void *data)
 {
 	struct gatherer *gatherer = data;
-	char *events = own_events(gatherer->daemon, asked->timeline_query->trace);
+	char *events =
+		own_events(gatherer->daemon, query_frame->timeline_query->trace);
 	Cfd__TimelineReport report = CFD__TIMELINE_REPORT__INIT;
 	Cfd__Frame frame = CFD__FRAME__INIT;
 
-	report.id = asked->timeline_query->id;
+	report.id = query_frame->timeline_query->id;
 	report.events = events;
 	frame.kind_case = CFD__FRAME__KIND_TIMELINE_REPORT;
 	frame.timeline_report = &report;
@@ -143,10 +145,10 @@
 		if (gather->id == frame->timeline_report->id)
 			break;
 	}
-	if (!gather || !g_hash_table_remove(gather->asked, peer_host(peer)))
+	if (!gather || !g_hash_table_remove(gather->unanswered, peer_host(peer)))
 		return;
 	gather_take(gather, frame->timeline_report->events);
-	if (g_hash_table_size(gather->asked) == 0)
+	if (g_hash_table_size(gather->unanswered) == 0)
 		gather_finish(gather);
 }
 
@@ -208,19 +210,19 @@
 	gather->id = ++gatherer->next_id;
 	gather->trace = g_strdup(trace);
 	gather->events = json_object_new_array();
-	gather->asked =
+	gather->unanswered =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	gather->known =
+	gather->queried =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	ev_timer_init(&gather->timeout, handle_timeout, GATHER_TIMEOUT_S, 0.0);
 	gather->timeout.data = gather;
 	LIST_INSERT_HEAD(&gatherer->gathers, gather, link);
-	g_hash_table_add(gather->known, g_strdup(daemon->settings->host));
+	g_hash_table_add(gather->queried, g_strdup(daemon->settings->host));
 	if (trace && daemon->peers)
 		gather_ask_first(gather);
 	gather_take(gather, events);
 	g_free(events);
-	if (g_hash_table_size(gather->asked) == 0)
+	if (g_hash_table_size(gather->unanswered) == 0)
 		gather_finish(gather);
 	else
 		ev_timer_start(daemon->loop, &gather->timeout);
--- a/include/comfreydockd/config/follow.h
+++ b/include/comfreydockd/config/follow.h
@@ -15,8 +15,8 @@
  *	a day, where the store gives 2,000.
  *
  *	One that stays behind, whatever keeps its peers from helping, reads the
- *	row once by itself, after CONFIG_FOLLOW_BEHIND_US and a time drawn from
- *	CONFIG_FOLLOW_APART_US for each member, so that all of them together
+ *	row once by itself, after CONFIG_FOLLOW_PEER_GRACE_US and a time drawn from
+ *	CONFIG_FOLLOW_READ_SPACING_US for each member, so that all of them together
  *	make 100 such reads a second at most, and fewer as long as that is in
  *	vain. It reads beside its watch, which may be lost without a word.
  *
@@ -39,14 +39,14 @@
 #define CONFIG_FOLLOW_RETRY_MIN_US (100 * 1000)
 #define CONFIG_FOLLOW_RETRY_MAX_US (1000 * 1000)
 /* Most get a version from their peers in that time. */
-#define CONFIG_FOLLOW_BEHIND_US (1500 * 1000)
-#define CONFIG_FOLLOW_APART_US (10 * 1000)
+#define CONFIG_FOLLOW_PEER_GRACE_US (1500 * 1000)
+#define CONFIG_FOLLOW_READ_SPACING_US (10 * 1000)
 /* While parts still come from peers, reading it as well would halve the link. */
-#define CONFIG_FOLLOW_STILL_US (500 * 1000)
-#define CONFIG_FOLLOW_PARTS_MAX_US (5 * 1000 * 1000)
-#define CONFIG_FOLLOW_LOOK_US (100 * 1000) /* while behind */
+#define CONFIG_FOLLOW_STALL_US (500 * 1000)
+#define CONFIG_FOLLOW_PIECES_MAX_US (5 * 1000 * 1000)
+#define CONFIG_FOLLOW_CHECK_US (100 * 1000) /* while behind */
 /* Changes that come closer together are taken as one. */
-#define CONFIG_FOLLOW_PAUSE_US (200 * 1000)
+#define CONFIG_FOLLOW_COALESCE_US (200 * 1000)
 
 struct config_follow;
 struct slices;
--- a/include/comfreydockd/config/model.h
+++ b/include/comfreydockd/config/model.h
@@ -71,7 +71,7 @@
 };
 
 /* What the operator says of a group itself. */
-struct config_upstreams {
+struct config_group_settings {
 	char *group;
 	char *health_path; /* NULL: never probed */
 	uint32_t max_connections; /* that one upstream takes; 0: not told */
@@ -84,7 +84,7 @@
 	char sha256[65];
 	char *body; /* the file as it was applied */
 	GPtrArray *services; /* of struct config_service */
-	GPtrArray *upstreams; /* of struct config_upstreams */
+	GPtrArray *upstreams; /* of struct config_group_settings */
 };
 
 struct config_snapshot {
@@ -108,8 +108,9 @@
 
 /* RETURN VALUE: the destination's group for a number drawn below the sum of
  * the weights. */
-const char *config_rule_draw(const struct config_rule *rule, uint64_t drawn);
-uint64_t config_rule_weights(const struct config_rule *rule);
+const char *config_rule_select_group(const struct config_rule *rule,
+				     uint64_t drawn);
+uint64_t config_rule_total_weight(const struct config_rule *rule);
 void config_service_destroy(struct config_service *service);
 
 /* Fills in hex the SHA-256 of a file's body. */
--- a/include/comfreydockd/config/rows.h
+++ b/include/comfreydockd/config/rows.h
@@ -22,7 +22,7 @@
 
 #define CONFIG_HEAD_KEY "config/head"
 #define CONFIG_RECENT_KEY "config/recent"
-#define CONFIG_RECENT_MOST 8
+#define CONFIG_RECENT_MAX 8
 
 /* The caller frees the result. */
 char *config_namespace_key(const char *name);
--- a/include/comfreydockd/config/spread.h
+++ b/include/comfreydockd/config/spread.h
@@ -40,7 +40,7 @@
 #define CONFIG_SPREAD_READERS 2 /* per failure domain */
 #define CONFIG_SPREAD_READ_US (1000 * 1000)
 /* A daemon that starts asks so many peers for their heads. */
-#define CONFIG_SPREAD_WITNESSES 3
+#define CONFIG_SPREAD_STARTUP_PEERS 3
 /* Bodies in one answer; what is more is asked for again. */
 #define CONFIG_SPREAD_ANSWER_BYTES (256 * 1024)
 /* A larger body goes in pieces. One takes 52 ms of a link of 10 Mbit/s, for which
--- a/include/comfreydockd/config/spread_internal.h
+++ b/include/comfreydockd/config/spread_internal.h
@@ -68,8 +68,8 @@
 	uint64_t hint_head;
 
 	/* the start, without the platform */
-	unsigned int witnesses;
-	char witness_hosts[CONFIG_SPREAD_WITNESSES][MEMBER_HOST_MAX];
+	unsigned int startup_peer_count;
+	char startup_peer_hosts[CONFIG_SPREAD_STARTUP_PEERS][MEMBER_HOST_MAX];
 	char best_host[MEMBER_HOST_MAX];
 	uint64_t best_head;
 
@@ -108,7 +108,7 @@
 /* RETURN VALUE: whether the piece brought something new. One of a newer version of the
  * namespace begins anew; of others see CONFIG_PIECES_REFUSED_MAX. */
 bool config_pieces_add(struct config_pieces *pieces, const Cfd__ConfigLine *line);
-bool config_pieces_are_whole(const struct config_pieces *pieces);
+bool config_pieces_are_complete(const struct config_pieces *pieces);
 
 /* Asks for the rest, where a part is here; name is what is missing. */
 void config_pieces_fill_query(const struct config_pieces *pieces,
--- a/include/comfreydockd/config/store.h
+++ b/include/comfreydockd/config/store.h
@@ -101,13 +101,13 @@
 
 /* A version is here and being read, which takes some turns of the loop: nobody need
  * fetch anything meanwhile. */
-void config_store_begin_taking(struct config_store *store);
-void config_store_end_taking(struct config_store *store);
-bool config_store_is_taking(const struct config_store *store);
+void config_store_begin_adoption(struct config_store *store);
+void config_store_end_adoption(struct config_store *store);
+bool config_store_is_adopting(const struct config_store *store);
 
 /* When a version, or a part of one, last came in, of the monotonic clock. */
-int64_t config_store_moved_us(const struct config_store *store);
-void config_store_note_part(struct config_store *store);
+int64_t config_store_progress_us(const struct config_store *store);
+void config_store_note_piece(struct config_store *store);
 
 /*
  * How long ago nothing newer than the head held here was there, by the word of
@@ -117,7 +117,7 @@
 
 /* There is a platform whose word is to be had: without one from now on for
  * CONFIG_TOLD_MAX_US, the configuration is in doubt as with an old one. */
-void config_store_expect_word(struct config_store *store);
+void config_store_expect_told(struct config_store *store);
 
 /*
  * The platform's own answer to a question of that boot time: this head is the
@@ -154,15 +154,15 @@
 GArray *config_store_missing(const struct config_store *store);
 
 /* RETURN VALUE: whether config_store_missing() would have any. */
-bool config_store_lacks(const struct config_store *store);
+bool config_store_has_missing(const struct config_store *store);
 
 /* As config_store_missing(), for all that is held here: what this daemon lists to others. */
 GArray *config_store_export(const struct config_store *store);
 
 /* For a body whose hash was made by this daemon itself. */
-enum config_offer config_store_take(struct config_store *store,
-				    const struct config_version *version,
-				    const char *body);
+enum config_offer config_store_offer_trusted(struct config_store *store,
+					     const struct config_version *version,
+					     const char *body);
 
 /* For a body that came with its hash from elsewhere. */
 enum config_offer config_store_offer(struct config_store *store, const char *name,
--- a/tests/fuzz/fuzz_config.c
+++ b/tests/fuzz/fuzz_config.c
@@ -24,8 +24,8 @@
 			g_assert(strcmp(x->name, y->name) == 0);
 			g_assert(strcmp(x->path_prefix, y->path_prefix) == 0);
 			g_assert(x->deadline_ms == y->deadline_ms);
-			g_assert(strcmp(config_rule_draw(x, 0),
-					config_rule_draw(y, 0)) == 0);
+			g_assert(strcmp(config_rule_select_group(x, 0),
+					config_rule_select_group(y, 0)) == 0);
 		}
 	}
 }
--- a/tests/sample.c
+++ b/tests/sample_config.c
@@ -1,8 +1,8 @@
-#include "sample.h"
+#include "sample_config.h"
 
 #include <glib.h>
 
-char *sample_read(void)
+char *sample_config_read(void)
 {
 	char *path = g_build_filename(g_getenv("COMFREYDOCK_SOURCE"), "docs",
 				      "operators", "lookup.sample.json", NULL);
--- a/tests/sample.h
+++ b/tests/sample_config.h
@@ -2,10 +2,10 @@
  * NAME
  *	sample - the operators' sample file of docs/operators
  */
-#ifndef TESTS_SAMPLE_H
-#define TESTS_SAMPLE_H
+#ifndef TESTS_SAMPLE_CONFIG_H
+#define TESTS_SAMPLE_CONFIG_H
 
 /* RETURN VALUE: its text, to be freed with g_free(). */
-char *sample_read(void);
+char *sample_config_read(void);
 
 #endif
--- a/tests/spread_net.c
+++ b/tests/spread_net.c
@@ -12,7 +12,7 @@
 struct event {
 	int64_t at_us;
 	struct net_node *node; /* that it happens to */
-	unsigned int life;
+	unsigned int starts;
 	struct net_node *from;
 	Cfd__ConfigQuery *query;
 	Cfd__ConfigBody *answer;
@@ -36,7 +36,7 @@
 
 	*copy = event;
 	copy->at_us = net->now_us + ms * US_PER_MS;
-	copy->life = event.node->life;
+	copy->starts = event.node->starts;
 	g_queue_insert_sorted(&net->events, copy, compare_events, NULL);
 }
 
@@ -45,7 +45,7 @@
 	return g_test_rand_int_range(0, 100) < net->lost_percent;
 }
 
-static int64_t some_ms(const struct net *net)
+static int64_t random_delay_ms(const struct net *net)
 {
 	return g_test_rand_int_range(1, 5 + net->slow_ms);
 }
@@ -82,10 +82,10 @@
 	cfd__config_query__pack(query, bytes);
 	event.query = cfd__config_query__unpack(NULL, size, bytes);
 	g_free(bytes);
-	post(net, event, some_ms(net));
+	post(net, event, random_delay_ms(net));
 }
 
-static void give_answer(struct event *event)
+static void deliver_query(struct event *event)
 {
 	struct net_node *node = event->node;
 	Cfd__ConfigBody *answer =
@@ -104,7 +104,7 @@
 	}
 	g_free(bytes);
 	config_spread_free_answer(answer);
-	post(node->net, back, some_ms(node->net));
+	post(node->net, back, random_delay_ms(node->net));
 }
 
 static void answer_as_platform(struct event *event)
@@ -141,7 +141,7 @@
 	struct event event = {
 		.node = node, .get = handler, .key = g_strdup(key), .data = data};
 
-	post(node->net, event, some_ms(node->net));
+	post(node->net, event, random_delay_ms(node->net));
 }
 
 static const struct config_platform_ops platform_ops = {
@@ -149,7 +149,7 @@
 	.get_object = get,
 };
 
-static void check_never_back(struct net_node *node)
+static void check_no_regression(struct net_node *node)
 {
 	for (unsigned int i = 0; i < NET_NAMES; i++) {
 		struct config_namespace *ns = config_snapshot_find(
@@ -167,10 +167,11 @@
 
 	if (event->get)
 		answer_as_platform(event);
-	else if (!from || node->cut || from->cut || is_lost(node->net))
+	else if (!from || node->partitioned || from->partitioned ||
+		 is_lost(node->net))
 		return;
 	else if (event->query)
-		give_answer(event);
+		deliver_query(event);
 	else
 		config_spread_take_answer(node->spread, from->host,
 					  event->answer);
@@ -180,9 +181,9 @@
 {
 	struct net_node *node = event->node;
 
-	if (node->up && node->life == event->life) {
+	if (node->up && node->starts == event->starts) {
 		deliver(event);
-		check_never_back(node);
+		check_no_regression(node);
 	}
 	if (event->query)
 		cfd__config_query__free_unpacked(event->query, NULL);
@@ -198,8 +199,9 @@
 		&net->nodes[g_test_rand_int_range(0, (int)net->count)];
 	uint64_t head = config_store_head(node->store);
 
-	if (other == node || !other->up || other->cut || node->cut ||
-	    is_lost(net) || head <= config_store_head(other->store))
+	if (other == node || !other->up || other->partitioned ||
+	    node->partitioned || is_lost(net) ||
+	    head <= config_store_head(other->store))
 		return;
 	config_store_note_head(other->store, head, node->host);
 }
@@ -213,7 +215,7 @@
 			continue;
 		config_spread_tick(node->spread, net->now_us);
 		gossip(net, node);
-		check_never_back(node);
+		check_no_regression(node);
 	}
 }
 
@@ -250,13 +252,13 @@
 }
 
 /* All know of all; who is down shows as dead. */
-static void tell_members(struct net *net)
+static void update_members(struct net *net)
 {
 	for (unsigned int i = 0; i < net->count; i++) {
 		for (unsigned int j = 0; j < net->count; j++) {
 			const struct net_node *node = &net->nodes[j];
 			struct member record = {
-				.incarnation = node->life,
+				.incarnation = node->starts,
 				.peer_port = 1,
 				.domain = domain_of(net, j),
 				.region = "reykjavik",
@@ -266,7 +268,7 @@
 			g_strlcpy(record.host, node->host, sizeof(record.host));
 			g_strlcpy(record.address, "127.0.0.1",
 				  sizeof(record.address));
-			if (net->nodes[i].up && node->life)
+			if (net->nodes[i].up && node->starts)
 				member_table_update(net->nodes[i].members,
 						    &record, net->now_us);
 		}
@@ -282,7 +284,7 @@
 	config_store_destroy(node->store);
 	member_table_destroy(node->members);
 	memset(node->seen, 0, sizeof(node->seen));
-	tell_members(net);
+	update_members(net);
 }
 
 void net_start(struct net *net, unsigned int i)
@@ -298,14 +300,14 @@
 	};
 
 	node->up = true;
-	node->life++;
+	node->starts++;
 	node->store = config_store_create();
 	node->members = member_table_create();
 	node->ops = (struct config_spread_ops){ask, publish, node};
 	options.store = node->store;
 	options.members = node->members;
 	node->spread = config_spread_create(&options, net->now_us);
-	tell_members(net);
+	update_members(net);
 }
 
 void net_init(struct net *net, unsigned int count)
@@ -389,7 +391,7 @@
 	return ns ? ns->version : 0;
 }
 
-bool net_agrees(const struct net *net)
+bool net_has_converged(const struct net *net)
 {
 	for (unsigned int i = 0; i < net->count; i++) {
 		if (!net->nodes[i].up)
--- a/tests/spread_net.h
+++ b/tests/spread_net.h
@@ -19,9 +19,9 @@
 
 struct net_node {
 	char host[MEMBER_HOST_MAX];
-	unsigned int life; /* counts its starts */
+	unsigned int starts; /* counts its starts */
 	bool up;
-	bool cut; /* hears and says nothing */
+	bool partitioned; /* hears and says nothing */
 	bool corrupts; /* the bodies it gives */
 	struct config_store *store;
 	struct member_table *members;
@@ -63,6 +63,6 @@
 uint64_t net_held(const struct net *net, unsigned int i, unsigned int name);
 
 /* Whether all that are up hold what the platform's head row lists. */
-bool net_agrees(const struct net *net);
+bool net_has_converged(const struct net *net);
 
 #endif
--- a/tests/test_config_apply.c
+++ b/tests/test_config_apply.c
@@ -85,7 +85,7 @@
 	g_assert_true(config_head_parse(head, row ? row->value : NULL));
 }
 
-static void test_version_by_version(void)
+static void test_consecutive_versions(void)
 {
 	struct operator op = {0};
 	struct fake_platform p;
@@ -137,7 +137,7 @@
 
 /* Guards against an apply that is acknowledged under a number which daemons hold
  * with another content, after the platform's store was set back: none takes it. */
-static void test_numbers_go_on_after_the_store_was_set_back(void)
+static void test_numbers_continue_after_store_rollback(void)
 {
 	char *key = config_namespace_key("a");
 	struct config_apply_request request = {.base = 3, .known_head = 3};
@@ -300,7 +300,7 @@
  * platform loses answers, is slow, and lets writes take effect seconds after
  * it gave up on them. Nobody may be told what the rows then contradict.
  */
-static void test_five_operators_race(void)
+static void test_concurrent_operators(void)
 {
 	unsigned int told[4] = {0};
 
@@ -343,11 +343,11 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/apply/versions", test_version_by_version);
-	g_test_add_func("/apply/set-back",
-			test_numbers_go_on_after_the_store_was_set_back);
+	g_test_add_func("/apply/versions", test_consecutive_versions);
+	g_test_add_func("/apply/store-rollback",
+			test_numbers_continue_after_store_rollback);
 	g_test_add_func("/apply/down", test_platform_down);
 	g_test_add_func("/apply/lost-answer", test_lost_answer_is_resolved);
-	g_test_add_func("/apply/race", test_five_operators_race);
+	g_test_add_func("/apply/race", test_concurrent_operators);
 	return g_test_run();
 }
--- a/tests/test_config_check.c
+++ b/tests/test_config_check.c
@@ -3,14 +3,14 @@
 
 #include "comfreydockd/config/check.h"
 #include "comfreydockd/config/routes.h"
-#include "sample.h"
+#include "sample_config.h"
 
 static struct config_snapshot *load_sample(void)
 {
 	struct config_snapshot *empty = config_snapshot_create();
 	struct config_snapshot *snapshot;
 	struct config_namespace *ns;
-	char *text = sample_read();
+	char *text = sample_config_read();
 	struct findings findings;
 	char *found;
 
@@ -41,7 +41,7 @@
 	g_assert_true(found == (rule_name != NULL));
 }
 
-static void test_requests_find_their_rule(void)
+static void test_request_matches_rule(void)
 {
 	struct config_snapshot *snapshot = load_sample();
 	const char *host = "Lookup.Spurningalina.example:8080";
@@ -85,7 +85,7 @@
  * Teams share a host and nest their paths. A request that found a shorter
  * prefix, or half of a segment, would be run by another team's servers.
  */
-static void test_the_longest_whole_prefix_serves(void)
+static void test_longest_segment_prefix_wins(void)
 {
 	struct config_service *services[] = {
 		service_of(NULL, "/a"),	     service_of(NULL, "/a/b"),
@@ -116,7 +116,7 @@
 }
 
 /* What a file does not say must never let a booking run twice. */
-static void test_defaults_are_careful(void)
+static void test_defaults_are_safe(void)
 {
 	struct config_snapshot *snapshot = load_sample();
 	const struct config_service *service;
@@ -136,7 +136,7 @@
 
 static void assert_refused(const char *from, const char *to, const char *expected)
 {
-	char *sample = sample_read();
+	char *sample = sample_config_read();
 	GString *text = g_string_new(sample);
 	struct findings findings;
 	char *found;
@@ -157,7 +157,7 @@
  * Files are edited by hand under pressure. Each of these would otherwise be
  * in force and do something else than its author believes.
  */
-static void test_mistakes_are_refused(void)
+static void test_invalid_files_are_rejected(void)
 {
 	assert_refused("\"idempotent\": true", "\"idempotent\": false",
 		       "rules[1].hedge: only an idempotent rule may be hedged");
@@ -190,10 +190,10 @@
 }
 
 /* Two teams claim one host name: requests would go to whichever sorts first. */
-static void test_other_teams_hosts_are_refused(void)
+static void test_hosts_of_other_namespace_are_rejected(void)
 {
 	struct config_snapshot *snapshot = load_sample();
-	char *sample = sample_read();
+	char *sample = sample_config_read();
 	GString *text = g_string_new(sample);
 	struct config_namespace *ns;
 	struct findings findings;
@@ -216,30 +216,32 @@
  * Operators move part of a service's requests to another group. Each part must
  * get its share, and none that has a weight of 0.
  */
-static void test_parts_are_drawn_by_weight(void)
+static void test_destinations_are_selected_by_weight(void)
 {
 	struct config_rule *rule = config_rule_create();
 
 	config_rule_add_destination(rule, "a", 90);
 	config_rule_add_destination(rule, "b", 0);
 	config_rule_add_destination(rule, "c", 10);
-	g_assert_cmpuint(config_rule_weights(rule), ==, 100);
-	g_assert_cmpstr(config_rule_draw(rule, 0), ==, "a");
-	g_assert_cmpstr(config_rule_draw(rule, 89), ==, "a");
-	g_assert_cmpstr(config_rule_draw(rule, 90), ==, "c");
-	g_assert_cmpstr(config_rule_draw(rule, 99), ==, "c");
+	g_assert_cmpuint(config_rule_total_weight(rule), ==, 100);
+	g_assert_cmpstr(config_rule_select_group(rule, 0), ==, "a");
+	g_assert_cmpstr(config_rule_select_group(rule, 89), ==, "a");
+	g_assert_cmpstr(config_rule_select_group(rule, 90), ==, "c");
+	g_assert_cmpstr(config_rule_select_group(rule, 99), ==, "c");
 	config_rule_unref(rule);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/check/match", test_requests_find_their_rule);
-	g_test_add_func("/check/defaults", test_defaults_are_careful);
-	g_test_add_func("/check/mistakes", test_mistakes_are_refused);
-	g_test_add_func("/check/parts", test_parts_are_drawn_by_weight);
-	g_test_add_func("/check/teams", test_other_teams_hosts_are_refused);
-	g_test_add_func("/config_check/longest-prefix",
-			test_the_longest_whole_prefix_serves);
+	g_test_add_func("/check/match", test_request_matches_rule);
+	g_test_add_func("/check/defaults", test_defaults_are_safe);
+	g_test_add_func("/check/invalid", test_invalid_files_are_rejected);
+	g_test_add_func("/check/weights",
+			test_destinations_are_selected_by_weight);
+	g_test_add_func("/check/other-namespace",
+			test_hosts_of_other_namespace_are_rejected);
+	g_test_add_func("/check/longest-prefix",
+			test_longest_segment_prefix_wins);
 	return g_test_run();
 }
--- a/tests/test_config_pieces.c
+++ b/tests/test_config_pieces.c
@@ -42,12 +42,12 @@
 	return config_pieces_add(&f->pieces, &line);
 }
 
-static void test_pieces_make_the_body(struct fixture *f, gconstpointer unused)
+static void test_pieces_assemble_the_body(struct fixture *f, gconstpointer unused)
 {
 	unsigned int pieces = 0;
 
 	(void)unused;
-	while (!config_pieces_are_whole(&f->pieces) && pieces < 100) {
+	while (!config_pieces_are_complete(&f->pieces) && pieces < 100) {
 		g_assert_true(take(f, 5, "five", SIZE));
 		pieces++;
 	}
@@ -64,15 +64,16 @@
 static void test_two_bodies_of_one_version(struct fixture *f, gconstpointer unused)
 {
 	(void)unused;
-	for (int i = 0; i < 8 && !config_pieces_are_whole(&f->pieces); i++)
+	for (int i = 0; i < 8 && !config_pieces_are_complete(&f->pieces); i++)
 		take(f, 5, i % 2 ? "two" : "one", SIZE);
-	g_assert_true(config_pieces_are_whole(&f->pieces));
+	g_assert_true(config_pieces_are_complete(&f->pieces));
 	g_assert_cmpstr(f->pieces.sha256, ==, "one");
 }
 
 /* Its only holder is gone after the first piece. The version that all others hold is
  * older, and has to get here all the same. */
-static void test_unfinished_body_gives_way(struct fixture *f, gconstpointer unused)
+static void test_abandoned_body_is_replaced(struct fixture *f,
+					    gconstpointer unused)
 {
 	(void)unused;
 	g_assert_true(take(f, 9, "nine", SIZE));
@@ -80,10 +81,11 @@
 		g_assert_false(take(f, 7, "seven", SIZE));
 	for (int i = 0; i < 4; i++)
 		g_assert_true(take(f, 7, "seven", SIZE));
-	g_assert_true(config_pieces_are_whole(&f->pieces));
+	g_assert_true(config_pieces_are_complete(&f->pieces));
 }
 
-static void test_newer_version_begins_anew(struct fixture *f, gconstpointer unused)
+static void test_newer_version_restarts_assembly(struct fixture *f,
+						 gconstpointer unused)
 {
 	(void)unused;
 	g_assert_true(take(f, 5, "five", SIZE));
@@ -94,8 +96,8 @@
 
 /* A peer at fault names sizes and places that can't be. None of it may be kept, or
  * it would fill the memory or run beyond the body. */
-static void test_unsound_pieces_are_refused(struct fixture *f,
-					    gconstpointer unused)
+static void test_invalid_pieces_are_rejected(struct fixture *f,
+					     gconstpointer unused)
 {
 	static const struct {
 		uint64_t size, offset;
@@ -132,10 +134,10 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	ADD("/pieces/whole", test_pieces_make_the_body);
+	ADD("/pieces/whole", test_pieces_assemble_the_body);
 	ADD("/pieces/two-bodies", test_two_bodies_of_one_version);
-	ADD("/pieces/unfinished", test_unfinished_body_gives_way);
-	ADD("/pieces/newer", test_newer_version_begins_anew);
-	ADD("/pieces/unsound", test_unsound_pieces_are_refused);
+	ADD("/pieces/abandoned", test_abandoned_body_is_replaced);
+	ADD("/pieces/newer", test_newer_version_restarts_assembly);
+	ADD("/pieces/invalid", test_invalid_pieces_are_rejected);
 	return g_test_run();
 }
--- a/tests/test_config_platform.c
+++ b/tests/test_config_platform.c
@@ -42,7 +42,7 @@
 	handler(&p->answer, data);
 }
 
-struct told {
+struct result {
 	unsigned int times;
 	enum config_platform_status status;
 	uint64_t version;
@@ -53,13 +53,13 @@
 static void handle_get(enum config_platform_status status, uint64_t row_version,
 		       const char *value, size_t size, void *data)
 {
-	struct told *told = data;
+	struct result *result = data;
 
-	told->times++;
-	told->status = status;
-	told->version = row_version;
-	told->value = value;
-	told->size = size;
+	result->times++;
+	result->status = status;
+	result->version = row_version;
+	result->value = value;
+	result->size = size;
 }
 
 static void handle_done(enum config_platform_status status, void *data)
@@ -72,7 +72,7 @@
 	handle_done(CONFIG_PLATFORM_OK, data);
 }
 
-static const enum config_platform_status meant[] = {
+static const enum config_platform_status expected_status[] = {
 	[PLATFORM_OK] = CONFIG_PLATFORM_OK,
 	[PLATFORM_NOT_FOUND] = CONFIG_PLATFORM_OK,
 	[PLATFORM_CONFLICT] = CONFIG_PLATFORM_CONFLICT,
@@ -94,23 +94,24 @@
 	const struct config_platform_ops *ops = &config_platform_ops;
 	const struct config_write write = {"k", 3, "{}"};
 
-	for (size_t i = 0; i < G_N_ELEMENTS(meant); i++) {
-		struct told told[4] = {{0}};
+	for (size_t i = 0; i < G_N_ELEMENTS(expected_status); i++) {
+		struct result result[4] = {{0}};
 
 		p.answer.status = (enum platform_status)i;
-		ops->get(platform, "k", handle_get, &told[0]);
-		ops->get_object(platform, "o", handle_get, &told[1]);
-		ops->put_object(platform, "o", "body", 4, handle_done, &told[2]);
-		ops->transact(platform, &write, 1, handle_done, &told[3]);
-		for (size_t j = 0; j < G_N_ELEMENTS(told); j++) {
-			g_assert_cmpuint(told[j].times, ==, 1);
-			g_assert_cmpint(told[j].status, ==, meant[i]);
+		ops->get(platform, "k", handle_get, &result[0]);
+		ops->get_object(platform, "o", handle_get, &result[1]);
+		ops->put_object(platform, "o", "body", 4, handle_done,
+				&result[2]);
+		ops->transact(platform, &write, 1, handle_done, &result[3]);
+		for (size_t j = 0; j < G_N_ELEMENTS(result); j++) {
+			g_assert_cmpuint(result[j].times, ==, 1);
+			g_assert_cmpint(result[j].status, ==, expected_status[i]);
 		}
 	}
 	config_platform_destroy(platform);
 }
 
-static void test_rows_and_conditions_pass(void)
+static void test_rows_and_conditions_are_passed_through(void)
 {
 	struct ev_loop *loop = ev_default_loop(0);
 	struct platform_row row = {"k", 7, "{\"x\":1}", 7};
@@ -119,14 +120,14 @@
 	struct config_platform *platform = config_platform_create(loop, &p);
 	const struct config_write writes[] = {
 		{"k", 0, "{}"}, {"k", 3, "{}"}, {"k", CONFIG_ANY_VERSION, "{}"}};
-	struct told told = {0};
-
-	config_platform_ops.get(platform, "k", handle_get, &told);
-	g_assert_cmpuint(told.version, ==, 7);
-	g_assert_cmpstr(told.value, ==, row.value);
-	config_platform_ops.get_object(platform, "o", handle_get, &told);
-	g_assert_cmpmem(told.value, told.size, "abc", 3);
-	config_platform_ops.transact(platform, writes, 3, handle_done, &told);
+	struct result result = {0};
+
+	config_platform_ops.get(platform, "k", handle_get, &result);
+	g_assert_cmpuint(result.version, ==, 7);
+	g_assert_cmpstr(result.value, ==, row.value);
+	config_platform_ops.get_object(platform, "o", handle_get, &result);
+	g_assert_cmpmem(result.value, result.size, "abc", 3);
+	config_platform_ops.transact(platform, writes, 3, handle_done, &result);
 	g_assert_cmpint(p.ops[0].if_version, ==, PLATFORM_ABSENT);
 	g_assert_cmpint(p.ops[1].if_version, ==, 3);
 	g_assert_cmpint(p.ops[2].if_version, ==, PLATFORM_ANY_VERSION);
@@ -138,17 +139,17 @@
 	struct ev_loop *loop = ev_default_loop(0);
 	struct platform p = {.count = 0};
 	struct config_platform *platform = config_platform_create(loop, &p);
-	struct told told = {0};
+	struct result result = {0};
 
-	config_platform_ops.wait(platform, 1, handle_waited, &told);
-	g_assert_cmpuint(told.times, ==, 0);
+	config_platform_ops.wait(platform, 1, handle_waited, &result);
+	g_assert_cmpuint(result.times, ==, 0);
 	ev_run(loop, 0);
-	g_assert_cmpuint(told.times, ==, 1);
+	g_assert_cmpuint(result.times, ==, 1);
 	/* One that is open at the end is dropped. */
-	config_platform_ops.wait(platform, 1, handle_waited, &told);
+	config_platform_ops.wait(platform, 1, handle_waited, &result);
 	config_platform_destroy(platform);
 	ev_run(loop, 0);
-	g_assert_cmpuint(told.times, ==, 1);
+	g_assert_cmpuint(result.times, ==, 1);
 }
 
 int main(int argc, char **argv)
@@ -156,7 +157,8 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/config-platform/status",
 			test_each_call_ends_once_with_its_status);
-	g_test_add_func("/config-platform/rows", test_rows_and_conditions_pass);
+	g_test_add_func("/config-platform/rows",
+			test_rows_and_conditions_are_passed_through);
 	g_test_add_func("/config-platform/wait",
 			test_wait_calls_back_from_the_loop);
 	return g_test_run();
--- a/tests/test_config_spread.c
+++ b/tests/test_config_spread.c
@@ -19,7 +19,7 @@
 	return readers;
 }
 
-static void test_change_reaches_all_through_few_readers(void)
+static void test_change_reaches_all_with_few_reads(void)
 {
 	net_init(&net, 12);
 	net_run(&net, 3000);
@@ -27,7 +27,7 @@
 	net_apply(&net, 0);
 	net.head_reads = 0;
 	net_run(&net, 5000);
-	g_assert_true(net_agrees(&net));
+	g_assert_true(net_has_converged(&net));
 	/* At 0.8 s to 1.2 s between two reads. */
 	g_assert_cmpuint(net.head_reads, <=, 4 * 7);
 	g_assert_cmpuint(net.object_reads, <=, 4);
@@ -54,7 +54,7 @@
 	net_finish(&net);
 }
 
-static void expect_peers_pass_on(size_t body_bytes)
+static void check_peers_pass_on(size_t body_bytes)
 {
 	net_init(&net, 10);
 	net_run(&net, 2000);
@@ -63,16 +63,16 @@
 		net_run(&net, 10);
 	net.platform_down = true;
 	net_run(&net, 5000);
-	g_assert_true(net_agrees(&net));
+	g_assert_true(net_has_converged(&net));
 	g_assert_cmpuint(net.object_reads, <, 10);
 	net_finish(&net);
 }
 
 /* The platform fails just after a change was read by a few. The others still
  * get it, from those. */
-static void test_peers_pass_on_without_the_platform(void)
+static void test_peers_distribute_without_the_platform(void)
 {
-	expect_peers_pass_on(0);
+	check_peers_pass_on(0);
 }
 
 /*
@@ -81,9 +81,9 @@
  * peer gets on: callers of all other hosts go on meeting the routes of before,
  * for as long as the file stays that large.
  */
-static void test_large_body_travels(void)
+static void test_body_larger_than_an_answer_is_distributed(void)
 {
-	expect_peers_pass_on(CONFIG_SPREAD_ANSWER_BYTES * 2);
+	check_peers_pass_on(CONFIG_SPREAD_ANSWER_BYTES * 2);
 }
 
 /*
@@ -91,9 +91,9 @@
  * is the same to callers, and to the operator, whose next change of a single
  * route reaches just the hosts that read the platform.
  */
-static void test_body_larger_than_a_frame_travels(void)
+static void test_body_larger_than_a_frame_is_distributed(void)
 {
-	expect_peers_pass_on(LINK_MAX_FRAME_BYTES * 3);
+	check_peers_pass_on(LINK_MAX_FRAME_BYTES * 3);
 }
 
 static unsigned int pieces_at(unsigned int i)
@@ -106,7 +106,7 @@
  * the next piece ends, as all know; waiting for its answer all the same, this host
  * would get the version a second and a half later.
  */
-static void test_peer_that_ends_is_not_waited_for(void)
+static void test_fetch_from_stopped_peer_is_abandoned(void)
 {
 	unsigned int before;
 	unsigned int asked;
@@ -127,7 +127,7 @@
 }
 
 /* Parts of a version that then came in another way are let go: a daemon has 64 MB. */
-static void test_parts_of_what_came_are_dropped(void)
+static void test_pieces_of_adopted_version_are_freed(void)
 {
 	const struct config_version *version;
 	char *key;
@@ -138,11 +138,11 @@
 	for (int i = 0; i < 5000 && pieces_at(9) == 0; i++)
 		net_run(&net, 1);
 	g_assert_cmpuint(pieces_at(9), >, 0);
-	net.nodes[9].cut = true;
+	net.nodes[9].partitioned = true;
 	version = &g_array_index(net.head.versions, struct config_version, 0);
 	key = config_object_key(version->sha256);
-	config_store_take(net.nodes[9].store, version,
-			  g_hash_table_lookup(net.objects, key));
+	config_store_offer_trusted(net.nodes[9].store, version,
+				   g_hash_table_lookup(net.objects, key));
 	g_free(key);
 	g_assert_cmpuint(net_held(&net, 9, 0), ==, 1);
 	net_run(&net, 200);
@@ -154,14 +154,14 @@
  * A host is replaced during a long outage. One of its three peers was cut off
  * and is behind; were its word taken, callers would meet rules of last week.
  */
-static void test_restart_takes_the_highest_of_the_peers(void)
+static void test_restart_adopts_highest_peer_head(void)
 {
 	for (int round = 0; round < 20; round++) {
 		net_init(&net, 4);
 		net_apply(&net, 0);
 		net_run(&net, 3000);
-		net.nodes[1].cut = true;
-		net.nodes[2].cut = true;
+		net.nodes[1].partitioned = true;
+		net.nodes[2].partitioned = true;
 		net_stop(&net, 0);
 		/* 1 and 2 can't read it either. */
 		net_apply(&net, 0);
@@ -171,8 +171,8 @@
 			net_run(&net, 10);
 		}
 		net.platform_down = true;
-		net.nodes[1].cut = false;
-		net.nodes[2].cut = false;
+		net.nodes[1].partitioned = false;
+		net.nodes[2].partitioned = false;
 		net_start(&net, 0);
 		net_run(&net, 8000);
 		g_assert_true(config_store_is_ready(net.nodes[0].store));
@@ -183,7 +183,7 @@
 
 /* All hosts of a hall are started while the platform is down. None has a
  * configuration, and none may take another's emptiness for one. */
-static void test_nobody_is_ready_without_any_configuration(void)
+static void test_no_daemon_is_ready_without_configuration(void)
 {
 	net_init(&net, 6);
 	net.platform_down = true;
@@ -193,13 +193,13 @@
 	net_apply(&net, 1);
 	net.platform_down = false;
 	net_run(&net, 8000);
-	g_assert_true(net_agrees(&net));
+	g_assert_true(net_has_converged(&net));
 	net_finish(&net);
 }
 
 /* A peer's memory or wire damages bodies. They are refused by their hash, and
  * the daemon that asked gets them elsewhere. */
-static void test_damaged_bodies_are_fetched_elsewhere(void)
+static void test_damaged_bodies_are_fetched_again(void)
 {
 	net_init(&net, 3);
 	net_run(&net, 2000);
@@ -207,11 +207,11 @@
 		net.nodes[i].corrupts = true;
 	net_apply(&net, 0);
 	net_run(&net, 8000);
-	g_assert_true(net_agrees(&net));
+	g_assert_true(net_has_converged(&net));
 	net_finish(&net);
 }
 
-static void test_only_changes_travel(void)
+static void test_answer_lists_only_changes(void)
 {
 	Cfd__ConfigQuery query = CFD__CONFIG_QUERY__INIT;
 	Cfd__ConfigBody *answer;
@@ -234,7 +234,7 @@
 
 /* After a partition thousands may ask one daemon in the same second. It has
  * upstream work to do, and sends the rest of them to others. */
-static void test_a_peer_that_is_asked_too_often_is_busy(void)
+static void test_answers_are_rate_limited(void)
 {
 	Cfd__ConfigQuery query = CFD__CONFIG_QUERY__INIT;
 	unsigned int answered = 0;
@@ -253,14 +253,14 @@
 }
 
 /* Mostly of one answer, now and then of several pieces. */
-static size_t some_size(void)
+static size_t random_size(void)
 {
 	if (g_test_rand_int_range(0, 4) > 0)
 		return 0;
 	return (size_t)g_test_rand_int_range(0, 6 * CONFIG_SPREAD_PIECE_BYTES);
 }
 
-static void disturb(void)
+static void inject_random_fault(void)
 {
 	unsigned int i = (unsigned int)g_test_rand_int_range(0, (int)net.count);
 
@@ -275,7 +275,7 @@
 			net_start(&net, i);
 		break;
 	case 2:
-		net.nodes[i].cut = !net.nodes[i].cut;
+		net.nodes[i].partitioned = !net.nodes[i].partitioned;
 		break;
 	case 3:
 		net.nodes[i].corrupts = !net.nodes[i].corrupts;
@@ -283,32 +283,32 @@
 	default:
 		if (!net.platform_down)
 			net_apply_sized(&net, g_test_rand_int_range(0, NET_NAMES),
-					some_size());
+					random_size());
 		break;
 	}
 }
 
 /* Whatever is lost, late, damaged or restarted: no daemon goes back, which the
  * net checks after each event, and all agree soon after it is over. */
-static void test_any_faults_end_in_agreement(void)
+static void test_random_faults_converge(void)
 {
 	for (int round = 0; round < 40; round++) {
 		net_init(&net, 10);
 		net.lost_percent = g_test_rand_int_range(0, 60);
 		net.slow_ms = g_test_rand_int_range(0, 3000);
 		for (int i = 0; i < 60; i++) {
-			disturb();
+			inject_random_fault();
 			net_run(&net, g_test_rand_int_range(1, 2000));
 		}
 		net.platform_down = false;
 		net.lost_percent = 0;
 		net.slow_ms = 0;
 		for (unsigned int i = 0; i < net.count; i++) {
-			net.nodes[i].cut = false;
+			net.nodes[i].partitioned = false;
 			net.nodes[i].corrupts = false;
 		}
 		net_run(&net, 10000);
-		g_assert_true(net_agrees(&net));
+		g_assert_true(net_has_converged(&net));
 		net_finish(&net);
 	}
 }
@@ -317,24 +317,24 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/spread/readers",
-			test_change_reaches_all_through_few_readers);
+			test_change_reaches_all_with_few_reads);
 	g_test_add_func("/spread/replaced", test_readers_are_replaced);
-	g_test_add_func("/spread/peers", test_peers_pass_on_without_the_platform);
-	g_test_add_func("/spread/large", test_large_body_travels);
+	g_test_add_func("/spread/peers",
+			test_peers_distribute_without_the_platform);
+	g_test_add_func("/spread/large",
+			test_body_larger_than_an_answer_is_distributed);
 	g_test_add_func("/spread/larger-than-a-frame",
-			test_body_larger_than_a_frame_travels);
-	g_test_add_func("/spread/peer-ends",
-			test_peer_that_ends_is_not_waited_for);
-	g_test_add_func("/spread/parts", test_parts_of_what_came_are_dropped);
-	g_test_add_func("/spread/restart",
-			test_restart_takes_the_highest_of_the_peers);
+			test_body_larger_than_a_frame_is_distributed);
+	g_test_add_func("/spread/peer-stopped",
+			test_fetch_from_stopped_peer_is_abandoned);
+	g_test_add_func("/spread/freed-pieces",
+			test_pieces_of_adopted_version_are_freed);
+	g_test_add_func("/spread/restart", test_restart_adopts_highest_peer_head);
 	g_test_add_func("/spread/not-ready",
-			test_nobody_is_ready_without_any_configuration);
-	g_test_add_func("/spread/damaged",
-			test_damaged_bodies_are_fetched_elsewhere);
-	g_test_add_func("/spread/changes", test_only_changes_travel);
-	g_test_add_func("/spread/busy",
-			test_a_peer_that_is_asked_too_often_is_busy);
-	g_test_add_func("/spread/property", test_any_faults_end_in_agreement);
+			test_no_daemon_is_ready_without_configuration);
+	g_test_add_func("/spread/damaged", test_damaged_bodies_are_fetched_again);
+	g_test_add_func("/spread/changes", test_answer_lists_only_changes);
+	g_test_add_func("/spread/busy", test_answers_are_rate_limited);
+	g_test_add_func("/spread/property", test_random_faults_converge);
 	return g_test_run();
 }
--- a/tests/test_config_store.c
+++ b/tests/test_config_store.c
@@ -92,7 +92,7 @@
  * Offers come from many peers in any order, some long delayed. If an old one
  * were taken, a town's desk would be served by rules that were replaced.
  */
-static void test_versions_never_go_back(struct fixture *f, gconstpointer unused)
+static void test_versions_never_decrease(struct fixture *f, gconstpointer unused)
 {
 	uint64_t highest[3] = {0};
 
@@ -156,8 +156,8 @@
  * A restarted daemon remembers nothing. It is ready only when it holds all
  * that the listing names; before, it would answer for services it lacks.
  */
-static void test_head_is_reached_with_the_last_body(struct fixture *f,
-						    gconstpointer unused)
+static void test_head_advances_with_last_body(struct fixture *f,
+					      gconstpointer unused)
 {
 	struct config_version listing[] = {version_of("a", 4),
 					   version_of("b", 2)};
@@ -184,8 +184,7 @@
 
 /* The word of a peer on a version that is still on its way is kept until that is
  * here; that of one which holds an older version is as good. */
-static void test_word_of_peers_keeps_its_age(struct fixture *f,
-					     gconstpointer unused)
+static void test_told_age_of_peers_is_kept(struct fixture *f, gconstpointer unused)
 {
 	struct config_version listing[] = {version_of("a", 4)};
 
@@ -232,8 +231,8 @@
 }
 
 /* A listing was noted, and its head is known of no other way. */
-static void test_listing_alone_is_reason_for_doubt(struct fixture *f,
-						   gconstpointer unused)
+static void test_listing_alone_raises_doubt(struct fixture *f,
+					    gconstpointer unused)
 {
 	struct config_version listing[] = {version_of("a", 4)};
 
@@ -247,16 +246,16 @@
 	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_BEHIND);
 }
 
-static void test_empty_platform_is_ready_too(struct fixture *f,
-					     gconstpointer unused)
+static void test_empty_platform_makes_ready(struct fixture *f,
+					    gconstpointer unused)
 {
 	(void)unused;
 	config_store_note_listing(f->store, 0, NULL, 0);
 	g_assert_true(config_store_is_ready(f->store));
 }
 
-static void test_file_holds_until_a_version(struct fixture *f,
-					    gconstpointer unused)
+static void test_file_is_replaced_by_a_version(struct fixture *f,
+					       gconstpointer unused)
 {
 	char *file = g_build_filename(g_getenv("COMFREYDOCK_SOURCE"), "docs",
 				      "operators", "lookup.sample.json", NULL);
@@ -284,14 +283,14 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	ADD("/store/never-back", test_versions_never_go_back);
+	ADD("/store/never-decrease", test_versions_never_decrease);
 	ADD("/store/in-flight", test_requests_keep_their_snapshot);
 	ADD("/store/bad-offers", test_bad_offers_change_nothing);
-	ADD("/store/head", test_head_is_reached_with_the_last_body);
-	ADD("/store/word", test_word_of_peers_keeps_its_age);
+	ADD("/store/head", test_head_advances_with_last_body);
+	ADD("/store/told-age", test_told_age_of_peers_is_kept);
 	ADD("/store/false-head", test_false_head_is_dropped);
-	ADD("/store/listing", test_listing_alone_is_reason_for_doubt);
-	ADD("/store/empty-platform", test_empty_platform_is_ready_too);
-	ADD("/store/file", test_file_holds_until_a_version);
+	ADD("/store/listing", test_listing_alone_raises_doubt);
+	ADD("/store/empty-platform", test_empty_platform_makes_ready);
+	ADD("/store/file", test_file_is_replaced_by_a_version);
 	return g_test_run();
 }
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -176,7 +176,7 @@
 	adopt(f, 1, "old.example");
 	paused_clock_advance_us(CONFIG_TOLD_MAX_US * 2);
 	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 404);
-	config_store_expect_word(f->daemon.config);
+	config_store_expect_told(f->daemon.config);
 	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 404);
 	paused_clock_advance_us(CONFIG_TOLD_MAX_US + 1);
 	g_assert_cmpuint(ask(f, "new.example", "/r/1"), ==, 503);
--- a/tests/test_follow.c
+++ b/tests/test_follow.c
@@ -172,7 +172,7 @@
  * The store serves an older row after a newer one, as a copy that is behind may.
  * Put in force it would send callers to a service that was taken out.
  */
-static void test_never_goes_back(void)
+static void test_older_row_is_ignored(void)
 {
 	begin();
 	answer(PLATFORM_OK, 12, (char *)"7");
@@ -183,7 +183,7 @@
 }
 
 /* The history was dropped while the watch was away: the row itself tells. */
-static void test_lost_history_is_read_anew(void)
+static void test_lost_history_rereads_row(void)
 {
 	begin();
 	answer(PLATFORM_OK, 12, (char *)"2");
@@ -201,7 +201,7 @@
  * nothing else as it comes back; one that waited for long would leave its
  * callers without what has changed.
  */
-static void test_outage_is_waited_out(void)
+static void test_outage_backs_off(void)
 {
 	unsigned int asked;
 
@@ -276,13 +276,13 @@
  * routes although the store is at hand. The daemon reads it by itself, not at once,
  * as its peers mostly manage, and not together with all the others.
  */
-static void test_who_stays_behind_reads_alone(void)
+static void test_lagging_daemon_reads_row_itself(void)
 {
 	begin_among_many();
 	config_store_note_head(config, 9, "host-1");
-	run_ms(CONFIG_FOLLOW_BEHIND_US / US_PER_MS - 10);
+	run_ms(CONFIG_FOLLOW_PEER_GRACE_US / US_PER_MS - 10);
 	g_assert_false(is_asked());
-	run_ms(200 * CONFIG_FOLLOW_APART_US / US_PER_MS + 20);
+	run_ms(200 * CONFIG_FOLLOW_READ_SPACING_US / US_PER_MS + 20);
 	g_assert_true(is_asked());
 	g_assert_nonnull(store.get.handler);
 	answer(PLATFORM_UNAVAILABLE, 0, NULL);
@@ -297,7 +297,7 @@
 }
 
 /* The usual case: a peer gives it in time, and the store is not asked. */
-static void test_who_is_helped_asks_nobody(void)
+static void test_version_from_peer_avoids_read(void)
 {
 	struct config_version version = {.name = NAMESPACE, .version = 9, .at = 9};
 	char *body = g_strdup_printf(FILE_FORMAT, "9");
@@ -307,10 +307,10 @@
 	/* Its parts take longer than most versions do. */
 	for (int i = 0; i < 40; i++) {
 		run_ms(100);
-		config_store_note_part(config);
+		config_store_note_piece(config);
 	}
 	config_store_note_listing(config, 9, &version, 1);
-	config_store_take(config, &version, body);
+	config_store_offer_trusted(config, &version, body);
 	g_free(body);
 	g_assert_cmpuint(held(), ==, 9);
 	run_ms(10000);
@@ -323,7 +323,7 @@
  * Versions follow each other faster than one of that size crosses the link: pieces
  * keep coming, and none is ever whole. Waiting for them has to end.
  */
-static void test_pieces_that_lead_nowhere(void)
+static void test_endless_pieces_do_not_prevent_read(void)
 {
 	uint64_t head = 9;
 
@@ -331,7 +331,7 @@
 	for (int i = 0; i < 600 && !is_asked(); i++) {
 		if (i % 10 == 0)
 			config_store_note_head(config, head++, "host-1");
-		config_store_note_part(config);
+		config_store_note_piece(config);
 		run_ms(100);
 		g_assert_true(i > 45 || !is_asked());
 	}
@@ -343,14 +343,14 @@
  * One that watches: its watch was lost without a word and ends after half a minute.
  * Peers name a higher head and can't give it.
  */
-static void test_watcher_whose_watch_is_lost(void)
+static void test_lost_watch_is_bypassed_by_read(void)
 {
 	begin();
 	answer(PLATFORM_OK, 12, (char *)"2");
 	run_ms(300);
 	g_assert_nonnull(store.watch.handler);
 	config_store_note_head(config, 9, "host-1");
-	run_ms(CONFIG_FOLLOW_BEHIND_US / US_PER_MS + 200);
+	run_ms(CONFIG_FOLLOW_PEER_GRACE_US / US_PER_MS + 200);
 	g_assert_nonnull(store.get.handler);
 	answer(PLATFORM_OK, 30, (char *)"9");
 	g_assert_cmpuint(held(), ==, 9);
@@ -391,16 +391,18 @@
 	g_test_init(&argc, &argv, NULL);
 	log_init(LOG_FORMAT_NONE, "test");
 	g_test_add_func("/follow/watch", test_row_is_read_then_watched);
-	g_test_add_func("/follow/never-back", test_never_goes_back);
-	g_test_add_func("/follow/history", test_lost_history_is_read_anew);
-	g_test_add_func("/follow/outage", test_outage_is_waited_out);
+	g_test_add_func("/follow/older-row", test_older_row_is_ignored);
+	g_test_add_func("/follow/history", test_lost_history_rereads_row);
+	g_test_add_func("/follow/outage", test_outage_backs_off);
 	g_test_add_func("/follow/unreadable",
 			test_unreadable_row_changes_nothing);
 	g_test_add_func("/follow/few", test_few_of_many_watch);
-	g_test_add_func("/follow/alone", test_who_stays_behind_reads_alone);
-	g_test_add_func("/follow/helped", test_who_is_helped_asks_nobody);
-	g_test_add_func("/follow/nowhere", test_pieces_that_lead_nowhere);
-	g_test_add_func("/follow/lost-watch", test_watcher_whose_watch_is_lost);
+	g_test_add_func("/follow/own-read", test_lagging_daemon_reads_row_itself);
+	g_test_add_func("/follow/from-peer", test_version_from_peer_avoids_read);
+	g_test_add_func("/follow/endless-pieces",
+			test_endless_pieces_do_not_prevent_read);
+	g_test_add_func("/follow/lost-watch",
+			test_lost_watch_is_bypassed_by_read);
 	g_test_add_func("/follow/rate", test_rate_of_reads);
 	return g_test_run();
 }
--- a/tests/test_known_rules.c
+++ b/tests/test_known_rules.c
@@ -34,7 +34,7 @@
  * A team changes one of many rules. A daemon that reads all of them again stops
  * for milliseconds, and every request in it waits as long.
  */
-static void test_rules_that_stay_are_taken_over(void)
+static void test_unchanged_rules_are_reused(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
 	struct config_namespace *next =
@@ -50,7 +50,7 @@
 }
 
 /* One letter of a rule changes: the one before must not answer for it. */
-static void test_a_changed_rule_is_read(void)
+static void test_changed_rule_is_parsed(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
 	struct config_namespace *next =
@@ -67,15 +67,16 @@
  * A rule that leaves its destination to the service means another group in
  * another service; taken over, a team's requests would go to the wrong upstreams.
  */
-static void test_a_rule_without_destinations_follows_its_service(void)
+static void test_rule_without_destinations_is_not_reused(void)
 {
 	struct config_namespace *first =
 		load(BODY(",\"group\":\"old\"", RULE("a", "/a", "")));
 	struct config_namespace *next =
 		load(BODY(",\"group\":\"new\"", RULE("a", "/a", "")));
 
-	g_assert_cmpstr(config_rule_draw(rule_of(first, 0), 0), ==, "old");
-	g_assert_cmpstr(config_rule_draw(rule_of(next, 0), 0), ==, "new");
+	g_assert_cmpstr(config_rule_select_group(rule_of(first, 0), 0), ==,
+			"old");
+	g_assert_cmpstr(config_rule_select_group(rule_of(next, 0), 0), ==, "new");
 	config_namespace_unref(first);
 	config_namespace_unref(next);
 }
@@ -95,7 +96,7 @@
 }
 
 /* What a body says in place of a rule must not pass for one that was read. */
-static void test_no_text_passes_for_a_known_rule(void)
+static void test_malformed_items_are_not_taken_for_known_rules(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
 
@@ -122,7 +123,7 @@
 }
 
 /* A body that can't be cut, here for its comment, means the same. */
-static void test_whole_text_means_the_same(void)
+static void test_uncut_body_gives_the_same_rules(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
 	struct config_namespace *next = load(BODY("", TWO "/* }, */"));
@@ -136,15 +137,15 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/known_rules/taken-over",
-			test_rules_that_stay_are_taken_over);
-	g_test_add_func("/known_rules/changed", test_a_changed_rule_is_read);
+	g_test_add_func("/known_rules/reused", test_unchanged_rules_are_reused);
+	g_test_add_func("/known_rules/changed", test_changed_rule_is_parsed);
 	g_test_add_func("/known_rules/no-destination",
-			test_a_rule_without_destinations_follows_its_service);
-	g_test_add_func("/known_rules/together",
+			test_rule_without_destinations_is_not_reused);
+	g_test_add_func("/known_rules/shadowing",
 			test_known_rules_are_checked_together);
-	g_test_add_func("/known_rules/forged",
-			test_no_text_passes_for_a_known_rule);
-	g_test_add_func("/known_rules/whole", test_whole_text_means_the_same);
+	g_test_add_func("/known_rules/malformed",
+			test_malformed_items_are_not_taken_for_known_rules);
+	g_test_add_func("/known_rules/uncut",
+			test_uncut_body_gives_the_same_rules);
 	return g_test_run();
 }
--- a/tests/test_manifest.c
+++ b/tests/test_manifest.c
@@ -65,7 +65,7 @@
 	g_assert_cmpuint(rule->max_attempts, ==, 2);
 	g_assert_cmpuint(rule->retry_budget_percent, ==, 20);
 	g_assert_cmpint(rule->class, ==, CONFIG_CLASS_BULK);
-	g_assert_cmpstr(config_rule_draw(rule, 0), ==, "desk");
+	g_assert_cmpstr(config_rule_select_group(rule, 0), ==, "desk");
 }
 
 static void assert_is_desk(const struct config_group *group)
@@ -127,9 +127,9 @@
 		     &version);
 	const struct config_rule *rule = match(snapshot, "/l/1");
 
-	g_assert_cmpuint(config_rule_weights(rule), ==, 100);
-	g_assert_cmpstr(config_rule_draw(rule, 89), ==, "desk");
-	g_assert_cmpstr(config_rule_draw(rule, 90), ==, "new");
+	g_assert_cmpuint(config_rule_total_weight(rule), ==, 100);
+	g_assert_cmpstr(config_rule_select_group(rule, 89), ==, "desk");
+	g_assert_cmpstr(config_rule_select_group(rule, 90), ==, "new");
 	config_snapshot_unref(snapshot);
 }
 
--- a/tests/test_operator.c
+++ b/tests/test_operator.c
@@ -14,7 +14,7 @@
 #include "common/clock.h"
 #include "common/http_client.h"
 #include "common/jsonc.h"
-#include "sample.h"
+#include "sample_config.h"
 
 /* An owner whose running count the test sets. */
 struct owner {
@@ -233,7 +233,7 @@
 		g_error("expected \"%s\" in: %s", expected, f->answer.body->str);
 }
 
-static void pass_turns(struct fixture *f, int turns)
+static void run_loop_iterations(struct fixture *f, int turns)
 {
 	for (int i = 0; i < turns; i++) {
 		ev_run(f->daemon.loop, EVRUN_NOWAIT);
@@ -243,7 +243,7 @@
 
 static void offer_sample(struct fixture *f, uint64_t version)
 {
-	char *text = sample_read();
+	char *text = sample_config_read();
 	char sha256[65];
 
 	config_body_sha256(text, strlen(text), sha256);
@@ -255,7 +255,7 @@
 
 /* Whoever looks at an alert sees which configuration a daemon holds and how old
  * that is, and whether the retries of a service are used up. */
-static void test_metrics_tell_the_configuration(struct fixture *f,
+static void test_metrics_show_the_configuration(struct fixture *f,
 						gconstpointer unused)
 {
 	(void)unused;
@@ -274,11 +274,11 @@
  * that has not got the first change yet. It told the operator that the name belongs
  * to the other namespace, which is so no more.
  */
-static void test_clash_with_what_may_be_old(struct fixture *f,
-					    gconstpointer unused)
+static void test_conflict_with_stale_configuration(struct fixture *f,
+						   gconstpointer unused)
 {
 	const char *path = "/v1/config/check";
-	char *sample = sample_read();
+	char *sample = sample_config_read();
 	GString *other = g_string_new(sample);
 
 	(void)unused;
@@ -308,7 +308,7 @@
 	call(f, "GET", "/v1/upstream/drain", NULL, 405, "wrong method");
 }
 
-static void test_a_request_is_cleared(struct fixture *f, gconstpointer data)
+static void test_quarantine_is_cleared(struct fixture *f, gconstpointer data)
 {
 	const char *path = "/v1/quarantine/clear?content=0000000000000abc";
 	int64_t now = clock_mono_us();
@@ -417,7 +417,7 @@
 	(void)unused;
 	f->owner.status.running = 1;
 	begin(f, "POST", "/v1/upstream/stop", "");
-	pass_turns(f, 30);
+	run_loop_iterations(f, 30);
 	g_assert_cmpint(f->owner.status.state, ==, OWNER_DRAINING);
 	g_assert_cmpuint(f->answers, ==, 0);
 	f->owner.status.running = 0;
@@ -428,15 +428,14 @@
 }
 
 /* The operator thinks better of it while the stop still waits. */
-static void test_resume_takes_the_stop_back(struct fixture *f,
-					    gconstpointer unused)
+static void test_resume_cancels_stop(struct fixture *f, gconstpointer unused)
 {
 	(void)unused;
 	f->owner.status.running = 1;
 	begin(f, "POST", "/v1/upstream/stop", "");
-	pass_turns(f, 30);
+	run_loop_iterations(f, 30);
 	begin(f, "POST", "/v1/upstream/resume", "");
-	pass_turns(f, 60);
+	run_loop_iterations(f, 60);
 	g_assert_cmpint(f->owner.status.state, ==, OWNER_UP);
 	f->owner.status.running = 0;
 	owner_settle(&f->owner);
@@ -491,7 +490,7 @@
 		.put_object = platform_put,
 		.wait = platform_wait,
 	};
-	char *sample = sample_read();
+	char *sample = sample_config_read();
 	const char *path = "/v1/config/apply?base=0&who=anna";
 
 	(void)unused;
@@ -530,14 +529,15 @@
 	g_test_init(&argc, &argv, NULL);
 	ADD("/operator/paths", NULL, test_paths);
 	ADD("/operator/configuration-age", NULL,
-	    test_metrics_tell_the_configuration);
-	ADD("/operator/clash", NULL, test_clash_with_what_may_be_old);
+	    test_metrics_show_the_configuration);
+	ADD("/operator/stale-conflict", NULL,
+	    test_conflict_with_stale_configuration);
 	ADD("/operator/hosts", NULL, test_hosts_come_in_pages);
-	ADD("/operator/quarantine", NULL, test_a_request_is_cleared);
+	ADD("/operator/quarantine", NULL, test_quarantine_is_cleared);
 	ADD("/operator/token", "secret", test_token_is_needed);
 	ADD("/operator/announce", NULL, test_upstream_announces_itself);
 	ADD("/operator/stop", NULL, test_stop_waits_for_the_last_request);
-	ADD("/operator/stop-resumed", NULL, test_resume_takes_the_stop_back);
+	ADD("/operator/stop-resumed", NULL, test_resume_cancels_stop);
 	ADD("/operator/apply", NULL, test_check_and_apply);
 	return g_test_run();
 }
