--- a/comfreydockd/config/apply.c
+++ b/comfreydockd/config/apply.c
@@ -13,28 +13,28 @@
 
 /*
  * Steps: read the namespace row, put the body, read the head row, transact.
- * Whatever fails goes back to reading the namespace row, which tells whether
- * there is anything left to do.
+ * After any failure the apply starts again at the namespace row, which shows
+ * whether the version is already in force.
  */
 struct config_apply {
 	const struct config_platform_ops *ops;
 	void *platform;
 	config_apply_handler handler;
 	void *data;
-	struct config_namespace *ns; /* NULL: the file did not pass */
+	struct config_namespace *ns; /* NULL: the file failed the check */
 	struct findings findings;
 	char *file;
 	uint64_t base;
-	uint64_t held; /* the version in force here; 0: none */
+	uint64_t held; /* version in force in this daemon; 0: none */
 	uint64_t known_head;
 	struct config_commit commit;
 	int64_t deadline_us;
 	uint32_t pause_ms;
 	bool body_is_put;
-	/* A transaction's answer was lost: it may take effect at any time. */
+	/* The answer to a transaction was lost; it may still take effect. */
 	bool unresolved;
 	bool was_in_force;
-	uint64_t head; /* that the last transaction would make */
+	uint64_t head; /* the head that the last transaction writes */
 	struct config_history history;
 	uint64_t row_version;
 };
@@ -88,7 +88,8 @@
 	config_apply_free(apply);
 }
 
-/* Nothing was written, or it would be unresolved: say so with its reason. */
+/* Ends the apply as unknown if a transaction is unresolved. Otherwise nothing
+ * was written, and the finding tells the operator so, with the reason. */
 static void give_up(struct config_apply *apply, const char *reason)
 {
 	if (apply->unresolved) {
@@ -114,7 +115,7 @@
 		return;
 	}
 	apply->pause_ms = MIN(apply->pause_ms * 2, RETRY_MAX_MS);
-	/* Operators who lost to one another must not meet again in step. */
+	/* Jitter keeps operators that conflicted from retrying in lockstep. */
 	pause_ms =
 		pause_ms / 2 + (uint32_t)(id_random_u64() % (pause_ms / 2 + 1));
 	apply->ops->wait(apply->platform, pause_ms, handle_waited, apply);
@@ -129,7 +130,7 @@
 		finish(apply, CONFIG_APPLY_IN_FORCE, apply->commit.version, NULL);
 		return;
 	case CONFIG_PLATFORM_CONFLICT:
-		try_again(apply, "other operators apply all the time");
+		try_again(apply, "applies of other operators kept conflicting");
 		return;
 	case CONFIG_PLATFORM_UNKNOWN:
 		apply->unresolved = true;
@@ -162,7 +163,7 @@
 		(const struct config_write[]){
 			{key, apply->row_version, row_text},
 			{CONFIG_HEAD_KEY, head_row_version, head_text},
-			/* The head row's condition holds for it as well. */
+			/* The condition on the head row protects this row too. */
 			{CONFIG_RECENT_KEY, CONFIG_ANY_VERSION, recent_text},
 		},
 		3, handle_transacted, apply);
@@ -200,7 +201,7 @@
 {
 	struct config_apply *apply = data;
 
-	/* The key is the content's hash, so putting it twice does no harm. */
+	/* The key is the hash of the content, so a repeated put is harmless. */
 	if (status != CONFIG_PLATFORM_OK) {
 		try_again(apply,
 			  "the platform's object store can't be reached");
@@ -226,17 +227,19 @@
 	       strcmp(commit->sha256, apply->commit.sha256) == 0;
 }
 
-/* What daemons hold never goes back, though the store may be set back to a copy. */
+/* Daemons never adopt a lower version, but the platform's store may be restored
+ * from an older copy. So the version held here counts as well. */
 static uint64_t version_in_force(const struct config_apply *apply)
 {
 	return MAX(config_history_version(&apply->history), apply->held);
 }
 
 /*
- * The row has moved past the base. If our own commit is what moved it, the
- * answer of a transaction was lost; the same body by an earlier apply whose
- * outcome stayed unknown counts as well. A row that has moved so far that
- * our version is forgotten leaves a lost answer unknown.
+ * Handles a namespace row whose version is above the base. If the commit at
+ * base + 1 has the id of this apply, an earlier transaction took effect and its
+ * answer was lost. A commit with the same body counts as this apply's too, since
+ * an earlier apply of that body may have ended as unknown. If the history no
+ * longer holds base + 1, a lost answer stays unknown.
  */
 static void resolve_moved_row(struct config_apply *apply)
 {
--- a/comfreydockd/config/check.c
+++ b/comfreydockd/config/check.c
@@ -61,16 +61,16 @@
 	for (char **host = service->hosts; host && *host; host++) {
 		if (!schema_is_name(*host, HOST_MAX_BYTES))
 			schema_error(schema, "hosts",
-				     "\"%s\" is no host name without a port",
+				     "\"%s\" is not a host name without a port",
 				     *host);
 	}
 	if (!service->hosts && !service->path_prefixes)
 		schema_error(schema, NULL,
-			     "no request reaches it: give hosts or "
+			     "no request can reach it: give hosts or "
 			     "path_prefixes");
 }
 
-/* RETURN VALUE: the first word that stands in both lists, or NULL. */
+/* RETURN VALUE: the first string of a that is also in b, or NULL. */
 static const char *find_common_string(char **a, char **b, bool ignore_case)
 {
 	for (char **left = a; left && *left; left++) {
--- a/comfreydockd/config/check_rules.c
+++ b/comfreydockd/config/check_rules.c
@@ -25,7 +25,7 @@
 	for (char **method = rule->methods; method && *method; method++) {
 		if (!g_strv_contains(methods, *method))
 			schema_error(schema, "methods",
-				     "\"%s\" is no method known here", *method);
+				     "\"%s\" is not a supported method", *method);
 	}
 }
 
@@ -53,7 +53,7 @@
 	rule->hedge_budget_percent = (uint32_t)schema_uint(
 		&hedge, "budget_percent", SCHEMA_REQUIRED, 0, 1, 50);
 	schema_finish(&hedge);
-	/* A hedge is a second run of the same request. */
+	/* A hedge runs the same request a second time. */
 	if (rule->hedge && !rule->idempotent)
 		schema_error(schema, "hedge",
 			     "only an idempotent rule may be hedged");
@@ -88,7 +88,7 @@
 		config_rule_add_destination(rule, group, 1);
 	else if (!array)
 		schema_error(schema, "to",
-			     "is needed where the service has no group");
+			     "is required if the service has no group");
 	else if (config_rule_total_weight(rule) == 0)
 		schema_error(schema, "to", "needs a weight above 0");
 }
@@ -133,12 +133,13 @@
 	return later->methods;
 }
 
-/* The rules of a service that were read, to find those before a rule that
- * cover it: one by one, 3,000 rules would take millions of comparisons. */
+/* Index of the rules read so far of a service. It finds the earlier rules that
+ * shadow a new one; comparing 3,000 rules pairwise would take millions of
+ * comparisons. */
 struct rule_index {
 	GHashTable *names;
 	GHashTable *by_prefix; /* path prefix -> GPtrArray of rules */
-	uint64_t lengths; /* of the prefixes, modulo 64, a bit each */
+	uint64_t lengths; /* bit n: a prefix of a length of n modulo 64 exists */
 };
 
 static void rule_index_init(struct rule_index *rule_index)
@@ -186,13 +187,13 @@
 
 		if (rule_shadows(first, rule))
 			schema_error(schema, NULL,
-				     "never applies: rule \"%s\" before it "
-				     "covers all it matches",
+				     "never applies: the earlier rule \"%s\" "
+				     "matches all its requests",
 				     first->name ? first->name : "");
 	}
 }
 
-/* The first match wins, so a rule behind a wider one would never apply. */
+/* The first match wins, so a rule after a wider one would never apply. */
 static void check_reachable(struct schema *schema,
 			    const struct rule_index *rule_index,
 			    const struct config_rule *rule)
@@ -212,7 +213,7 @@
 	g_free(prefix);
 }
 
-/* RETURN VALUE: the rule, or NULL where its text is no JSON. */
+/* RETURN VALUE: the rule, or NULL if its text is not valid JSON. */
 static struct config_rule *read_cut_rule(const struct schema *item,
 					 const char *group,
 					 const struct json_span *span)
@@ -229,7 +230,8 @@
 		schema_init(&schema, doc, findings);
 		rule = read_rule(&schema, group);
 		schema_finish(&schema);
-		/* Without "to" it depends on the service as well. */
+		/* Without "to" the rule depends on the group of its service, so
+		 * it must not be shared by its text. */
 		if (findings->errors == errors &&
 		    json_object_object_get_ex(doc->root, "to", NULL))
 			config_known_rules_add(rule, span);
--- a/comfreydockd/config/follow.c
+++ b/comfreydockd/config/follow.c
@@ -15,17 +15,17 @@
 	struct config_follow_options options;
 	struct random_state random;
 	ev_timer timer;
-	bool is_watching; /* the version of the store is known */
-	uint64_t version; /* of the store, up to which all was seen */
-	uint64_t number; /* of the newest configuration seen */
-	bool is_row_unreadable; /* the row as it is now could not be taken */
+	bool is_watching; /* version is known, so the next request is a watch */
+	uint64_t version; /* store version up to which all changes were seen */
+	uint64_t number; /* newest configuration version seen */
+	bool is_row_unreadable; /* the latest value of the row was rejected */
 	int64_t backoff_us;
-	int64_t asked_us; /* boot time of the reading before the watch */
+	int64_t asked_us; /* boot time of the read that precedes the watch */
 
 	/* while behind */
 	ev_timer behind_timer;
 	int64_t behind_since_us;
-	int64_t read_at_us; /* if still behind by then */
+	int64_t read_at_us; /* time of the own read if still behind */
 	bool is_reading;
 	int64_t asked_alone_us;
 };
@@ -35,8 +35,8 @@
 	timer_restart_us(follow->options.loop, &follow->timer, us);
 }
 
-/* Half of the time is drawn, so that daemons which lost the store together
- * don't come back together. */
+/* Half of the backoff is random, so that daemons that lost the store at the same
+ * time don't reconnect at the same time. */
 static void schedule_retry(struct config_follow *follow)
 {
 	follow->backoff_us =
@@ -63,14 +63,14 @@
 	config_store_offer_trusted(follow->options.store, &version, body);
 }
 
-/* A row on its way into force. */
+/* A row that is being parsed and adopted in time slices. */
 struct row_adoption {
 	struct config_follow *follow;
 	char *value; /* NULL: the row was deleted */
 	size_t size;
 	uint64_t row_version;
-	int64_t as_of_us; /* boot time at which nothing newer was there */
-	bool was_read; /* asked for at that time, and not watched */
+	int64_t as_of_us; /* boot time at which the row was the newest */
+	bool was_read; /* by a read sent at that time, not by a watch */
 };
 
 static void free_row_adoption(void *data)
@@ -144,7 +144,7 @@
 		   row_adoption);
 }
 
-/* RETURN VALUE: false where the store gave no answer. */
+/* RETURN VALUE: false if the store did not answer. */
 static bool take_answer(struct config_follow *follow,
 			const struct platform_answer *answer, int64_t as_of_us,
 			bool was_read)
@@ -157,7 +157,7 @@
 			begin_row_adoption(follow, &answer->rows[i], as_of_us,
 					   was_read);
 	}
-	/* Nothing newer is news, too. */
+	/* An answer without changes also confirms the version held. */
 	note_told(follow, as_of_us, was_read);
 	return true;
 }
@@ -176,7 +176,7 @@
 	struct config_follow *follow = data;
 
 	if (answer->status == PLATFORM_HISTORY_GONE) {
-		/* The row itself is still there. */
+		/* The store dropped only the history; the row can be read. */
 		log_event(EV_CONFIG_WATCH_REFUSED,
 			  LOG_INT("after", follow->version));
 		follow->version = 0;
@@ -185,8 +185,9 @@
 	} else if (take_answer(follow, answer, clock_boot_us(), false)) {
 		continue_watch(follow, answer);
 	} else {
-		/* A store that was away may come back from a copy: a watch would
-		 * wait for what it has already. */
+		/* A store that was unavailable may have been restored from a
+		 * copy. A watch from the old version would then wait for a
+		 * change that the store already has. */
 		follow->is_watching = false;
 		schedule_retry(follow);
 	}
@@ -262,10 +263,11 @@
 	}
 }
 
-/* Staying behind. */
+/* Reads by a daemon that is behind. */
 
-/* Twice the span after a first reading in vain, or all of a large installation
- * would come round faster than they are apart. */
+/* After a failed first read the delay is one span longer. Without it the daemons
+ * of a large installation would repeat their reads at a higher rate than
+ * CONFIG_FOLLOW_READ_SPACING_US allows. */
 static void schedule_own_read(struct config_follow *follow, bool is_first)
 {
 	uint64_t span = member_table_size(follow->options.members) *
@@ -277,8 +279,9 @@
 			     (int64_t)random_below(&follow->random, span);
 }
 
-/* Parts that still come are worth waiting for, but not for ever: where versions
- * follow each other faster than one crosses the link, none is ever whole. */
+/* Waits while pieces of a version still arrive from peers, but not without end: if
+ * versions follow each other faster than one crosses the link, none is ever
+ * complete. */
 static bool is_due(const struct config_follow *follow)
 {
 	int64_t now_us = clock_mono_us();
@@ -316,11 +319,11 @@
 }
 
 /*
- * A version reaches most daemons through peers alone, the others through a watch
- * that may be lost without a word. Where that way fails, for the version's size or
- * for a fault that nobody thought of, they would follow the rules of before for as
- * long as it lasts, with the store at hand; one notices config.fetch-failed with the
- * same known_head again and again.
+ * Most daemons get a version only from peers, the others through a watch that may
+ * be lost without an error. If that path fails, because of the version's size or an
+ * unforeseen fault, a daemon would keep the old rules for as long as the failure
+ * lasts although the store is reachable. The symptom is config.fetch-failed with
+ * the same known_head again and again.
  */
 static void handle_behind(uint64_t head, const char *from_host, void *data)
 {
--- a/comfreydockd/config/known_rules.c
+++ b/comfreydockd/config/known_rules.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* struct json_span of a rule's text -> rule; NULL: none is known. */
+/* Maps the struct json_span of a rule's text to the rule. NULL: no rule is known. */
 static GHashTable *known;
 
 struct config_rule *config_known_rules_find(const struct json_span *text)
--- a/comfreydockd/config/model.c
+++ b/comfreydockd/config/model.c
@@ -6,7 +6,7 @@
 #include "comfreydockd/config/routes.h"
 #include "common/slice.h"
 
-#define HASH_CHUNK_BYTES ((size_t)(64 * 1024)) /* some 0.2 ms */
+#define HASH_CHUNK_BYTES ((size_t)(64 * 1024)) /* takes about 0.2 ms */
 
 void config_body_sha256(const char *body, size_t size, char hex[65])
 {
@@ -211,10 +211,10 @@
 }
 
 /*
- * One budget for a group, the largest that any of its rules allows. Were it
- * set anew for the rule of each call, two rules that differ would fill it up
- * again and again, and a failing service would get all the retries that the
- * budget is there to prevent.
+ * A group has one budget, the largest that any of its rules allows. If each call
+ * set it to the value of its own rule, two rules with different values would
+ * refill it again and again, and a failing service would get all the retries that
+ * the budget is meant to prevent.
  */
 static void add_group(struct config_snapshot *snapshot,
 		      const struct config_service *service,
@@ -308,7 +308,7 @@
 	return NULL;
 }
 
-/* RETURN VALUE: the prefix's length if it covers the path, else 0. */
+/* RETURN VALUE: the length of the prefix if it matches the path, else 0. */
 static size_t prefix_match(const char *prefix, const char *path)
 {
 	size_t length = strlen(prefix);
--- a/comfreydockd/config/platform_ops.c
+++ b/comfreydockd/config/platform_ops.c
@@ -74,7 +74,7 @@
 	return call;
 }
 
-/* A request that the platform rejects was not applied either. */
+/* A rejected request was not applied, so it maps to UNAVAILABLE. */
 static enum config_platform_status status_of(enum platform_status status)
 {
 	switch (status) {
--- a/comfreydockd/config/routes.c
+++ b/comfreydockd/config/routes.c
@@ -6,8 +6,8 @@
 #include "comfreydockd/config/model.h"
 
 struct config_routes {
-	GHashTable *by_host; /* in small letters, owned */
-	GHashTable *by_prefix; /* the service's own string */
+	GHashTable *by_host; /* key: lower-case host name, owned */
+	GHashTable *by_prefix; /* key: string of the service, not owned */
 	size_t longest_prefix;
 };
 
@@ -52,7 +52,8 @@
 	}
 }
 
-/* The length of the host without its port; an IPv6 number is in brackets. */
+/* RETURN VALUE: the length of the host without its port. An IPv6 address is in
+ * brackets. */
 static size_t host_length(const char *host)
 {
 	const char *colon = strrchr(host, ':');
@@ -73,8 +74,8 @@
 	return service;
 }
 
-/* A caller chooses its path: no more of it is looked at than any prefix has,
- * or a path of many thousand slashes would hold up the daemon. */
+/* Callers choose the path, so the search looks at no more bytes than the longest
+ * prefix has. Otherwise a path of many thousand slashes would block the loop. */
 static const struct config_service *find_path(const struct config_routes *routes,
 					      const char *path)
 {
--- a/comfreydockd/config/spread.c
+++ b/comfreydockd/config/spread.c
@@ -9,9 +9,10 @@
 #include "common/counters.h"
 #include "common/log.h"
 
-/* Daemons that start together must not read in step. */
+/* Random delay that keeps daemons that start together from reading in lockstep. */
 #define START_SPREAD_US (200 * US_PER_MS)
-/* News travels to many at once; each waits a little before it asks. */
+/* Gossip tells many daemons of a head at once. Each waits for a random part of this
+ * time before it asks a peer. */
 #define HINT_SPREAD_US (100 * US_PER_MS)
 
 int64_t config_spread_later(struct config_spread *spread, int64_t least_us,
@@ -34,8 +35,11 @@
 }
 
 /*
- * A suspected member does not count: it may be dead, and until that is certain
- * its domain would have a reader less. One more in its place does no harm.
+ * RETURN VALUE
+ *	whether this daemon is a reader of its domain by rendezvous hashing.
+ *	A suspected member does not count, because it may be dead and its domain
+ *	would have one reader less until that is certain. An additional reader
+ *	is harmless.
  */
 static bool is_elected_reader(const struct config_spread *spread)
 {
@@ -64,7 +68,8 @@
 	       !config_store_is_ready(spread->store);
 }
 
-/* RETURN VALUE: false if the row does not reach back to what is held here. */
+/* RETURN VALUE: false if the row lists only changes above a head that this daemon
+ * has not reached. */
 static bool note_row(struct config_spread *spread, const struct config_head *row)
 {
 	if (!needs(spread, row))
@@ -150,7 +155,7 @@
 	int64_t soon;
 
 	if (!from_host) {
-		/* Applied here a moment ago. */
+		/* The apply ran through this daemon. */
 		spread->must_read = true;
 		read_if_due(spread);
 		return;
--- a/comfreydockd/config/spread_answer.c
+++ b/comfreydockd/config/spread_answer.c
@@ -23,7 +23,7 @@
 		      const struct config_version *version)
 {
 	if (!version->version)
-		return false; /* this daemon's own file */
+		return false; /* loaded from a local file */
 	if (!query->n_wanted)
 		return !version->at || version->at > query->above_head;
 	for (size_t i = 0; i < query->n_wanted; i++) {
@@ -33,7 +33,8 @@
 	return false;
 }
 
-/* What is sent at once may take a full answer's room, a piece only its part. */
+/* One token pays for CONFIG_SPREAD_ANSWER_BYTES. An answer with a piece is smaller,
+ * so the rest of its token is refunded. */
 static void refund_token(struct config_spread *spread)
 {
 	spread->answer_tokens += 1.0 - (double)CONFIG_SPREAD_PIECE_BYTES /
@@ -47,11 +48,10 @@
 }
 
 /*
- * The first body of an answer goes whatever its size, a large one in pieces. With
- * any size that a body may not have, a file that outgrows it would never travel:
- * each peer would ask again and again, and all but those that read the platform
- * themselves would stay with the rules of before. One notices config.fetch-failed
- * on most hosts.
+ * The first body of an answer is sent whatever its size, a large one in pieces. With
+ * a size limit here, a file above it would never be distributed: each peer would ask
+ * again and again, and only the daemons that read the platform themselves would
+ * leave the old rules. The symptom is config.fetch-failed on most hosts.
  */
 static Cfd__ConfigLine *line_create(const Cfd__ConfigQuery *query,
 				    const struct config_version *version,
@@ -81,7 +81,7 @@
 	return line;
 }
 
-/* RETURN VALUE: whether a piece of a body is in it. */
+/* RETURN VALUE: whether the answer contains a piece of a body. */
 static bool fill_lines(const struct config_spread *spread,
 		       const Cfd__ConfigQuery *query, Cfd__ConfigBody *answer)
 {
--- a/comfreydockd/config/spread_fetch.c
+++ b/comfreydockd/config/spread_fetch.c
@@ -9,12 +9,12 @@
 #include "common/slice.h"
 
 #define ANSWER_TIMEOUT_US (1500 * US_PER_MS)
-/* Between two fetches that went well, so that several changes travel as one. */
+/* Delay between two successful fetches, so that one fetch gets several changes. */
 #define PAUSE_MIN_US (100 * US_PER_MS)
 #define PAUSE_MAX_US (300 * US_PER_MS)
 #define BACKOFF_US (200 * US_PER_MS)
-#define BACKOFF_MAX_DOUBLINGS 4 /* doublings: 3.2 s */
-#define PEER_TRIES 3 /* then the platform is asked */
+#define BACKOFF_MAX_DOUBLINGS 4 /* 3.2 s */
+#define PEER_TRIES 3 /* after so many failures the platform is read */
 #define WANTED_MAX 64
 
 bool config_fetch_is_behind(const struct config_spread *spread)
@@ -40,8 +40,8 @@
 	return false;
 }
 
-/* Any live peer that is no witness yet, and not the one that was asked last if
- * there is another. */
+/* Picks a random live peer that has not given its head at startup. The peer asked
+ * last is picked only if there is no other. */
 static struct member *pick_random_peer(struct config_spread *spread)
 {
 	struct member *drawn = NULL;
@@ -61,7 +61,8 @@
 	return drawn ? drawn : last;
 }
 
-/* The one that named the head, but only once: it may be the one that fails. */
+/* Prefers the peer that named the head, but only once, because it may be the one
+ * that fails. */
 static struct member *choose_peer(struct config_spread *spread)
 {
 	struct member *member =
@@ -108,7 +109,7 @@
 	spread->step = CONFIG_FETCH_NONE;
 	spread->tries++;
 	spread->fetch_at_us = config_spread_later(spread, most / 4, most);
-	/* The peers don't help; one read more tells what is in force. */
+	/* The peers can't help, so read what is in force from the platform. */
 	if (spread->tries % PEER_TRIES == 0)
 		spread->must_read = true;
 }
@@ -141,7 +142,7 @@
 	if (result == CONFIG_OFFER_ADOPTED || result == CONFIG_OFFER_NOT_NEWER)
 		note_success(spread);
 	else
-		note_failure(spread, "the store gave no body");
+		note_failure(spread, "no valid body in the object store");
 	config_spread_publish(spread);
 	config_fetch_next(spread);
 }
@@ -200,9 +201,9 @@
 }
 
 /*
- * A reader is among the first to know: hardly any peer has the body yet, so
- * it goes to the object store at once. The others, and one that has just
- * started and lacks everything, do so where two peers fail in a row.
+ * A reader is among the first to see a new head and hardly any peer has the body
+ * yet, so it reads the object store first. The other daemons, and a reader that has
+ * just started and lacks everything, read it after two peers failed in a row.
  */
 static bool prefers_object_store(const struct config_spread *spread)
 {
@@ -233,7 +234,8 @@
 		note_failure(spread, "no live peer");
 }
 
-/* The witness with the highest head, or who named a higher one by gossip. */
+/* Chooses the peer with the highest head among those asked at startup, or the one
+ * that named a higher head by gossip. */
 static struct member *choose_startup_peer(struct config_spread *spread)
 {
 	struct member *best =
@@ -301,7 +303,8 @@
 	g_array_unref(missing);
 }
 
-/* Who is only suspected may be slow to answer, as this one is to hear. */
+/* A suspected member still counts as there: it may be slow to answer, or this daemon
+ * may be slow to receive. */
 static bool is_gone(const struct member *member)
 {
 	return !member || member->state == MEMBER_DEAD ||
@@ -314,7 +317,7 @@
 	    spread->step == CONFIG_FETCH_OBJECT)
 		return;
 	if (is_gone(member_table_find(spread->members, spread->asked_host)))
-		note_failure(spread, "the peer is gone");
+		note_failure(spread, "the peer left or died");
 	else if (spread->now_us >= spread->give_up_us)
 		note_failure(spread, "no answer in time");
 }
@@ -335,7 +338,7 @@
 				  line->body.len) == CONFIG_OFFER_ADOPTED;
 }
 
-/* A body that came in pieces, on its way into force. */
+/* A body that arrived in pieces and is being parsed and adopted in time slices. */
 struct complete_body {
 	struct config_spread *spread;
 	struct config_pieces pieces;
@@ -360,7 +363,7 @@
 
 	config_store_end_adoption(spread->store);
 	if (result != CONFIG_OFFER_ADOPTED && result != CONFIG_OFFER_NOT_NEWER)
-		note_failure(spread, "the body was refused");
+		note_failure(spread, "the body was rejected");
 	config_spread_publish(spread);
 }
 
@@ -376,7 +379,7 @@
 		   whole);
 }
 
-/* RETURN VALUE: whether there is more of the body than before. */
+/* RETURN VALUE: whether the piece extended the body. */
 static bool take_piece(struct config_spread *spread, const Cfd__ConfigLine *line)
 {
 	struct config_pieces *pieces = &spread->pieces;
@@ -390,7 +393,7 @@
 	return true;
 }
 
-/* RETURN VALUE: whether a version, or a part of one, was new. */
+/* RETURN VALUE: whether the answer brought a new version or a piece of one. */
 static bool take_bodies(struct config_spread *spread,
 			const Cfd__ConfigBody *answer)
 {
@@ -452,7 +455,7 @@
 
 	if (answer->is_listing)
 		take_listing(spread, answer);
-	/* Who gave a piece has the others. */
+	/* The peer that sent a piece has the others as well. */
 	if (has_news && spread->pieces.bytes->len)
 		g_strlcpy(spread->hint_host, spread->asked_host,
 			  sizeof(spread->hint_host));
--- a/comfreydockd/config/spread_pieces.c
+++ b/comfreydockd/config/spread_pieces.c
@@ -14,7 +14,7 @@
 	g_byte_array_unref(pieces->bytes);
 }
 
-/* A new array: an empty one would keep the room of megabytes. */
+/* Allocates a new array, because an emptied one would keep its megabytes. */
 void config_pieces_clear(struct config_pieces *pieces)
 {
 	config_pieces_finish(pieces);
@@ -37,9 +37,10 @@
 }
 
 /*
- * What has come is worth more than a first piece of something else: two peers that
- * hold different bodies would undo each other's pieces. But where nobody goes on with
- * it, as the one that began is gone, it must not be in the way for ever.
+ * The pieces held take precedence over the first piece of another body: otherwise two
+ * peers that hold different bodies would discard each other's pieces. But if no peer
+ * continues the body, because its only holder is gone, it must not block other bodies
+ * for ever.
  */
 static bool may_replace(const struct config_pieces *pieces,
 			const Cfd__ConfigLine *line)
--- a/comfreydockd/config/store.c
+++ b/comfreydockd/config/store.c
@@ -9,7 +9,7 @@
 
 #define OBSERVERS_MAX 4
 
-/* Which head a version made. */
+/* The head at which a version was applied. */
 struct origin {
 	uint64_t version;
 	uint64_t at;
@@ -24,13 +24,13 @@
 	int64_t adopted_us;
 	int64_t progress_us;
 	unsigned int adoptions_open; /* begun and not ended */
-	bool is_told; /* told_us is known */
-	int64_t told_us; /* boot time at which nothing above the head was there */
-	uint64_t pending_head; /* the same for a head that is not reached yet */
-	int64_t pending_told_us;
+	bool is_told; /* told_us is valid */
+	int64_t told_us; /* boot time at which head was the newest one */
+	uint64_t pending_head; /* a head that is told but not reached yet */
+	int64_t pending_told_us; /* boot time at which it was the newest one */
 	bool expects_told;
 	int64_t expects_since_us; /* boot time */
-	int64_t heard_us; /* boot time at which somebody last named known_head */
+	int64_t heard_us; /* boot time at which known_head was last named */
 	GArray *listing; /* of struct config_version, names owned */
 	GHashTable *origins; /* name -> struct origin */
 	struct config_store_observer observers[OBSERVERS_MAX];
@@ -142,7 +142,8 @@
 	store->expects_since_us = clock_boot_us();
 }
 
-/* RETURN VALUE: for how long there has been no word; -1: none is to be had. */
+/* RETURN VALUE: the time since the platform last confirmed the head, or since
+ * config_store_expect_told(); -1 if there is no platform to confirm it. */
 static int64_t untold_us(const struct config_store *store)
 {
 	if (!store->is_told && store->expects_told)
@@ -247,8 +248,8 @@
 	store->is_told = true;
 }
 
-/* The head moves only once nothing of its listing is missing: a daemon that
- * claimed a head early would be believed by peers that then miss a version. */
+/* Advances the head once no version of its listing is missing. If a daemon announced
+ * a head earlier, peers would believe it and miss a version. */
 static void advance_head(struct config_store *store)
 {
 	if (!config_store_has_missing(store) &&
@@ -400,7 +401,7 @@
 	return version > 0 && !config_store_holds(store, name, version);
 }
 
-/* sha256: known to be that of the body. */
+/* The caller vouches that sha256 is the hash of the body. */
 static enum config_offer take_body(struct config_store *store, const char *name,
 				   uint64_t version, const char *sha256,
 				   const char *body, size_t size)
@@ -414,9 +415,9 @@
 	if (!ns || strcmp(ns->name, name) != 0) {
 		config_namespace_unref(ns);
 		return refuse(name, version, CONFIG_OFFER_BAD_CONTENT,
-			      "the body does not pass the check");
+			      "the body failed the check");
 	}
-	/* Reading it took some turns of the loop. */
+	/* Parsing yielded to the loop, so a newer version may be in force now. */
 	if (!is_newer(store, name, version)) {
 		config_namespace_unref(ns);
 		return CONFIG_OFFER_NOT_NEWER;
--- a/include/comfreydockd/config/check.h
+++ b/include/comfreydockd/config/check.h
@@ -1,14 +1,15 @@
 /*
  * NAME
- *	config_check - from an operator's file to a namespace
+ *	config_check - checks an operator's file and parses it to a namespace
  *
  * DESCRIPTION
- *	Checks the whole file and reports all findings with their lines. What
- *	passes here is what may be put in force: the same function runs in the
- *	tool, in the daemon that applies and in each that adopts.
+ *	Checks the whole file and reports all findings with their lines. Only a
+ *	file that passes may be put in force: the same function runs in the
+ *	command line tool, in the daemon that applies a file and in each daemon
+ *	that adopts it.
  *
- *	What a file leaves out is the careful choice: a rule is not idempotent,
- *	is not retried and is not hedged unless it says so.
+ *	The defaults are the safe ones: a rule is not idempotent, not retried
+ *	and not hedged unless the file says so.
  */
 #ifndef COMFREYDOCKD_CONFIG_CHECK_H
 #define COMFREYDOCKD_CONFIG_CHECK_H
@@ -16,23 +17,26 @@
 #include "comfreydockd/config/model.h"
 #include "common/findings.h"
 
-/* RETURN VALUE: a namespace of version 0, or NULL where findings has errors. */
+/* RETURN VALUE: a namespace of version 0, or NULL if findings has errors. */
 struct config_namespace *config_namespace_load(const char *file, const char *text,
 					       struct findings *findings);
 
 /*
- * The same for a body that was accepted before, here or by another daemon:
- * refused if it doesn't hold, without saying where. Keeping the place of every
- * member took a third of the time in which nothing else is served.
+ * Parses a body that this or another daemon has accepted before. It does not report
+ * where an error is: recording the position of every member took a third of the
+ * time in which the daemon serves nothing else.
  *
- * sha256: of the text, checked before.
+ * sha256: the hash of the text, already verified.
+ *
+ * RETURN VALUE
+ *	the namespace, or NULL if the body fails the check.
  */
 struct config_namespace *config_namespace_load_accepted(const char *text,
 							const char *sha256);
 
 /*
  * Adds an error for each host and path prefix that another namespace of the
- * snapshot claims already: its requests would go to the wrong team.
+ * snapshot already has, because its requests would go to the wrong team.
  */
 void config_check_against(const struct config_snapshot *snapshot,
 			  const struct config_namespace *ns, const char *file,
--- a/include/comfreydockd/config/check_rules.h
+++ b/include/comfreydockd/config/check_rules.h
@@ -3,9 +3,10 @@
  *	config_check_rules - the rules of an operator's file, read and checked
  *
  * DESCRIPTION
- *	Each rule by itself, then all of a service together: no two of one name,
- *	none that never applies. In a document that was cut, rules that are known
- *	are taken over, see config_known_rules.
+ *	Checks each rule by itself, then the rules of a service together: two
+ *	rules must not have one name, and no rule may be shadowed by an earlier
+ *	one. In a document that was cut, known rules are reused, see
+ *	config_known_rules.
  */
 #ifndef COMFREYDOCKD_CONFIG_CHECK_RULES_H
 #define COMFREYDOCKD_CONFIG_CHECK_RULES_H
@@ -14,13 +15,14 @@
 #include "common/schema.h"
 
 #define CONFIG_NAME_MAX_BYTES 63
-/* Where rules stand in a file: services, one of them, its rules. */
+/* The nesting of the rules in a file: the root object, its services, one service, its
+ * array of rules. */
 #define CONFIG_RULES_SHAPE "{{{["
 
-/* Adds a finding where the path, which may be NULL, is none. */
+/* Adds an error if the path does not begin with "/". path may be NULL. */
 void config_check_path(struct schema *schema, const char *key, const char *path);
 
-/* Fills in the rules of a service whose group is known. */
+/* Reads the rules of a service. service->group must be set before. */
 void config_read_rules(struct schema *schema, struct config_service *service);
 
 #endif
--- a/include/comfreydockd/config/follow.h
+++ b/include/comfreydockd/config/follow.h
@@ -3,25 +3,28 @@
  *	config_follow - takes the configuration from a row of the platform
  *
  * DESCRIPTION
- *	Where the platform's own operator writes the configuration, there is
- *	one row with all of it. It is read once, and then watched: the store
- *	answers as soon as it changes. A version that is held is never replaced
- *	by a lower one; see config_store.
+ *	If the platform's own operator writes the configuration, one row holds
+ *	all of it. The daemon reads the row once and then watches it: the store
+ *	answers as soon as it changes. A lower version never replaces a higher
+ *	one; see config_store.
  *
- *	In each failure domain CONFIG_FOLLOWERS daemons, drawn by rendezvous
- *	hash, watch the row. All others, and those whose watch fails, hear of a
- *	higher version by gossip and ask a peer; see config_spread. Without a
- *	bound 22,000 daemons would make 11,700 reads a second of 46,000 changes
- *	a day, where the store gives 2,000.
+ *	In each failure domain CONFIG_FOLLOWERS daemons, selected by rendezvous
+ *	hashing, watch the row. The others, and those whose watch fails, hear of
+ *	a higher version by gossip and ask a peer; see config_spread. Without
+ *	this bound 22,000 daemons would make 11,700 reads a second for 46,000
+ *	changes a day, and the store allows 2,000.
  *
- *	One that stays behind, whatever keeps its peers from helping, reads the
- *	row once by itself, after CONFIG_FOLLOW_PEER_GRACE_US and a time drawn from
- *	CONFIG_FOLLOW_READ_SPACING_US for each member, so that all of them together
- *	make 100 such reads a second at most, and fewer as long as that is in
- *	vain. It reads beside its watch, which may be lost without a word.
+ *	A daemon that stays behind, for whatever reason its peers can't help,
+ *	reads the row once by itself. It does so after
+ *	CONFIG_FOLLOW_PEER_GRACE_US and a random time of up to
+ *	CONFIG_FOLLOW_READ_SPACING_US per member, so that all daemons together
+ *	make at most 100 such reads a second, and fewer while the reads fail.
+ *	The read is made in addition to the watch, which may be lost without an
+ *	error.
  *
- *	A store that is away is asked again after CONFIG_FOLLOW_RETRY_MIN_US,
- *	then ever more rarely up to CONFIG_FOLLOW_RETRY_MAX_US.
+ *	If the store is unavailable, the daemon retries after
+ *	CONFIG_FOLLOW_RETRY_MIN_US and doubles the delay up to
+ *	CONFIG_FOLLOW_RETRY_MAX_US.
  */
 #ifndef COMFREYDOCKD_CONFIG_FOLLOW_H
 #define COMFREYDOCKD_CONFIG_FOLLOW_H
@@ -32,34 +35,37 @@
 #include "comfreydockd/member/member.h"
 #include "comfreydockd/platform/platform.h"
 
-/* Enough that some still watch when half of a domain is cut off. */
+/* So many that some still watch if half of a domain is partitioned off. */
 #define CONFIG_FOLLOWERS 8
-/* The store's longest wait. Each answer without news costs a call. */
+/* The longest wait that the store allows. Each answer without a change costs a
+ * call. */
 #define CONFIG_FOLLOW_WAIT_MS 30000
 #define CONFIG_FOLLOW_RETRY_MIN_US (100 * 1000)
 #define CONFIG_FOLLOW_RETRY_MAX_US (1000 * 1000)
-/* Most get a version from their peers in that time. */
+/* Most daemons get a version from their peers within this time. */
 #define CONFIG_FOLLOW_PEER_GRACE_US (1500 * 1000)
 #define CONFIG_FOLLOW_READ_SPACING_US (10 * 1000)
-/* While parts still come from peers, reading it as well would halve the link. */
+/* No read is made unless pieces from peers have stopped for this time: a read beside
+ * them would halve the bandwidth of the link. */
 #define CONFIG_FOLLOW_STALL_US (500 * 1000)
 #define CONFIG_FOLLOW_PIECES_MAX_US (5 * 1000 * 1000)
-#define CONFIG_FOLLOW_CHECK_US (100 * 1000) /* while behind */
-/* Changes that come closer together are taken as one. */
+#define CONFIG_FOLLOW_CHECK_US \
+	(100 * 1000) /* interval of checks while behind */
+/* Changes that are closer together than this are read as one. */
 #define CONFIG_FOLLOW_COALESCE_US (200 * 1000)
 
 struct config_follow;
 struct slices;
 
 struct config_follow_ops {
-	/* Rewrites a row's value as a namespace file; see
+	/* Converts the value of a row to a namespace file; see
 	 * platform/manifest.h. */
 	bool (*read)(const char *value, size_t size, uint64_t *version,
 		     char **body, const char **error, void *data);
 	void *data;
 };
 
-/* What it points to must outlive it. */
+/* Everything that the pointers refer to must outlive the config_follow. */
 struct config_follow_options {
 	struct ev_loop *loop;
 	struct platform *platform;
@@ -69,17 +75,17 @@
 	const char *domain;
 	const char *table;
 	const char *key; /* "TABLE/REST" */
-	const char *namespace; /* of the file that read makes */
+	const char *namespace; /* of the file that ops->read returns */
 	const struct config_follow_ops *ops;
-	struct slices *slices; /* for reading rows; NULL: at once */
+	struct slices *slices; /* parse rows in time slices; NULL: at once */
 	uint64_t seed;
 };
 
 struct config_follow *
 config_follow_create(const struct config_follow_options *options);
 
-/* Observes the store, which must not be used after this. The platform must be
- * destroyed before, so that it calls nobody back. */
+/* The store must not be used afterwards, because it still has this observer. The
+ * platform must be destroyed first, so that no callback is made. */
 void config_follow_destroy(struct config_follow *follow);
 
 #endif
--- a/include/comfreydockd/config/known_rules.h
+++ b/include/comfreydockd/config/known_rules.h
@@ -1,15 +1,15 @@
 /*
  * NAME
- *	config_known_rules - rules that were read before, by their text
+ *	config_known_rules - cache of parsed rules, keyed by their text
  *
  * DESCRIPTION
- *	A rule never changes once it was read, and what it says follows from its
- *	text alone. A new version of a namespace mostly repeats the text of the
- *	one in force, so its rules are taken over in place of being read again;
- *	what holds between rules is checked for each version all the same.
+ *	A parsed rule never changes, and its content depends on its text alone.
+ *	Most rules of a new version have the same text as in the version in
+ *	force, so they are reused and not parsed again. The checks between rules
+ *	still run for each version.
  *
- *	A rule is known as long as something refers to it. There is one set for
- *	the process, used by one thread.
+ *	A rule stays in the cache as long as it has a reference. The process has
+ *	one cache, used by one thread.
  */
 #ifndef COMFREYDOCKD_CONFIG_KNOWN_RULES_H
 #define COMFREYDOCKD_CONFIG_KNOWN_RULES_H
@@ -20,11 +20,11 @@
 /* RETURN VALUE: the rule with a reference for the caller, or NULL. */
 struct config_rule *config_known_rules_find(const struct json_span *text);
 
-/* The rule must have passed the check, and name its destinations itself. */
+/* The rule must have passed the check and must name its own destinations. */
 void config_known_rules_add(struct config_rule *rule,
 			    const struct json_span *text);
 
-/* For config_rule_unref(). */
+/* Removes a rule from the cache. Only config_rule_unref() calls this. */
 void config_known_rules_forget(const struct config_rule *rule);
 
 #endif
--- a/include/comfreydockd/config/platform_ops.h
+++ b/include/comfreydockd/config/platform_ops.h
@@ -1,9 +1,10 @@
 /*
  * NAME
- *	config_platform - an apply's platform, by the daemon's own client
+ *	config_platform - implements config_platform_ops on the platform client
  *
  * DESCRIPTION
- *	Calls that are open when it is destroyed end without their handlers.
+ *	Calls that are open at the destruction end without calling their
+ *	handlers.
  */
 #ifndef COMFREYDOCKD_CONFIG_PLATFORM_OPS_H
 #define COMFREYDOCKD_CONFIG_PLATFORM_OPS_H
@@ -15,14 +16,14 @@
 struct config_platform;
 struct platform;
 
-/* What is behind the void *platform is a struct config_platform. */
+/* The void *platform argument of these functions is a struct config_platform. */
 extern const struct config_platform_ops config_platform_ops;
 
-/* Loop and platform must outlive it. */
+/* The loop and the platform must outlive the result. */
 struct config_platform *config_platform_create(struct ev_loop *loop,
 					       struct platform *platform);
 
-/* The platform must be destroyed before, so that it calls nobody back. */
+/* The platform must be destroyed first, so that it makes no callback afterwards. */
 void config_platform_destroy(struct config_platform *platform);
 
 #endif
--- a/include/comfreydockd/config/routes.h
+++ b/include/comfreydockd/config/routes.h
@@ -3,13 +3,14 @@
  *	config_routes - finds the service of a request among thousands
  *
  * DESCRIPTION
- *	Two hash tables, by host name and by path prefix. A path is looked for
- *	at its segments' ends, the longest first, so that the cost follows the
- *	path's segments and not the number of services. Without this each call
- *	compares its path with every prefix of every team.
+ *	Two hash tables map host names and path prefixes to services. A path is
+ *	looked up at each end of a segment, the longest prefix first, so the
+ *	cost depends on the number of segments and not on the number of
+ *	services. Without the tables each call would compare its path with every
+ *	prefix of every team.
  *
- *	Where two services claim the same host or prefix, the first one that
- *	was added serves it.
+ *	If two services have the same host or prefix, the one that was added
+ *	first serves it.
  */
 #ifndef COMFREYDOCKD_CONFIG_ROUTES_H
 #define COMFREYDOCKD_CONFIG_ROUTES_H
@@ -26,11 +27,11 @@
 void config_routes_add(struct config_routes *routes,
 		       const struct config_service *service);
 
-/* By the host, which may carry a port, or NULL; else by the longest prefix of
- * the path, whose query is not looked at.
+/* Looks up the host first, which may be NULL or carry a port, and then the longest
+ * prefix of the path. The query of the path is ignored.
  *
  * RETURN VALUE
- *	NULL if there is none. */
+ *	the service, or NULL if there is none. */
 const struct config_service *config_routes_find(const struct config_routes *routes,
 						const char *host,
 						const char *path);
--- a/include/comfreydockd/config/rows.h
+++ b/include/comfreydockd/config/rows.h
@@ -3,14 +3,14 @@
  *	config_rows - the configuration's rows in the platform's table
  *
  * DESCRIPTION
- *	The head row counts all applies and lists what is in force, so that
- *	reading one row tells a daemon whether it lacks anything, and what. It
- *	grows with the number of namespaces; the recent row is written with it
- *	and lists only the last few changes, so that reading it each second
- *	costs the same however many teams there are. The
- *	namespace row tells who applied the version in force, and keeps the
- *	last few before it: an apply whose answer was lost finds itself there
- *	even after somebody else applied on top of it.
+ *	The head row counts all applies and lists the versions in force, so a
+ *	daemon sees in one read what it lacks. The row grows with the number of
+ *	namespaces. The recent row is written together with it and lists only
+ *	the last few changes, so the cost of reading it each second does not
+ *	depend on the number of teams. The namespace row names who applied the
+ *	version in force and keeps the last few commits before it: an apply
+ *	whose answer was lost finds its commit there even after another apply on
+ *	top of it.
  *
  *	Bodies are in the object store under "config/SHA256".
  */
@@ -30,22 +30,22 @@
 
 struct config_head {
 	uint64_t head;
-	uint64_t above; /* versions lists what has changed above this head */
+	uint64_t above; /* versions lists only changes above this head */
 	GArray *versions; /* of struct config_version, names owned */
 };
 
 void config_head_init(struct config_head *head);
 void config_head_finish(struct config_head *head);
 
-/* text NULL: the row is absent, nothing was ever applied.
- * RETURN VALUE: false if the text is no head row. */
+/* text NULL: the row is absent, because nothing was ever applied.
+ * RETURN VALUE: false if the text is not a head row. */
 bool config_head_parse(struct config_head *head, const char *text);
 char *config_head_to_text(const struct config_head *head);
 
-/* The recent row that goes with a head row. */
+/* RETURN VALUE: the text of the recent row that belongs to a head row. */
 char *config_head_to_recent_text(const struct config_head *head);
 
-/* Counts one apply and lists its version. */
+/* Increments the head for one apply and records its version. */
 void config_head_note(struct config_head *head, const char *name,
 		      uint64_t version, const char *sha256);
 
--- a/include/comfreydockd/config/spread.h
+++ b/include/comfreydockd/config/spread.h
@@ -1,28 +1,28 @@
 /*
  * NAME
- *	config_spread - brings what was applied anywhere to this daemon
+ *	config_spread - distributes applied configuration between daemons
  *
  * DESCRIPTION
- *	A pure machine: the time, questions and answers come in as arguments;
- *	what it asks of peers and of the platform leaves through function
- *	tables. It opens no socket and reads no clock.
+ *	A state machine without I/O: the time, queries and answers come in as
+ *	arguments, and requests to peers and to the platform leave through
+ *	function tables. It opens no socket and reads no clock.
  *
- *	In each failure domain CONFIG_SPREAD_READERS live daemons, drawn by
- *	rendezvous hash, read the platform's head row each second. That two or
- *	three do so does no harm, so no lease guards it. All others hear of a
- *	higher head by gossip and ask the daemon they heard it from for what
- *	has changed; then other peers; at last the platform.
+ *	In each failure domain CONFIG_SPREAD_READERS live daemons, selected by
+ *	rendezvous hashing, read the platform's head row each second. Two or
+ *	three readers at once are harmless, so there is no lease. All other
+ *	daemons hear of a higher head by gossip. They ask the daemon that named
+ *	it for the changes, then other peers, and the platform last.
  *
- *	A large body travels in pieces, from any daemons that hold it, so that
- *	what has come is kept when a peer is lost or slow, and the frames of
- *	calls pass between them.
+ *	A large body is sent in pieces by any daemons that hold it. The pieces
+ *	received are kept if a peer is lost or slow, and frames of calls can
+ *	pass between them.
  *
- *	One daemon fetches one thing at a time and at a bounded rate, and it
- *	answers at a bounded rate, so that 22,000 that hear of one change
- *	don't fall on one peer or on the platform.
+ *	A daemon runs one fetch at a time, at a bounded rate, and answers at a
+ *	bounded rate, so that 22,000 daemons that hear of one change do not
+ *	overload one peer or the platform.
  *
- *	A daemon without a configuration takes the platform's word, or, where
- *	the platform doesn't answer, the highest head of some live peers.
+ *	A daemon without a configuration uses the head of the platform or, if
+ *	the platform does not answer, the highest head of some live peers.
  *
  * SOURCE
  *	Thaler, Ravishankar, "Using name-based mappings to increase hit
@@ -39,18 +39,18 @@
 #define CONFIG_SPREAD_TICK_US (100 * 1000)
 #define CONFIG_SPREAD_READERS 2 /* per failure domain */
 #define CONFIG_SPREAD_READ_US (1000 * 1000)
-/* A daemon that starts asks so many peers for their heads. */
+/* A daemon that starts asks this many peers for their heads. */
 #define CONFIG_SPREAD_STARTUP_PEERS 3
-/* Bodies in one answer; what is more is asked for again. */
+/* Limit of the bodies in one answer. The peer asks again for the rest. */
 #define CONFIG_SPREAD_ANSWER_BYTES (256 * 1024)
-/* A larger body goes in pieces. One takes 52 ms of a link of 10 Mbit/s, for which
- * the callers' bytes behind it wait. */
+/* A larger body is sent in pieces of this size. A piece occupies a link of 10 Mbit/s
+ * for 52 ms, and bytes of callers queue behind it. */
 #define CONFIG_SPREAD_PIECE_BYTES (64 * 1024)
-/* Whole, for daemons that take no pieces: a frame may have 1 MiB, and the rest is
- * for the names in it. */
+/* Limit of a body sent as one to a daemon that does not support pieces. A frame is
+ * limited to 1 MiB, and the rest is for the names in it. */
 #define CONFIG_SPREAD_WHOLE_MAX_BYTES (960 * 1024)
-/* In pieces; some 20,000 routes. Read and put in force a larger one would need more
- * than the memory of a daemon. */
+/* Limit of a body sent in pieces, about 20,000 routes. Parsing and adopting a larger
+ * one would need more memory than a daemon has. */
 #define CONFIG_SPREAD_BODY_MAX_BYTES (4 * 1024 * 1024)
 #define CONFIG_SPREAD_ANSWERS_PER_S 20
 
@@ -58,16 +58,16 @@
 struct slices;
 
 struct config_spread_ops {
-	/* Sends a question to a live member; its answer, if it comes, goes to
+	/* Sends a query to a live member. Pass its answer, if one comes, to
 	 * config_spread_take_answer(). */
 	void (*ask)(const struct member *member, const Cfd__ConfigQuery *query,
 		    void *data);
-	/* This daemon holds a new head. */
+	/* Called when this daemon has reached a new head. */
 	void (*publish)(uint64_t head, void *data);
 	void *data;
 };
 
-/* All pointers but host and domain must outlive the machine. */
+/* All pointers except host and domain must outlive the config_spread. */
 struct config_spread_options {
 	struct config_store *store;
 	struct member_table *members;
@@ -76,26 +76,27 @@
 	const struct config_platform_ops *platform_ops; /* NULL: no platform */
 	void *platform;
 	const struct config_spread_ops *ops;
-	struct slices *slices; /* for reading large bodies; NULL: at once */
+	struct slices *slices; /* parse bodies in time slices; NULL: at once */
 	uint64_t seed;
 };
 
-/* Observes the store, so the store must not be used after the destruction. */
+/* Registers an observer at the store, so the store must not be used after
+ * config_spread_destroy(). */
 struct config_spread *
 config_spread_create(const struct config_spread_options *options, int64_t now_us);
 
-/* No call to the platform may call back after this. */
+/* The caller makes sure that no platform call calls back afterwards. */
 void config_spread_destroy(struct config_spread *spread);
 
-/* To be called each CONFIG_SPREAD_TICK_US. */
+/* Call this every CONFIG_SPREAD_TICK_US. */
 void config_spread_tick(struct config_spread *spread, int64_t now_us);
 
-/* An answer of a peer; one that was not asked for is dropped. */
+/* Handles the answer of a peer. An answer without a matching query is dropped. */
 void config_spread_take_answer(struct config_spread *spread, const char *host,
 			       const Cfd__ConfigBody *answer);
 
-/* A peer's question. The answer is to be freed with
- * config_spread_free_answer(); its bodies are the store's. */
+/* Answers the query of a peer. Free the answer with config_spread_free_answer(); the
+ * store owns the bodies in it. */
 Cfd__ConfigBody *config_spread_answer(struct config_spread *spread,
 				      const Cfd__ConfigQuery *query);
 void config_spread_free_answer(Cfd__ConfigBody *answer);
--- a/include/comfreydockd/config/spread_internal.h
+++ b/include/comfreydockd/config/spread_internal.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	spread_internal - the spread's state, for the files of config/spread*
+ *	spread_internal - state of config_spread, shared by config/spread*.c
  *
  * DESCRIPTION
- *	spread.c decides when to read the platform and when to ask whom;
- *	spread_fetch.c takes what comes back; spread_answer.c answers peers;
- *	spread_pieces.c puts together what comes in pieces.
+ *	spread.c decides when to read the platform; spread_fetch.c queries peers
+ *	and the object store and handles their answers; spread_answer.c answers
+ *	peers; spread_pieces.c splits and assembles large bodies.
  */
 #ifndef COMFREYDOCKD_CONFIG_SPREAD_INTERNAL_H
 #define COMFREYDOCKD_CONFIG_SPREAD_INTERNAL_H
@@ -15,23 +15,24 @@
 
 enum config_fetch_step {
 	CONFIG_FETCH_NONE,
-	CONFIG_FETCH_HEAD, /* a witness's head, at the start */
+	CONFIG_FETCH_HEAD, /* the head of a peer, at startup */
 	CONFIG_FETCH_LISTING,
 	CONFIG_FETCH_BODIES,
 	CONFIG_FETCH_OBJECT, /* one body, from the platform */
 };
 
-/* Pieces of other bodies in a row, until one of them begins in its place. */
+/* After this many refused pieces of other bodies in a row, another body replaces the
+ * incomplete one. */
 #define CONFIG_PIECES_REFUSED_MAX 3
 
-/* What has come of one body; bytes is empty where there is none. */
+/* The contiguous pieces received of one body. bytes is empty if there are none. */
 struct config_pieces {
 	char *name; /* of the namespace */
 	uint64_t version;
 	char sha256[65];
-	uint64_t size; /* of the whole */
+	uint64_t size; /* of the complete body */
 	GByteArray *bytes;
-	unsigned int refused; /* of other bodies, in a row */
+	unsigned int refused; /* pieces of other bodies in a row */
 };
 
 struct config_spread {
@@ -50,30 +51,30 @@
 	int64_t read_at_us;
 	bool is_reading;
 	bool is_reader;
-	bool must_read; /* though no reader */
-	bool platform_failed; /* the last read */
+	bool must_read; /* even if this daemon is not a reader */
+	bool platform_failed; /* in the last read */
 	bool platform_tried;
 
-	/* the one fetch */
+	/* the fetch in progress */
 	enum config_fetch_step step;
 	uint64_t seq;
 	char asked_host[MEMBER_HOST_MAX];
 	uint64_t head_before;
 	int64_t give_up_us;
 	int64_t fetch_at_us;
-	unsigned int tries; /* in vain, in a row */
+	unsigned int tries; /* failed fetches in a row */
 
-	/* who named a higher head last */
+	/* the peer that last named a higher head */
 	char hint_host[MEMBER_HOST_MAX];
 	uint64_t hint_head;
 
-	/* the start, without the platform */
+	/* peers asked for their heads at startup without the platform */
 	unsigned int startup_peer_count;
 	char startup_peer_hosts[CONFIG_SPREAD_STARTUP_PEERS][MEMBER_HOST_MAX];
 	char best_host[MEMBER_HOST_MAX];
 	uint64_t best_head;
 
-	/* the body that is read from the object store */
+	/* the body being read from the object store */
 	char *object_name;
 	uint64_t object_version;
 	char object_sha256[65];
@@ -81,20 +82,20 @@
 	struct config_pieces pieces;
 	struct slices *slices;
 
-	/* answers to others */
+	/* token bucket for answers to peers */
 	double answer_tokens;
 	int64_t answer_refilled_us;
 };
 
 /* spread_fetch.c */
 
-/* Goes on with whatever is missing, if it is time. */
+/* Starts the next fetch if something is missing and the delay is over. */
 void config_fetch_next(struct config_spread *spread);
 
-/* Nothing came within the time. */
+/* Fails the fetch in progress if its peer is gone or its timeout is over. */
 void config_fetch_check_time(struct config_spread *spread);
 
-/* Lets go of parts of what came in another way. */
+/* Frees the pieces of a version that was adopted from another source. */
 void config_fetch_drop_held(struct config_spread *spread);
 
 bool config_fetch_is_behind(const struct config_spread *spread);
@@ -105,22 +106,26 @@
 void config_pieces_finish(struct config_pieces *pieces);
 void config_pieces_clear(struct config_pieces *pieces);
 
-/* RETURN VALUE: whether the piece brought something new. One of a newer version of the
- * namespace begins anew; of others see CONFIG_PIECES_REFUSED_MAX. */
+/* Appends a piece. The first piece of a newer version of the same namespace replaces
+ * the incomplete body; for other bodies see CONFIG_PIECES_REFUSED_MAX.
+ *
+ * RETURN VALUE
+ *	whether the piece was appended. */
 bool config_pieces_add(struct config_pieces *pieces, const Cfd__ConfigLine *line);
 bool config_pieces_are_complete(const struct config_pieces *pieces);
 
-/* Asks for the rest, where a part is here; name is what is missing. */
+/* Fills in the hash of the incomplete body and the offset of its next piece. The
+ * caller adds the namespace to the wanted names. */
 void config_pieces_fill_query(const struct config_pieces *pieces,
 			      Cfd__ConfigQuery *query);
 
-/* Cuts from the body what the query lacks of it. */
+/* Fills line with the piece of the body that the query asks for, or the first. */
 void config_pieces_cut(const Cfd__ConfigQuery *query, const char *body,
 		       size_t size, Cfd__ConfigLine *line);
 
 /* spread.c */
 
-/* RETURN VALUE: now and a random share of the span more. */
+/* RETURN VALUE: a random time between least_us and most_us from now. */
 int64_t config_spread_later(struct config_spread *spread, int64_t least_us,
 			    int64_t most_us);
 void config_spread_publish(struct config_spread *spread);
--- a/include/comfreydockd/config/spread_peers.h
+++ b/include/comfreydockd/config/spread_peers.h
@@ -1,10 +1,10 @@
 /*
  * NAME
- *	spread_peers - the spread of configuration on the daemon's loop
+ *	spread_peers - runs config_spread on the daemon's loop
  *
  * DESCRIPTION
- *	Feeds config_spread with time, with what gossip says and with peers'
- *	frames, and sends what it asks and answers.
+ *	Passes the time and the frames of peers to config_spread, sends its
+ *	queries and answers to peers, and announces its head by gossip.
  */
 #ifndef COMFREYDOCKD_CONFIG_SPREAD_PEERS_H
 #define COMFREYDOCKD_CONFIG_SPREAD_PEERS_H
@@ -16,16 +16,17 @@
 
 struct spread_peers;
 
-/* Needs the daemon's loop, settings, config, members, gossip, peers, owner and
- * entry. ops NULL: there is no platform. */
+/* The daemon's loop, settings, config, members, gossip, peers, owner and entry must
+ * exist. ops NULL: there is no platform. */
 struct spread_peers *spread_peers_create(struct daemon *daemon,
 					 const struct config_platform_ops *ops,
 					 void *platform);
 
-/* After the platform and the peers, so that nothing calls back. */
+/* Call this after the platform and the peers are destroyed, so that nothing calls
+ * back. */
 void spread_peers_destroy(struct spread_peers *peers);
 
-/* RETURN VALUE: whether this daemon reads the platform's head row for others. */
+/* RETURN VALUE: whether this daemon reads the platform's head row for its domain. */
 bool spread_peers_is_reader(const struct spread_peers *peers);
 
 #endif
--- a/tests/test_config_check.c
+++ b/tests/test_config_check.c
@@ -170,16 +170,17 @@
 		"f:40: error: services.archive-feed.path_prefixes: "
 		"\"/lookup\" belongs to service \"lookup-desk\" already");
 	assert_refused("\"path_prefix\": \"/archive/bundles/\",", "",
-		       "rules[1]: never applies: rule \"bundle\" before it");
+		       "rules[1]: never applies: the earlier rule \"bundle\"");
 	assert_refused("\"budget_permille\": 2", "\"budget_permille\": 0",
 		       "with a budget of 0 no path is ever asked");
 	assert_refused("\"bulk\"", "\"bulky\"",
 		       "must be one of: interactive, normal, bulk");
-	assert_refused("\"POST\"", "\"post\"", "\"post\" is no method");
+	assert_refused("\"POST\"", "\"post\"",
+		       "\"post\" is not a supported method");
 	assert_refused("[503]", "[200]", "a status from 400 to 599");
 	assert_refused("\"deadline_ms\": 8000,", "", "deadline_ms: is missing");
 	assert_refused("\"group\": \"lookup-desk\",", "",
-		       "rules[0].to: is needed where the service has no group");
+		       "rules[0].to: is required if the service has no group");
 	assert_refused("\"deadline_ms\": 8000,",
 		       "\"deadline_ms\": 8000,"
 		       "\"to\": [{\"group\": \"a\", \"weight\": 0}],",
