--- a/comfreydockd/operator/api.c
+++ b/comfreydockd/operator/api.c
@@ -17,7 +17,7 @@
 	bool needs_owner;
 };
 
-/* Sorted by path: searched by bisection. */
+/* Sorted by path for bsearch(). */
 static const struct route routes[] = {
 	{"/metrics", "GET", operator_get_metrics},
 	{"/v1/config", "GET", operator_get_config},
@@ -54,9 +54,8 @@
 }
 
 /*
- * Compares every byte whatever the first ones are: a comparison that stops at
- * the first difference would let a patient caller guess the token byte by byte
- * from the time that the answer takes.
+ * Compares all bytes in constant time. A comparison that stops at the first
+ * difference would allow a timing attack that guesses the token byte by byte.
  */
 static bool token_equals(const char *expected, const char *given)
 {
@@ -97,7 +96,7 @@
 	if (!is_allowed(api, request)) {
 		counters.operator_unauthorized++;
 		log_event(EV_OPERATOR_UNAUTHORIZED, LOG_STR("path", path));
-		operator_reply_error(request, 401, "a valid token is needed");
+		operator_reply_error(request, 401, "a valid token is required");
 		return;
 	}
 	route = bsearch(path, routes, G_N_ELEMENTS(routes), sizeof(routes[0]),
@@ -112,7 +111,7 @@
 		route->handle(api, request);
 }
 
-/* Whoever collects metrics needs no token and gets nothing else. */
+/* The metrics port requires no token and serves nothing else. */
 static void handle_metrics_request(struct http_request *request, void *data)
 {
 	if (strcmp(http_request_path(request), "/metrics") == 0)
@@ -162,7 +161,7 @@
 {
 	if (!api)
 		return;
-	operator_end_stops(api, 503, "the daemon ends");
+	operator_end_stops(api, 503, "the daemon is stopping");
 	gatherer_destroy(api->gatherer);
 	http_server_destroy(api->metrics_server);
 	http_server_destroy(api->server);
--- a/comfreydockd/operator/config.c
+++ b/comfreydockd/operator/config.c
@@ -5,7 +5,7 @@
 #include "comfreydockd/operator/handler.h"
 #include "common/jsonc.h"
 
-/* A request that waits for the platform. */
+/* An admin request that waits for an answer of the platform. */
 struct pending_reply {
 	struct operator_api *api;
 	struct http_request *request;
@@ -57,7 +57,8 @@
 	return root;
 }
 
-/* What the platform says counts: it knows of applies that are not here yet. */
+/* Adds the commits from the platform's row, which has applies that this daemon has not
+ * received yet. */
 static void handle_row(enum config_platform_status status, uint64_t row_version,
 		       const char *value, size_t size, void *data)
 {
@@ -103,7 +104,8 @@
 	return file ? file : "request";
 }
 
-/* A group that nobody announces is a misspelling, or comes up later. */
+/* Warns of a group that no upstream announces. Its name may be misspelled, or its
+ * upstreams start later. */
 static void check_groups(struct operator_api *api,
 			 const struct config_namespace *ns, const char *file,
 			 struct findings *findings)
@@ -139,11 +141,13 @@
 }
 
 /*
- * "That host belongs to another namespace already" ends an operator's work, and the
- * other namespace may have given it up in a version that is not here yet; one would
- * look for the owner of what nobody owns. So it is said only by what may be the newest.
+ * Answers 503 if the file conflicts with another namespace while the configuration
+ * held here may be stale. The other namespace may have given up the host or path in a
+ * version that is not here yet, and the finding "belongs to service ... already" would
+ * send the operator to look for an owner that no longer exists.
  *
- * RETURN VALUE: true where the request was answered so.
+ * RETURN VALUE
+ *	whether the request was answered.
  */
 static bool refuse_stale_conflict(struct operator_api *api,
 				  struct http_request *request)
@@ -163,7 +167,7 @@
 					 file_argument(request));
 	if (is_refused) {
 		text = g_strdup_printf(
-			"it clashes with another namespace as held here, "
+			"conflict with another namespace as held here, "
 			"which may be old (head %" G_GUINT64_FORMAT
 			", known %" G_GUINT64_FORMAT "): try again",
 			config_store_head(store), config_store_known_head(store));
@@ -217,8 +221,9 @@
 	return 504;
 }
 
-/* The head tells that the platform's row is to be read at once, and the others
- * through gossip. */
+/* Adopts the version that was applied through this daemon. The note of the new head
+ * makes this daemon read the platform's row at once, and gossip then tells the
+ * others. */
 static void adopt_applied(struct config_store *store,
 			  const struct config_apply_outcome *outcome)
 {
@@ -264,11 +269,11 @@
 	if (!base || !apply.who ||
 	    !g_ascii_string_to_unsigned(base, 10, 0, G_MAXINT64, &number, NULL)) {
 		operator_reply_error(request, 400,
-				     "base=VERSION and who=NAME are needed");
+				     "base=VERSION and who=NAME are required");
 		return;
 	}
 	if (!api->platform_ops) {
-		operator_reply_error(request, 503, "the platform is not set up");
+		operator_reply_error(request, 503, "no platform is configured");
 		return;
 	}
 	if (refuse_stale_conflict(api, request))
--- a/comfreydockd/operator/gather.c
+++ b/comfreydockd/operator/gather.c
@@ -10,7 +10,7 @@
 #include "common/jsonc.h"
 #include "common/trace.h"
 
-/* As the entry words it in the notes of its events. */
+/* The entry writes the next host after this key into the notes of its events. */
 #define SENT_TO "to="
 
 struct gather {
@@ -20,8 +20,8 @@
 	uint64_t id;
 	char *trace;
 	json_object *events;
-	GHashTable *unanswered; /* host -> itself; those that have not answered */
-	GHashTable *queried; /* host -> itself; all that were asked */
+	GHashTable *unanswered; /* set of hosts that have not answered yet */
+	GHashTable *queried; /* set of all hosts that were queried */
 	ev_timer timeout;
 };
 
@@ -81,7 +81,7 @@
 	peer_send(peers_connect(daemon->peers, member), &frame);
 }
 
-/* "seq=7 to=esja-07 may-queue=0" names the next daemon. */
+/* Queries the daemon that a note names: "seq=7 to=esja-07 may-queue=0". */
 static void gather_follow(struct gather *gather, const char *note)
 {
 	const char *to = strstr(note, SENT_TO);
@@ -152,7 +152,7 @@
 		gather_finish(gather);
 }
 
-/* RETURN VALUE: whether a host gave this id, or may know of it. */
+/* RETURN VALUE: whether a host assigned this trace id, or may have events of it. */
 static bool host_may_know(const struct member *member, const char *trace)
 {
 	if (member->state != MEMBER_ALIVE && member->state != MEMBER_SUSPECT)
--- a/comfreydockd/operator/metrics.c
+++ b/comfreydockd/operator/metrics.c
@@ -10,7 +10,7 @@
 #include "common/metric.h"
 #include "common/tally.h"
 
-/* Of the kernel's figures for memory. */
+/* The unit of ru_maxrss in bytes. */
 #define KILO 1024
 
 static void append_members(GString *text, struct member_table *members)
@@ -94,7 +94,7 @@
 			(double)told_age_us);
 }
 
-/* Under the names that collectors know from other programs. */
+/* Uses the metric names that collectors know from other programs. */
 static void append_process(GString *text)
 {
 	struct rusage usage;
--- a/comfreydockd/operator/quarantine.c
+++ b/comfreydockd/operator/quarantine.c
@@ -50,7 +50,7 @@
 	if (!text || !key_text_parse(text, &key)) {
 		operator_reply_error(
 			request, 400,
-			"content: 16 hexadecimal digits are needed");
+			"content: 16 hexadecimal digits are required");
 		return;
 	}
 	if (!quarantine_clear(api->daemon->quarantine, key, clock_mono_us())) {
--- a/comfreydockd/operator/status.c
+++ b/comfreydockd/operator/status.c
@@ -56,8 +56,10 @@
 	return root;
 }
 
-/* RETURN VALUE: false where the page begins after a host that isn't known any
- * more; *first is NULL where the list is at its end. */
+/* Finds the first member of a page; *first is NULL at the end of the list.
+ *
+ * RETURN VALUE
+ *	false if the host in "after" is no longer known. */
 static bool find_page(struct operator_api *api, struct http_request *request,
 		      struct member **first)
 {
@@ -74,9 +76,9 @@
 }
 
 /*
- * All of 22,000 hosts in one answer would keep the loop, and with it every call,
- * waiting for a fifth of a second, and take more memory than the daemon may
- * have. So there are pages: "next" is the host to give as "after".
+ * Answers with one page of hosts; "next" is the host to pass as "after" for the next
+ * page. One answer with all of 22,000 hosts would block the loop, and with it every
+ * call, for a fifth of a second and would need more memory than the daemon may use.
  */
 void operator_get_hosts(struct operator_api *api, struct http_request *request)
 {
@@ -87,7 +89,7 @@
 
 	if (!find_page(api, request, &member)) {
 		operator_reply_error(request, 404,
-				     "no such host any more: begin anew");
+				     "host no longer exists: begin anew");
 		return;
 	}
 	root = json_object_new_object();
--- a/comfreydockd/operator/upstream.c
+++ b/comfreydockd/operator/upstream.c
@@ -34,11 +34,11 @@
 {
 	announcement->groups = schema_strings(schema, "groups", SCHEMA_REQUIRED);
 	announcement->address = schema_string(schema, "address", SCHEMA_REQUIRED);
-	/* The upstream runs beside its daemon. Work sent to another host
-	 * would bypass the owner there. */
+	/* An upstream runs on the host of its daemon. Requests that are sent to
+	 * an upstream of another host would bypass the owner there. */
 	if (announcement->address && !address_is_loopback(announcement->address))
 		schema_error(schema, "address",
-			     "a loopback IP number is expected");
+			     "a loopback IP address is expected");
 	announcement->port = (uint16_t)schema_uint(
 		schema, "port", SCHEMA_REQUIRED, 0, 1, UINT16_MAX);
 	announcement->slots = (uint32_t)schema_uint(
@@ -128,8 +128,8 @@
 }
 
 /*
- * The answer is what tells the upstream that it may end. Given before the last
- * request is through, it would cut that caller off.
+ * Drains the upstream and answers once it is idle. The answer allows the upstream to
+ * exit, so an answer before the last request has ended would break off that request.
  */
 void operator_stop(struct operator_api *api, struct http_request *request)
 {
--- a/comfreydockd/platform/rows_store.c
+++ b/comfreydockd/platform/rows_store.c
@@ -96,8 +96,8 @@
 	call_end(call);
 }
 
-/* A range of one key is a plain read. The end needs no check otherwise: rows
- * asks only up to the end of its prefix. */
+/* A range of one key is a single read. Other ranges need no check of the end, because
+ * member/rows asks only up to the end of its prefix. */
 static void get_range(void *store, const char *first, const char *end,
 		      unsigned int limit, rows_range_handler handler, void *data)
 {
@@ -128,7 +128,7 @@
 	struct platform_op op = {
 		.kind = PLATFORM_PUT,
 		.key = key,
-		.if_version = (int64_t)version, /* 0 is PLATFORM_ABSENT */
+		.if_version = (int64_t)version, /* 0 equals PLATFORM_ABSENT */
 		.value = value,
 	};
 
--- a/include/comfreydockd/config/model.h
+++ b/include/comfreydockd/config/model.h
@@ -21,7 +21,7 @@
 	CONFIG_CLASS_BULK,
 };
 
-/* How the matching requests are handled. Versions with the same text of a rule share
+/* How the matching requests are handled. Namespaces with the same text of a rule share
  * one struct, see config_known_rules. */
 struct config_rule {
 	unsigned int references;
@@ -31,7 +31,7 @@
 	char *path_prefix; /* "/" : any */
 	bool idempotent;
 	uint32_t deadline_ms;
-	uint32_t target_ms; /* target latency; 0: none is set */
+	uint32_t target_ms; /* an answer within it counts as good; 0: unset */
 	enum config_class class;
 	uint32_t max_attempts; /* 1: no retry */
 	uint32_t retry_budget_percent; /* percentage of recent calls */
--- a/include/comfreydockd/operator/gather.h
+++ b/include/comfreydockd/operator/gather.h
@@ -1,18 +1,20 @@
 /*
  * NAME
- *	gather - one request's events from the daemons that it passed
+ *	gather - collects the events of a request from all daemons it passed
  *
  * DESCRIPTION
- *	A trace id begins with a hash of the host whose daemon gave it. That
- *	daemon is asked first; its events name the daemons that attempts were
- *	sent to, these are asked next, and so on down a nest of calls. The work
- *	grows with the hosts that a request touched, not with the fleet.
+ *	A trace id begins with a hash of the host whose daemon assigned it. That
+ *	daemon is queried first. Its events name the daemons that attempts were
+ *	sent to; these are queried next, and so on through nested calls. The
+ *	number of queries depends on the hosts that the request touched, not on
+ *	the size of the fleet.
  *
- *	A trace id that a caller chose names no host. Then every host alive is
- *	asked, up to GATHER_MAX_HOSTS.
+ *	A trace id that a caller chose names no host. For such an id every live
+ *	host is queried, up to GATHER_MAX_HOSTS.
  *
- *	The answer is {"events": [...], "missing": [hosts]}: what could not be
- *	had is named, since a part that is silently missing would mislead.
+ *	The answer is {"events": [...], "missing": [hosts]}. It names the hosts
+ *	that did not answer, because events that are missing without notice
+ *	would mislead the operator.
  */
 #ifndef COMFREYDOCKD_OPERATOR_GATHER_H
 #define COMFREYDOCKD_OPERATOR_GATHER_H
@@ -24,13 +26,13 @@
 
 struct gatherer;
 
-/* peers may be NULL in the daemon: then only its own events are given. */
+/* If daemon->peers is NULL, only the events of this daemon are returned. */
 struct gatherer *gatherer_create(struct daemon *daemon);
 
-/* Answers the requests that still wait with what is there. */
+/* Answers the requests that still wait with the events received so far. */
 void gatherer_destroy(struct gatherer *gatherer);
 
-/* Answers the request, now or later. trace NULL: all of this daemon's own. */
+/* Answers the request, now or later. trace NULL: all events of this daemon. */
 void gather_start(struct gatherer *gatherer, struct http_request *request,
 		  const char *trace);
 
--- a/include/comfreydockd/operator/handler.h
+++ b/include/comfreydockd/operator/handler.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	operator_handler - what the groups of handlers share
+ *	operator_handler - declarations shared by the admin API's handlers
  *
  * DESCRIPTION
- *	Inside the operator package. A handler answers its request once, now
- *	or later. Handlers are listed in one table, sorted by path, then by
- *	method.
+ *	Internal to the operator folder. A handler answers its request exactly
+ *	once, during the call or later. One table lists the handlers, sorted by
+ *	path, then by method.
  */
 #ifndef COMFREYDOCKD_OPERATOR_HANDLER_H
 #define COMFREYDOCKD_OPERATOR_HANDLER_H
@@ -18,11 +18,11 @@
 struct operator_api {
 	struct daemon *daemon;
 	struct http_server *server;
-	struct http_server *metrics_server; /* NULL: on the other only */
+	struct http_server *metrics_server; /* NULL: no separate port */
 	const struct config_platform_ops *platform_ops;
 	void *platform;
-	GPtrArray *stopping; /* of struct http_request that await idleness */
-	bool awaits_idle;
+	GPtrArray *stopping; /* of struct http_request: waiting stop calls */
+	bool awaits_idle; /* owner_when_idle() was called */
 	struct gatherer *gatherer;
 };
 
@@ -54,10 +54,10 @@
 void operator_end_stops(struct operator_api *api, unsigned int status,
 			const char *state);
 
-/* RETURN VALUE: the local upstream as JSON. */
+/* RETURN VALUE: the state of the local upstream as JSON. */
 json_object *operator_upstream_to_json(const struct operator_api *api);
 
-/* Answers with the object and gives it up. */
+/* Answers the request with the object and takes ownership of it. */
 void operator_reply(struct http_request *request, unsigned int status,
 		    json_object *root);
 void operator_reply_error(struct http_request *request, unsigned int status,
--- a/include/comfreydockd/platform/platform.h
+++ b/include/comfreydockd/platform/platform.h
@@ -3,25 +3,25 @@
  *	platform - the daemon's client of the table service and object store
  *
  * DESCRIPTION
- *	Every call ends in exactly one callback, from the loop and never from
- *	within the call itself, unless platform_destroy() comes first.
+ *	Every call ends with exactly one callback, made from the loop and never
+ *	from within the call itself, unless platform_destroy() comes first.
  *
- *	A key is "TABLE/REST". A row's version grows with each change of any
- *	row; a version that a row once had never comes again. Where the store
- *	is set back to a copy it gives out its own once more, so a version here
- *	is the store's with its era above it: PLATFORM_VERSION_BITS of the one
- *	below the other. What was read in an era that is over matches nothing:
- *	a write with such a condition is a conflict, and a watch that goes on
- *	from there ends with PLATFORM_HISTORY_GONE.
+ *	A key is "TABLE/REST". Versions increase with each change of any row,
+ *	and a row never has the same version twice. A store that is restored
+ *	from a copy reuses its version numbers. So a version here consists of
+ *	the store's era in the upper bits and the store's version in the lower
+ *	PLATFORM_VERSION_BITS. A version from a past era matches nothing: a
+ *	write with such a condition is a conflict, and a watch from such a
+ *	version ends with PLATFORM_HISTORY_GONE.
  *
- *	A write is sent at most once. Its answer can be lost after it took
- *	effect: PLATFORM_UNKNOWN says that, and only reading again can tell.
- *	Even then it may take effect later, as long as its conditions hold.
- *	PLATFORM_UNAVAILABLE is said of a write only where it certainly did
- *	nothing, of a read on any failure.
+ *	A write is sent at most once. If its answer is lost, the status is
+ *	PLATFORM_UNKNOWN: the write may have taken effect, and only another read
+ *	can tell. Even after that read it may still take effect, as long as its
+ *	conditions hold. A write ends with PLATFORM_UNAVAILABLE only if it
+ *	certainly had no effect, a read on any failure.
  *
  * RETURN VALUE
- *	The status in the answer; platform_status_message() has its reason.
+ *	The status is in the answer; platform_status_message() has the reason.
  */
 #ifndef COMFREYDOCKD_PLATFORM_PLATFORM_H
 #define COMFREYDOCKD_PLATFORM_PLATFORM_H
@@ -40,8 +40,8 @@
 	PLATFORM_OK,
 	PLATFORM_NOT_FOUND,
 	PLATFORM_CONFLICT, /* a condition did not hold; nothing was applied */
-	PLATFORM_HISTORY_GONE, /* a watch: read the rows anew */
-	PLATFORM_REJECTED, /* the platform refused it as malformed; not applied */
+	PLATFORM_HISTORY_GONE, /* of a watch: read the rows again */
+	PLATFORM_REJECTED, /* refused as malformed; not applied */
 	PLATFORM_UNAVAILABLE, /* certainly not applied */
 	PLATFORM_UNKNOWN, /* may have been applied */
 };
@@ -49,22 +49,22 @@
 struct platform_row {
 	char *key;
 	uint64_t version;
-	char *value; /* a 0 follows its size; NULL: the row was deleted */
+	char *value; /* followed by a 0 byte; NULL: the row was deleted */
 	size_t size;
 };
 
 /* Valid during the callback only. */
 struct platform_answer {
 	enum platform_status status;
-	/* get: the row; list: one page; watch: what has changed, in order;
-	 * transact: nothing, or with PLATFORM_CONFLICT the rows that were
-	 * checked, as they are. */
+	/* get: the row; list: one page; watch: the changed rows, in order;
+	 * transact: none, or with PLATFORM_CONFLICT the current rows of the
+	 * checked keys. */
 	const struct platform_row *rows;
 	size_t row_count;
-	/* The newest of the store as the rows were read, or what a
-	 * transaction made: a watch goes on from here. */
+	/* The newest version of the store when the rows were read, or the one
+	 * that a transaction created. A watch continues from here. */
 	uint64_t version;
-	const char *body; /* get_object: the bytes, ended by a 0 beyond size */
+	const char *body; /* get_object: the bytes, followed by a 0 byte */
 	size_t size;
 };
 
@@ -77,7 +77,8 @@
 	PLATFORM_DELETE,
 };
 
-/* As if_version: the key must have no row; the key may have any version. */
+/* Values of if_version: the key must have no row; the key may have any version or no
+ * row. */
 #define PLATFORM_ABSENT ((int64_t)0)
 #define PLATFORM_ANY_VERSION ((int64_t)-1)
 
@@ -91,29 +92,29 @@
 /* url: "http://IP:PORT" */
 struct platform *platform_create(struct http_client *http, const char *url);
 
-/* The store was set back: what was written there of late may be gone. Called
- * once for each time, from the loop; there is one handler. */
+/* Sets the one handler for restores of the store from a copy, after which recent
+ * writes may be lost. It is called from the loop, once for each restore. */
 void platform_when_restored(struct platform *platform,
 			    void (*handle_restored)(void *data), void *data);
 
-/* Calls still open end without their callbacks. */
+/* Open calls end without their callbacks. */
 void platform_destroy(struct platform *platform);
 
 void platform_get(struct platform *platform, const char *key,
 		  platform_handler handler, void *data);
 
-/* Rows of a table in order of their keys, beyond the key after (or NULL);
- * limit 0 leaves the page's size to the platform. */
+/* Lists rows of a table in the order of their keys, beginning after the key after, or
+ * with the first row if it is NULL. limit 0: the platform chooses the page size. */
 void platform_list(struct platform *platform, const char *table,
 		   const char *after, unsigned int limit,
 		   platform_handler handler, void *data);
 
-/* Answers once a row of the table has changed after the version, or after
- * wait_ms without one. */
+/* Long poll: answers once a row of the table has changed after the version after, or
+ * after wait_ms without a change. */
 void platform_watch(struct platform *platform, const char *table, uint64_t after,
 		    uint32_t wait_ms, platform_handler handler, void *data);
 
-/* All operations or none. */
+/* Applies all operations or none. */
 void platform_transact(struct platform *platform, const struct platform_op *ops,
 		       size_t count, platform_handler handler, void *data);
 
@@ -123,10 +124,10 @@
 void platform_get_object(struct platform *platform, const char *name,
 			 platform_handler handler, void *data);
 
-/* Whether the last call that ended reached the platform. */
+/* RETURN VALUE: whether the last call that ended reached the platform. */
 bool platform_is_up(const struct platform *platform);
 
-/* The reason of the last call that failed, or "". */
+/* RETURN VALUE: the reason of the last failed call, or "". */
 const char *platform_status_message(const struct platform *platform);
 
 #endif
--- a/include/comfreydockd/platform/rows_store.h
+++ b/include/comfreydockd/platform/rows_store.h
@@ -1,11 +1,12 @@
 /*
  * NAME
- *	rows_store - the hosts' rows, kept in the platform's table
+ *	rows_store - keeps the hosts' rows in the platform's table
  *
  * DESCRIPTION
- *	What member/rows asks of a store, by the platform client. The store
- *	argument of the functions is a struct rows_store. Destroyed after the
- *	rows and the platform, it frees what no answer came for.
+ *	Implements the store that member/rows needs with the platform client.
+ *	The store argument of the functions is a struct rows_store. Destroy it
+ *	after the rows and the platform; it then frees the calls that got no
+ *	answer.
  */
 #ifndef COMFREYDOCKD_PLATFORM_ROWS_STORE_H
 #define COMFREYDOCKD_PLATFORM_ROWS_STORE_H
--- a/tests/test_operator.c
+++ b/tests/test_operator.c
@@ -494,7 +494,7 @@
 	const char *path = "/v1/config/apply?base=0&who=anna";
 
 	(void)unused;
-	call(f, "POST", path, sample, 503, "not set up");
+	call(f, "POST", path, sample, 503, "no platform is configured");
 	operator_api_set_platform(f->daemon.operator_api, &ops, f);
 	call(f, "POST", "/v1/config/check?file=f.json", sample, 200,
 	     "no upstream announces \\\"lookup-desk\\\"");
