--- a/comfreydockd/config/apply.c
+++ b/comfreydockd/config/apply.c
@@ -163,7 +163,8 @@
 		(const struct config_write[]){
 			{key, apply->row_version, row_text},
 			{CONFIG_HEAD_KEY, head_row_version, head_text},
-			/* The condition on the head row protects this row too. */
+			/* The condition on the head row protects this row
+			 * too. */
 			{CONFIG_RECENT_KEY, CONFIG_ANY_VERSION, recent_text},
 		},
 		3, handle_transacted, apply);
@@ -237,9 +238,9 @@
 /*
  * Handles a namespace row whose version is above the base. If the commit at
  * base + 1 has the id of this apply, an earlier transaction took effect and its
- * answer was lost. A commit with the same body counts as this apply's too, since
- * an earlier apply of that body may have ended as unknown. If the history no
- * longer holds base + 1, a lost answer stays unknown.
+ * answer was lost. A commit with the same body counts as this apply's too,
+ * since an earlier apply of that body may have ended as unknown. If the history
+ * no longer holds base + 1, a lost answer stays unknown.
  */
 static void resolve_moved_row(struct config_apply *apply)
 {
--- a/comfreydockd/config/check_rules.c
+++ b/comfreydockd/config/check_rules.c
@@ -139,7 +139,7 @@
 struct rule_index {
 	GHashTable *names;
 	GHashTable *by_prefix; /* path prefix -> GPtrArray of rules */
-	uint64_t lengths; /* bit n: a prefix of a length of n modulo 64 exists */
+	uint64_t lengths; /* bit n: a prefix has a length of n modulo 64 */
 };
 
 static void rule_index_init(struct rule_index *rule_index)
--- a/comfreydockd/config/follow.c
+++ b/comfreydockd/config/follow.c
@@ -35,8 +35,8 @@
 	timer_restart_us(follow->options.loop, &follow->timer, us);
 }
 
-/* Half of the backoff is random, so that daemons that lost the store at the same
- * time don't reconnect at the same time. */
+/* Half of the backoff is random, so that daemons that lost the store at the
+ * same time don't reconnect at the same time. */
 static void schedule_retry(struct config_follow *follow)
 {
 	follow->backoff_us =
@@ -265,9 +265,9 @@
 
 /* Reads by a daemon that is behind. */
 
-/* After a failed first read the delay is one span longer. Without it the daemons
- * of a large installation would repeat their reads at a higher rate than
- * CONFIG_FOLLOW_READ_SPACING_US allows. */
+/* After a failed first read the delay is one span longer. Without it the
+ * daemons of a large installation would repeat their reads at a higher rate
+ * than CONFIG_FOLLOW_READ_SPACING_US allows. */
 static void schedule_own_read(struct config_follow *follow, bool is_first)
 {
 	uint64_t span = member_table_size(follow->options.members) *
@@ -279,8 +279,8 @@
 			     (int64_t)random_below(&follow->random, span);
 }
 
-/* Waits while pieces of a version still arrive from peers, but not without end: if
- * versions follow each other faster than one crosses the link, none is ever
+/* Waits while pieces of a version still arrive from peers, but not without end:
+ * if versions follow each other faster than one crosses the link, none is ever
  * complete. */
 static bool is_due(const struct config_follow *follow)
 {
@@ -319,11 +319,11 @@
 }
 
 /*
- * Most daemons get a version only from peers, the others through a watch that may
- * be lost without an error. If that path fails, because of the version's size or an
- * unforeseen fault, a daemon would keep the old rules for as long as the failure
- * lasts although the store is reachable. The symptom is config.fetch-failed with
- * the same known_head again and again.
+ * Most daemons get a version only from peers, the others through a watch that
+ * may be lost without an error. If that path fails, because of the version's
+ * size or an unforeseen fault, a daemon would keep the old rules for as long as
+ * the failure lasts although the store is reachable. The symptom is
+ * config.fetch-failed with the same known_head again and again.
  */
 static void handle_behind(uint64_t head, const char *from_host, void *data)
 {
--- a/comfreydockd/config/known_rules.c
+++ b/comfreydockd/config/known_rules.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Maps the struct json_span of a rule's text to the rule. NULL: no rule is known. */
+/* Maps the struct json_span of a rule's text to the rule. NULL: no rule is
+ * known. */
 static GHashTable *known;
 
 struct config_rule *config_known_rules_find(const struct json_span *text)
--- a/comfreydockd/config/model.c
+++ b/comfreydockd/config/model.c
@@ -211,10 +211,10 @@
 }
 
 /*
- * A group has one budget, the largest that any of its rules allows. If each call
- * set it to the value of its own rule, two rules with different values would
- * refill it again and again, and a failing service would get all the retries that
- * the budget is meant to prevent.
+ * A group has one budget, the largest that any of its rules allows. If each
+ * call set it to the value of its own rule, two rules with different values
+ * would refill it again and again, and a failing service would get all the
+ * retries that the budget is meant to prevent.
  */
 static void add_group(struct config_snapshot *snapshot,
 		      const struct config_service *service,
--- a/comfreydockd/config/routes.c
+++ b/comfreydockd/config/routes.c
@@ -74,8 +74,9 @@
 	return service;
 }
 
-/* Callers choose the path, so the search looks at no more bytes than the longest
- * prefix has. Otherwise a path of many thousand slashes would block the loop. */
+/* Callers choose the path, so the search looks at no more bytes than the
+ * longest prefix has. Otherwise a path of many thousand slashes would block the
+ * loop. */
 static const struct config_service *find_path(const struct config_routes *routes,
 					      const char *path)
 {
--- a/comfreydockd/config/spread.c
+++ b/comfreydockd/config/spread.c
@@ -9,10 +9,11 @@
 #include "common/counters.h"
 #include "common/log.h"
 
-/* Random delay that keeps daemons that start together from reading in lockstep. */
+/* Random delay that keeps daemons that start together from reading in
+ * lockstep. */
 #define START_SPREAD_US (200 * US_PER_MS)
-/* Gossip tells many daemons of a head at once. Each waits for a random part of this
- * time before it asks a peer. */
+/* Gossip tells many daemons of a head at once. Each waits for a random part of
+ * this time before it asks a peer. */
 #define HINT_SPREAD_US (100 * US_PER_MS)
 
 int64_t config_spread_later(struct config_spread *spread, int64_t least_us,
@@ -68,8 +69,8 @@
 	       !config_store_is_ready(spread->store);
 }
 
-/* RETURN VALUE: false if the row lists only changes above a head that this daemon
- * has not reached. */
+/* RETURN VALUE: false if the row lists only changes above a head that this
+ * daemon has not reached. */
 static bool note_row(struct config_spread *spread, const struct config_head *row)
 {
 	if (!needs(spread, row))
--- a/comfreydockd/config/spread_answer.c
+++ b/comfreydockd/config/spread_answer.c
@@ -33,8 +33,8 @@
 	return false;
 }
 
-/* One token pays for CONFIG_SPREAD_ANSWER_BYTES. An answer with a piece is smaller,
- * so the rest of its token is refunded. */
+/* One token pays for CONFIG_SPREAD_ANSWER_BYTES. An answer with a piece is
+ * smaller, so the rest of its token is refunded. */
 static void refund_token(struct config_spread *spread)
 {
 	spread->answer_tokens += 1.0 - (double)CONFIG_SPREAD_PIECE_BYTES /
@@ -48,10 +48,11 @@
 }
 
 /*
- * The first body of an answer is sent whatever its size, a large one in pieces. With
- * a size limit here, a file above it would never be distributed: each peer would ask
- * again and again, and only the daemons that read the platform themselves would
- * leave the old rules. The symptom is config.fetch-failed on most hosts.
+ * The first body of an answer is sent whatever its size, a large one in pieces.
+ * With a size limit here, a file above it would never be distributed: each peer
+ * would ask again and again, and only the daemons that read the platform
+ * themselves would leave the old rules. The symptom is config.fetch-failed on
+ * most hosts.
  */
 static Cfd__ConfigLine *line_create(const Cfd__ConfigQuery *query,
 				    const struct config_version *version,
--- a/comfreydockd/config/spread_fetch.c
+++ b/comfreydockd/config/spread_fetch.c
@@ -9,7 +9,8 @@
 #include "common/slice.h"
 
 #define ANSWER_TIMEOUT_US (1500 * US_PER_MS)
-/* Delay between two successful fetches, so that one fetch gets several changes. */
+/* Delay between two successful fetches, so that one fetch gets several
+ * changes. */
 #define PAUSE_MIN_US (100 * US_PER_MS)
 #define PAUSE_MAX_US (300 * US_PER_MS)
 #define BACKOFF_US (200 * US_PER_MS)
@@ -40,8 +41,8 @@
 	return false;
 }
 
-/* Picks a random live peer that has not given its head at startup. The peer asked
- * last is picked only if there is no other. */
+/* Picks a random live peer that has not given its head at startup. The peer
+ * asked last is picked only if there is no other. */
 static struct member *pick_random_peer(struct config_spread *spread)
 {
 	struct member *drawn = NULL;
@@ -61,8 +62,8 @@
 	return drawn ? drawn : last;
 }
 
-/* Prefers the peer that named the head, but only once, because it may be the one
- * that fails. */
+/* Prefers the peer that named the head, but only once, because it may be the
+ * one that fails. */
 static struct member *choose_peer(struct config_spread *spread)
 {
 	struct member *member =
@@ -201,9 +202,10 @@
 }
 
 /*
- * A reader is among the first to see a new head and hardly any peer has the body
- * yet, so it reads the object store first. The other daemons, and a reader that has
- * just started and lacks everything, read it after two peers failed in a row.
+ * A reader is among the first to see a new head and hardly any peer has the
+ * body yet, so it reads the object store first. The other daemons, and a reader
+ * that has just started and lacks everything, read it after two peers failed in
+ * a row.
  */
 static bool prefers_object_store(const struct config_spread *spread)
 {
@@ -234,8 +236,8 @@
 		note_failure(spread, "no live peer");
 }
 
-/* Chooses the peer with the highest head among those asked at startup, or the one
- * that named a higher head by gossip. */
+/* Chooses the peer with the highest head among those asked at startup, or the
+ * one that named a higher head by gossip. */
 static struct member *choose_startup_peer(struct config_spread *spread)
 {
 	struct member *best =
@@ -303,8 +305,8 @@
 	g_array_unref(missing);
 }
 
-/* A suspected member still counts as there: it may be slow to answer, or this daemon
- * may be slow to receive. */
+/* A suspected member still counts as there: it may be slow to answer, or this
+ * daemon may be slow to receive. */
 static bool is_gone(const struct member *member)
 {
 	return !member || member->state == MEMBER_DEAD ||
@@ -338,7 +340,8 @@
 				  line->body.len) == CONFIG_OFFER_ADOPTED;
 }
 
-/* A body that arrived in pieces and is being parsed and adopted in time slices. */
+/* A body that arrived in pieces and is being parsed and adopted in time
+ * slices. */
 struct complete_body {
 	struct config_spread *spread;
 	struct config_pieces pieces;
--- a/comfreydockd/config/spread_pieces.c
+++ b/comfreydockd/config/spread_pieces.c
@@ -37,10 +37,10 @@
 }
 
 /*
- * The pieces held take precedence over the first piece of another body: otherwise two
- * peers that hold different bodies would discard each other's pieces. But if no peer
- * continues the body, because its only holder is gone, it must not block other bodies
- * for ever.
+ * The pieces held take precedence over the first piece of another body:
+ * otherwise two peers that hold different bodies would discard each other's
+ * pieces. But if no peer continues the body, because its only holder is gone,
+ * it must not block other bodies for ever.
  */
 static bool may_replace(const struct config_pieces *pieces,
 			const Cfd__ConfigLine *line)
--- a/comfreydockd/config/store.c
+++ b/comfreydockd/config/store.c
@@ -248,8 +248,8 @@
 	store->is_told = true;
 }
 
-/* Advances the head once no version of its listing is missing. If a daemon announced
- * a head earlier, peers would believe it and miss a version. */
+/* Advances the head once no version of its listing is missing. If a daemon
+ * announced a head earlier, peers would believe it and miss a version. */
 static void advance_head(struct config_store *store)
 {
 	if (!config_store_has_missing(store) &&
@@ -417,7 +417,8 @@
 		return refuse(name, version, CONFIG_OFFER_BAD_CONTENT,
 			      "the body failed the check");
 	}
-	/* Parsing yielded to the loop, so a newer version may be in force now. */
+	/* Parsing yielded to the loop, so a newer version may be in force
+	 * now. */
 	if (!is_newer(store, name, version)) {
 		config_namespace_unref(ns);
 		return CONFIG_OFFER_NOT_NEWER;
--- a/comfreydockd/operator/config.c
+++ b/comfreydockd/operator/config.c
@@ -57,8 +57,8 @@
 	return root;
 }
 
-/* Adds the commits from the platform's row, which has applies that this daemon has not
- * received yet. */
+/* Adds the commits from the platform's row, which has applies that this daemon
+ * has not received yet. */
 static void handle_row(enum config_platform_status status, uint64_t row_version,
 		       const char *value, size_t size, void *data)
 {
@@ -104,8 +104,8 @@
 	return file ? file : "request";
 }
 
-/* Warns of a group that no upstream announces. Its name may be misspelled, or its
- * upstreams start later. */
+/* Warns of a group that no upstream announces. Its name may be misspelled, or
+ * its upstreams start later. */
 static void check_groups(struct operator_api *api,
 			 const struct config_namespace *ns, const char *file,
 			 struct findings *findings)
@@ -141,10 +141,11 @@
 }
 
 /*
- * Answers 503 if the file conflicts with another namespace while the configuration
- * held here may be stale. The other namespace may have given up the host or path in a
- * version that is not here yet, and the finding "belongs to service ... already" would
- * send the operator to look for an owner that no longer exists.
+ * Answers 503 if the file conflicts with another namespace while the
+ * configuration held here may be stale. The other namespace may have given up
+ * the host or path in a version that is not here yet, and the finding "belongs
+ * to service ... already" would send the operator to look for an owner that no
+ * longer exists.
  *
  * RETURN VALUE
  *	whether the request was answered.
@@ -221,9 +222,9 @@
 	return 504;
 }
 
-/* Adopts the version that was applied through this daemon. The note of the new head
- * makes this daemon read the platform's row at once, and gossip then tells the
- * others. */
+/* Adopts the version that was applied through this daemon. The note of the new
+ * head makes this daemon read the platform's row at once, and gossip then tells
+ * the others. */
 static void adopt_applied(struct config_store *store,
 			  const struct config_apply_outcome *outcome)
 {
--- a/comfreydockd/operator/gather.c
+++ b/comfreydockd/operator/gather.c
@@ -10,7 +10,8 @@
 #include "common/jsonc.h"
 #include "common/trace.h"
 
-/* The entry writes the next host after this key into the notes of its events. */
+/* The entry writes the next host after this key into the notes of its
+ * events. */
 #define SENT_TO "to="
 
 struct gather {
@@ -152,7 +153,8 @@
 		gather_finish(gather);
 }
 
-/* RETURN VALUE: whether a host assigned this trace id, or may have events of it. */
+/* RETURN VALUE: whether a host assigned this trace id, or may have events of
+ * it. */
 static bool host_may_know(const struct member *member, const char *trace)
 {
 	if (member->state != MEMBER_ALIVE && member->state != MEMBER_SUSPECT)
--- a/comfreydockd/operator/status.c
+++ b/comfreydockd/operator/status.c
@@ -76,9 +76,10 @@
 }
 
 /*
- * Answers with one page of hosts; "next" is the host to pass as "after" for the next
- * page. One answer with all of 22,000 hosts would block the loop, and with it every
- * call, for a fifth of a second and would need more memory than the daemon may use.
+ * Answers with one page of hosts; "next" is the host to pass as "after" for the
+ * next page. One answer with all of 22,000 hosts would block the loop, and with
+ * it every call, for a fifth of a second and would need more memory than the
+ * daemon may use.
  */
 void operator_get_hosts(struct operator_api *api, struct http_request *request)
 {
--- a/comfreydockd/operator/upstream.c
+++ b/comfreydockd/operator/upstream.c
@@ -128,8 +128,9 @@
 }
 
 /*
- * Drains the upstream and answers once it is idle. The answer allows the upstream to
- * exit, so an answer before the last request has ended would break off that request.
+ * Drains the upstream and answers once it is idle. The answer allows the
+ * upstream to exit, so an answer before the last request has ended would break
+ * off that request.
  */
 void operator_stop(struct operator_api *api, struct http_request *request)
 {
--- a/comfreydockd/platform/rows_store.c
+++ b/comfreydockd/platform/rows_store.c
@@ -96,8 +96,8 @@
 	call_end(call);
 }
 
-/* A range of one key is a single read. Other ranges need no check of the end, because
- * member/rows asks only up to the end of its prefix. */
+/* A range of one key is a single read. Other ranges need no check of the end,
+ * because member/rows asks only up to the end of its prefix. */
 static void get_range(void *store, const char *first, const char *end,
 		      unsigned int limit, rows_range_handler handler, void *data)
 {
--- a/include/comfreydockd/config/apply.h
+++ b/include/comfreydockd/config/apply.h
@@ -39,8 +39,9 @@
 	const char *value;
 };
 
-/* value is NULL with CONFIG_PLATFORM_OK if the row or object is absent. The platform
- * owns it; it is valid during the call, and a 0 byte follows its size. */
+/* value is NULL with CONFIG_PLATFORM_OK if the row or object is absent. The
+ * platform owns it; it is valid during the call, and a 0 byte follows its
+ * size. */
 typedef void (*config_get_handler)(enum config_platform_status status,
 				   uint64_t row_version, const char *value,
 				   size_t size, void *data);
@@ -48,10 +49,10 @@
 				    void *data);
 
 /*
- * The platform functions that an apply uses. Each call ends with exactly one call
- * of its handler, after the call has returned and within a time limit that the
- * platform sets. Arguments are copied. A get changes nothing, so UNAVAILABLE and
- * UNKNOWN mean the same for it.
+ * The platform functions that an apply uses. Each call ends with exactly one
+ * call of its handler, after the call has returned and within a time limit that
+ * the platform sets. Arguments are copied. A get changes nothing, so
+ * UNAVAILABLE and UNKNOWN mean the same for it.
  */
 struct config_platform_ops {
 	void (*get)(void *platform, const char *key, config_get_handler handler,
--- a/include/comfreydockd/config/check.h
+++ b/include/comfreydockd/config/check.h
@@ -22,9 +22,9 @@
 					       struct findings *findings);
 
 /*
- * Parses a body that this or another daemon has accepted before. It does not report
- * where an error is: recording the position of every member took a third of the
- * time in which the daemon serves nothing else.
+ * Parses a body that this or another daemon has accepted before. It does not
+ * report where an error is: recording the position of every member took a third
+ * of the time in which the daemon serves nothing else.
  *
  * sha256: the hash of the text, already verified.
  *
--- a/include/comfreydockd/config/check_rules.h
+++ b/include/comfreydockd/config/check_rules.h
@@ -15,8 +15,8 @@
 #include "common/schema.h"
 
 #define CONFIG_NAME_MAX_BYTES 63
-/* The nesting of the rules in a file: the root object, its services, one service, its
- * array of rules. */
+/* The nesting of the rules in a file: the root object, its services, one
+ * service, its array of rules. */
 #define CONFIG_RULES_SHAPE "{{{["
 
 /* Adds an error if the path does not begin with "/". path may be NULL. */
--- a/include/comfreydockd/config/follow.h
+++ b/include/comfreydockd/config/follow.h
@@ -45,9 +45,10 @@
 /* Most daemons get a version from their peers within this time. */
 #define CONFIG_FOLLOW_PEER_GRACE_US (1500 * 1000)
 #define CONFIG_FOLLOW_READ_SPACING_US (10 * 1000)
-/* No read is made unless pieces from peers have stopped for this time: a read beside
- * them would halve the bandwidth of the link. */
+/* No read is made unless pieces from peers have stopped for this time: a read
+ * beside them would halve the bandwidth of the link. */
 #define CONFIG_FOLLOW_STALL_US (500 * 1000)
+/* A daemon that is behind for this long reads the row although pieces arrive. */
 #define CONFIG_FOLLOW_PIECES_MAX_US (5 * 1000 * 1000)
 #define CONFIG_FOLLOW_CHECK_US \
 	(100 * 1000) /* interval of checks while behind */
@@ -84,8 +85,8 @@
 struct config_follow *
 config_follow_create(const struct config_follow_options *options);
 
-/* The store must not be used afterwards, because it still has this observer. The
- * platform must be destroyed first, so that no callback is made. */
+/* The store must not be used afterwards, because it still has this observer.
+ * The platform must be destroyed first, so that no callback is made. */
 void config_follow_destroy(struct config_follow *follow);
 
 #endif
--- a/include/comfreydockd/config/model.h
+++ b/include/comfreydockd/config/model.h
@@ -21,8 +21,8 @@
 	CONFIG_CLASS_BULK,
 };
 
-/* How the matching requests are handled. Namespaces with the same text of a rule share
- * one struct, see config_known_rules. */
+/* How the matching requests are handled. Namespaces with the same text of a
+ * rule share one struct, see config_known_rules. */
 struct config_rule {
 	unsigned int references;
 	char *text; /* the JSON that it was parsed from; NULL: not shared */
@@ -54,7 +54,7 @@
 	char **path_prefixes; /* NULL: none */
 	char *group; /* default of rules without destinations; may be NULL */
 	uint16_t *shed_statuses; /* terminated by 0 */
-	uint32_t measure_budget_permille; /* share of the upstream's slot time */
+	uint32_t measure_budget_permille; /* of the upstream's slot time */
 	char *health_path; /* NULL: the upstream is never probed */
 	char *load_path;
 	GPtrArray *rules; /* of struct config_rule, first match wins */
@@ -121,8 +121,8 @@
 
 struct config_snapshot *config_snapshot_create(void);
 
-/* RETURN VALUE: a new snapshot in which ns replaces the namespace of the same name.
- * The snapshot takes its own reference to ns. */
+/* RETURN VALUE: a new snapshot in which ns replaces the namespace of the same
+ * name. The snapshot takes its own reference to ns. */
 struct config_snapshot *config_snapshot_with(const struct config_snapshot *snapshot,
 					     struct config_namespace *ns);
 
@@ -130,17 +130,18 @@
 struct config_namespace *
 config_snapshot_find(const struct config_snapshot *snapshot, const char *name);
 
-/* RETURN VALUE: the effective settings of a group, or NULL if no rule uses it. */
+/* RETURN VALUE: the effective settings of a group, or NULL if no rule uses
+ * it. */
 const struct config_group *
 config_snapshot_group(const struct config_snapshot *snapshot, const char *name);
 struct config_snapshot *config_snapshot_ref(struct config_snapshot *snapshot);
 void config_snapshot_unref(struct config_snapshot *snapshot);
 
 /*
- * Finds the service by host name first, else by the longest path prefix, and the
- * first rule of it that matches. A prefix matches whole path segments: "/archive"
- * matches "/archive/x" but not "/archives". A port in host and a query in path are
- * ignored.
+ * Finds the service by host name first, else by the longest path prefix, and
+ * the first rule of it that matches. A prefix matches whole path segments:
+ * "/archive" matches "/archive/x" but not "/archives". A port in host and a
+ * query in path are ignored.
  *
  * RETURN VALUE
  *	false if no service or no rule matches. *service is set if a service
--- a/include/comfreydockd/config/routes.h
+++ b/include/comfreydockd/config/routes.h
@@ -27,8 +27,8 @@
 void config_routes_add(struct config_routes *routes,
 		       const struct config_service *service);
 
-/* Looks up the host first, which may be NULL or carry a port, and then the longest
- * prefix of the path. The query of the path is ignored.
+/* Looks up the host first, which may be NULL or carry a port, and then the
+ * longest prefix of the path. The query of the path is ignored.
  *
  * RETURN VALUE
  *	the service, or NULL if there is none. */
--- a/include/comfreydockd/config/spread.h
+++ b/include/comfreydockd/config/spread.h
@@ -43,14 +43,14 @@
 #define CONFIG_SPREAD_STARTUP_PEERS 3
 /* Limit of the bodies in one answer. The peer asks again for the rest. */
 #define CONFIG_SPREAD_ANSWER_BYTES (256 * 1024)
-/* A larger body is sent in pieces of this size. A piece occupies a link of 10 Mbit/s
- * for 52 ms, and bytes of callers queue behind it. */
+/* A larger body is sent in pieces of this size. A piece occupies a link of 10
+ * Mbit/s for 52 ms, and bytes of callers queue behind it. */
 #define CONFIG_SPREAD_PIECE_BYTES (64 * 1024)
-/* Limit of a body sent as one to a daemon that does not support pieces. A frame is
- * limited to 1 MiB, and the rest is for the names in it. */
+/* Limit of a body sent as one to a daemon that does not support pieces. A frame
+ * is limited to 1 MiB, and the rest is for the names in it. */
 #define CONFIG_SPREAD_WHOLE_MAX_BYTES (960 * 1024)
-/* Limit of a body sent in pieces, about 20,000 routes. Parsing and adopting a larger
- * one would need more memory than a daemon has. */
+/* Limit of a body sent in pieces, about 20,000 routes. Parsing and adopting a
+ * larger one would need more memory than a daemon has. */
 #define CONFIG_SPREAD_BODY_MAX_BYTES (4 * 1024 * 1024)
 #define CONFIG_SPREAD_ANSWERS_PER_S 20
 
@@ -91,12 +91,13 @@
 /* Call this every CONFIG_SPREAD_TICK_US. */
 void config_spread_tick(struct config_spread *spread, int64_t now_us);
 
-/* Handles the answer of a peer. An answer without a matching query is dropped. */
+/* Handles the answer of a peer. An answer without a matching query is
+ * dropped. */
 void config_spread_take_answer(struct config_spread *spread, const char *host,
 			       const Cfd__ConfigBody *answer);
 
-/* Answers the query of a peer. Free the answer with config_spread_free_answer(); the
- * store owns the bodies in it. */
+/* Answers the query of a peer. Free the answer with
+ * config_spread_free_answer(); the store owns the bodies in it. */
 Cfd__ConfigBody *config_spread_answer(struct config_spread *spread,
 				      const Cfd__ConfigQuery *query);
 void config_spread_free_answer(Cfd__ConfigBody *answer);
--- a/include/comfreydockd/config/spread_internal.h
+++ b/include/comfreydockd/config/spread_internal.h
@@ -21,11 +21,12 @@
 	CONFIG_FETCH_OBJECT, /* one body, from the platform */
 };
 
-/* After this many refused pieces of other bodies in a row, another body replaces the
- * incomplete one. */
+/* After this many refused pieces of other bodies in a row, another body
+ * replaces the incomplete one. */
 #define CONFIG_PIECES_REFUSED_MAX 3
 
-/* The contiguous pieces received of one body. bytes is empty if there are none. */
+/* The contiguous pieces received of one body. bytes is empty if there are
+ * none. */
 struct config_pieces {
 	char *name; /* of the namespace */
 	uint64_t version;
@@ -106,20 +107,21 @@
 void config_pieces_finish(struct config_pieces *pieces);
 void config_pieces_clear(struct config_pieces *pieces);
 
-/* Appends a piece. The first piece of a newer version of the same namespace replaces
- * the incomplete body; for other bodies see CONFIG_PIECES_REFUSED_MAX.
+/* Appends a piece. The first piece of a newer version of the same namespace
+ * replaces the incomplete body; for other bodies see CONFIG_PIECES_REFUSED_MAX.
  *
  * RETURN VALUE
  *	whether the piece was appended. */
 bool config_pieces_add(struct config_pieces *pieces, const Cfd__ConfigLine *line);
 bool config_pieces_are_complete(const struct config_pieces *pieces);
 
-/* Fills in the hash of the incomplete body and the offset of its next piece. The
- * caller adds the namespace to the wanted names. */
+/* Fills in the hash of the incomplete body and the offset of its next piece.
+ * The caller adds the namespace to the wanted names. */
 void config_pieces_fill_query(const struct config_pieces *pieces,
 			      Cfd__ConfigQuery *query);
 
-/* Fills line with the piece of the body that the query asks for, or the first. */
+/* Fills line with the piece of the body that the query asks for, or the
+ * first. */
 void config_pieces_cut(const Cfd__ConfigQuery *query, const char *body,
 		       size_t size, Cfd__ConfigLine *line);
 
--- a/include/comfreydockd/config/store.h
+++ b/include/comfreydockd/config/store.h
@@ -25,9 +25,9 @@
 struct config_store_observer {
 	/* Called when a new snapshot is in force. */
 	void (*handle_changed)(struct config_snapshot *snapshot, void *data);
-	/* Called when from_host, or the platform if it is NULL, has a head above
-	 * the one held here. Each such note calls it, so that a failed fetch is
-	 * retried at the next one. */
+	/* Called when from_host, or the platform if it is NULL, has a head
+	 * above the one held here. Each such note calls it, so that a failed
+	 * fetch is retried at the next one. */
 	void (*handle_behind)(uint64_t head, const char *from_host, void *data);
 	void *data;
 };
@@ -40,10 +40,10 @@
 };
 
 /*
- * A daemon without its own watch hears from those that have one. Their watches end
- * after 30 s without a change, all at about the same time, and a lost watch is
- * noticed 2 s later. If a daemon is told nothing for this long, no daemon nearby
- * reaches the platform.
+ * A daemon without its own watch hears from those that have one. Their watches
+ * end after 30 s without a change, all at about the same time, and a lost watch
+ * is noticed 2 s later. If a daemon is told nothing for this long, no daemon
+ * nearby reaches the platform.
  */
 #define CONFIG_TOLD_MAX_US ((int64_t)60 * 1000 * 1000)
 
@@ -80,18 +80,20 @@
 bool config_store_load_file(struct config_store *store, const char *file,
 			    struct findings *findings);
 
-/* RETURN VALUE: the current snapshot, never NULL. The store owns it; take a reference
- * to keep it. */
+/* RETURN VALUE: the current snapshot, never NULL. The store owns it; take a
+ * reference to keep it. */
 struct config_snapshot *config_store_current(const struct config_store *store);
 
 /*
- * False after the start until the daemon has reached a head, which may be 0, or has
- * loaded a file. Until then requests are refused as not run. Without this, a daemon
- * with nothing in force would answer that every service does not exist.
+ * False after the start until the daemon has reached a head, which may be 0, or
+ * has loaded a file. Until then requests are refused as not run. Without this,
+ * a daemon with nothing in force would answer that every service does not
+ * exist.
  */
 bool config_store_is_ready(const struct config_store *store);
 
-/* RETURN VALUE: whether this version of a namespace, or a higher one, is in force. */
+/* RETURN VALUE: whether this version of a namespace, or a higher one, is in
+ * force. */
 bool config_store_holds(const struct config_store *store, const char *name,
 			uint64_t version);
 
@@ -101,7 +103,8 @@
 /* The highest head heard of. */
 uint64_t config_store_known_head(const struct config_store *store);
 
-/* RETURN VALUE: the monotonic time at which a version was last adopted; 0: never. */
+/* RETURN VALUE: the monotonic time at which a version was last adopted; 0:
+ * never. */
 int64_t config_store_adopted_us(const struct config_store *store);
 
 /* Marks the time in which a received version is parsed and adopted, which takes
@@ -110,7 +113,8 @@
 void config_store_end_adoption(struct config_store *store);
 bool config_store_is_adopting(const struct config_store *store);
 
-/* RETURN VALUE: the monotonic time at which a version or a piece last arrived. */
+/* RETURN VALUE: the monotonic time at which a version or a piece last
+ * arrived. */
 int64_t config_store_progress_us(const struct config_store *store);
 void config_store_note_piece(struct config_store *store);
 
@@ -122,16 +126,16 @@
  */
 int64_t config_store_told_age_us(const struct config_store *store);
 
-/* Declares that a platform exists which confirms the head. If no confirmation comes
- * within CONFIG_TOLD_MAX_US from now, the configuration is in doubt, as it is with
- * an old confirmation. */
+/* Declares that a platform exists which confirms the head. If no confirmation
+ * comes within CONFIG_TOLD_MAX_US from now, the configuration is in doubt, as
+ * it is with an old confirmation. */
 void config_store_expect_told(struct config_store *store);
 
 /*
- * Notes that the platform, asked at the boot time asked_us, answered that head is the
- * newest. A higher head heard of before asked_us is dropped: its row was rolled back
- * before any daemon had it, or a peer was wrong, so no peer would ever provide it. A
- * daemon that holds it will name it again.
+ * Notes that the platform, asked at the boot time asked_us, answered that head
+ * is the newest. A higher head heard of before asked_us is dropped: its row was
+ * rolled back before any daemon had it, or a peer was wrong, so no peer would
+ * ever provide it. A daemon that holds it will name it again.
  */
 void config_store_note_newest(struct config_store *store, uint64_t head,
 			      int64_t asked_us);
@@ -140,33 +144,34 @@
 void config_store_note_told(struct config_store *store, uint64_t head,
 			    int64_t age_us);
 
-/* RETURN VALUE: whether and why a newer configuration may be in force elsewhere, so
- * that a request without a rule here may have one there. */
+/* RETURN VALUE: whether and why a newer configuration may be in force
+ * elsewhere, so that a request without a rule here may have one there. */
 enum config_doubt config_store_doubt(const struct config_store *store);
 
-/* Notes a head that a host named. from_host NULL: the platform named it just now. */
+/* Notes a head that a host named. from_host NULL: the platform named it just
+ * now. */
 void config_store_note_head(struct config_store *store, uint64_t head,
 			    const char *from_host);
 
 /*
- * Notes the versions in force at a head: all of them, or those that changed above the
- * head that this store has reached. Once each listed version, or a higher one, is
- * adopted, the store has reached the head.
+ * Notes the versions in force at a head: all of them, or those that changed
+ * above the head that this store has reached. Once each listed version, or a
+ * higher one, is adopted, the store has reached the head.
  */
 void config_store_note_listing(struct config_store *store, uint64_t head,
 			       const struct config_version *versions,
 			       size_t count);
 
 /* RETURN VALUE: an array of struct config_version with the versions of the last
- * listing that this store lacks; free it with g_array_unref(). The store owns the
- * names, which are valid until the next listing. */
+ * listing that this store lacks; free it with g_array_unref(). The store owns
+ * the names, which are valid until the next listing. */
 GArray *config_store_missing(const struct config_store *store);
 
 /* RETURN VALUE: whether config_store_missing() would return any version. */
 bool config_store_has_missing(const struct config_store *store);
 
-/* RETURN VALUE: an array as of config_store_missing() with all versions held here.
- * This daemon sends it to peers as its listing. */
+/* RETURN VALUE: an array as of config_store_missing() with all versions held
+ * here. This daemon sends it to peers as its listing. */
 GArray *config_store_export(const struct config_store *store);
 
 /* Offers a body whose hash this daemon has computed itself. */
@@ -174,7 +179,8 @@
 					     const struct config_version *version,
 					     const char *body);
 
-/* Offers a body that came with its hash from elsewhere; the hash is verified. */
+/* Offers a body that came with its hash from elsewhere; the hash is
+ * verified. */
 enum config_offer config_store_offer(struct config_store *store, const char *name,
 				     uint64_t version, const char *sha256,
 				     const char *body, size_t size);
--- a/include/comfreydockd/operator/operator.h
+++ b/include/comfreydockd/operator/operator.h
@@ -35,13 +35,13 @@
 
 struct operator_api;
 
-/* Binds settings->admin and sets daemon->admin_port. The config store must exist;
- * members and owner may be created later.
+/* Binds settings->admin and sets daemon->admin_port. The config store must
+ * exist; members and owner may be created later.
  * RETURN VALUE: NULL with errno set if the address can't be bound. */
 struct operator_api *operator_api_create(struct daemon *daemon);
 
-/* Answers waiting stop calls with 503. The owner must be destroyed first, and no apply
- * may be in progress. */
+/* Answers waiting stop calls with 503. The owner must be destroyed first, and
+ * no apply may be in progress. */
 void operator_api_destroy(struct operator_api *api);
 
 /* Sets the platform for applies, which are refused without one. */
--- a/include/comfreydockd/platform/platform.h
+++ b/include/comfreydockd/platform/platform.h
@@ -77,8 +77,8 @@
 	PLATFORM_DELETE,
 };
 
-/* Values of if_version: the key must have no row; the key may have any version or no
- * row. */
+/* Values of if_version: the key must have no row; the key may have any version
+ * or no row. */
 #define PLATFORM_ABSENT ((int64_t)0)
 #define PLATFORM_ANY_VERSION ((int64_t)-1)
 
@@ -92,8 +92,9 @@
 /* url: "http://IP:PORT" */
 struct platform *platform_create(struct http_client *http, const char *url);
 
-/* Sets the one handler for restores of the store from a copy, after which recent
- * writes may be lost. It is called from the loop, once for each restore. */
+/* Sets the one handler for restores of the store from a copy, after which
+ * recent writes may be lost. It is called from the loop, once for each
+ * restore. */
 void platform_when_restored(struct platform *platform,
 			    void (*handle_restored)(void *data), void *data);
 
@@ -103,14 +104,15 @@
 void platform_get(struct platform *platform, const char *key,
 		  platform_handler handler, void *data);
 
-/* Lists rows of a table in the order of their keys, beginning after the key after, or
- * with the first row if it is NULL. limit 0: the platform chooses the page size. */
+/* Lists rows of a table in the order of their keys, beginning after the key
+ * after, or with the first row if it is NULL. limit 0: the platform chooses the
+ * page size. */
 void platform_list(struct platform *platform, const char *table,
 		   const char *after, unsigned int limit,
 		   platform_handler handler, void *data);
 
-/* Long poll: answers once a row of the table has changed after the version after, or
- * after wait_ms without a change. */
+/* Long poll: answers once a row of the table has changed after the version
+ * after, or after wait_ms without a change. */
 void platform_watch(struct platform *platform, const char *table, uint64_t after,
 		    uint32_t wait_ms, platform_handler handler, void *data);
 
--- a/tests/config_platform_fake.c
+++ b/tests/config_platform_fake.c
@@ -5,9 +5,9 @@
 #include "common/clock.h"
 #include "paused_clock.h"
 
-#define ROWS 3 /* of a transaction: the namespace, the head, the last changes */
+#define ROWS 3 /* of a transaction: namespace, head and recent row */
 
-/* One call, or its late effect. */
+/* One call, or the delayed effect of one. */
 struct task {
 	int64_t at_us;
 	struct fake_platform *platform;
@@ -116,7 +116,7 @@
 	return g_test_rand_int_range(0, 100) < percent;
 }
 
-/* Draws what becomes of a call and posts it. */
+/* Draws a fault for a call at random and queues the call. */
 static void post_faulty(struct fake_platform *p, struct task task)
 {
 	int64_t ms = g_test_rand_int_range(1, 2 + p->faults.slow_ms);
--- a/tests/config_platform_fake.h
+++ b/tests/config_platform_fake.h
@@ -3,8 +3,8 @@
  *	config_platform_fake - rows and objects in memory, with faults
  *
  * DESCRIPTION
- *	What becomes of a call is drawn from the test's random numbers. Time moves
- *	only as fake_platform_run() goes from one call to the next.
+ *	The test's random numbers decide which fault a call meets. Time advances
+ *	only while fake_platform_run() goes from one call to the next.
  */
 #ifndef TESTS_CONFIG_PLATFORM_FAKE_H
 #define TESTS_CONFIG_PLATFORM_FAKE_H
@@ -13,12 +13,12 @@
 
 #include "comfreydockd/config/apply.h"
 
-/* What goes wrong with a call, in percent. */
+/* Probabilities of faults, in percent of the calls. */
 struct fake_faults {
 	int unavailable;
-	int lost; /* the answer: half the time it took effect */
-	int late; /* the answer is lost and the effect comes seconds after */
-	int slow_ms;
+	int lost; /* the answer is lost; half of the writes take effect */
+	int late; /* the answer is lost; a write takes effect up to 5 s later */
+	int slow_ms; /* largest additional delay of a call */
 };
 
 struct fake_row {
@@ -39,7 +39,7 @@
 void fake_platform_init(struct fake_platform *p);
 void fake_platform_finish(struct fake_platform *p);
 
-/* Until nothing is left to happen, late effects included. */
+/* Runs until no call and no delayed effect is left. */
 void fake_platform_run(struct fake_platform *p);
 
 #endif
--- a/tests/spread_net.c
+++ b/tests/spread_net.c
@@ -11,7 +11,7 @@
 
 struct event {
 	int64_t at_us;
-	struct net_node *node; /* that it happens to */
+	struct net_node *node; /* the receiver */
 	unsigned int starts;
 	struct net_node *from;
 	Cfd__ConfigQuery *query;
@@ -68,7 +68,7 @@
 	g_assert_not_reached();
 }
 
-/* Messages are copied by their own codec. */
+/* Packs and unpacks the query, as a link does. */
 static void ask(const struct member *member, const Cfd__ConfigQuery *query,
 		void *data)
 {
@@ -95,7 +95,7 @@
 	struct event back = {.node = event->from, .from = node};
 
 	cfd__config_body__pack(answer, bytes);
-	/* What a link does not carry. */
+	/* A link drops larger frames. */
 	g_assert_cmpuint(size, <, LINK_MAX_FRAME_BYTES);
 	back.answer = cfd__config_body__unpack(NULL, size, bytes);
 	for (size_t i = 0; node->corrupts && i < back.answer->n_lines; i++) {
@@ -251,7 +251,7 @@
 	return domains[net->count > 3 ? i % 2 : 0];
 }
 
-/* All know of all; who is down shows as dead. */
+/* Every running node gets the state of all nodes; a stopped node is dead. */
 static void update_members(struct net *net)
 {
 	for (unsigned int i = 0; i < net->count; i++) {
@@ -359,7 +359,7 @@
 	net_apply_sized(net, name, 0);
 }
 
-/* Filled up with blanks, which change nothing. */
+/* Pads the body with blanks, which do not change its meaning. */
 static char *body_of_size(unsigned int name, uint64_t version, size_t least)
 {
 	char *body = body_of(name, version);
--- a/tests/spread_net.h
+++ b/tests/spread_net.h
@@ -1,12 +1,13 @@
 /*
  * NAME
- *	spread_net - daemons' configurations, a platform and the ways between
+ *	spread_net - simulates daemons, a platform and the network between them
  *
  * DESCRIPTION
- *	A fake network with a clock of its own, for tests of config_spread.
- *	Questions, answers and the platform's answers are delayed and lost as
- *	the faults say; gossip is one word to one random other each 100 ms.
- *	After every event it is checked that no daemon went back.
+ *	A fake network with its own clock, for tests of config_spread. Queries,
+ *	answers and the platform's answers are delayed and lost according to the
+ *	configured faults. Gossip sends one message to one random other node
+ *	every 100 ms. After each event the network checks that no daemon went
+ *	back to a lower version.
  */
 #ifndef TESTS_SPREAD_NET_H
 #define TESTS_SPREAD_NET_H
@@ -19,10 +20,10 @@
 
 struct net_node {
 	char host[MEMBER_HOST_MAX];
-	unsigned int starts; /* counts its starts */
+	unsigned int starts; /* number of its starts */
 	bool up;
-	bool partitioned; /* hears and says nothing */
-	bool corrupts; /* the bodies it gives */
+	bool partitioned; /* receives and sends no messages */
+	bool corrupts; /* damages the bodies in its answers */
 	struct config_store *store;
 	struct member_table *members;
 	struct config_spread *spread;
@@ -46,23 +47,24 @@
 	unsigned int questions;
 };
 
-/* Up to three are in one failure domain, more in two by turns. */
+/* Up to three nodes are in one failure domain, more alternate between two. */
 void net_init(struct net *net, unsigned int count);
 void net_finish(struct net *net);
 void net_stop(struct net *net, unsigned int i);
 void net_start(struct net *net, unsigned int i);
 void net_run(struct net *net, int64_t ms);
 
-/* Puts the next version of a namespace in the platform's rows. */
+/* Writes the next version of a namespace to the platform's rows. */
 void net_apply(struct net *net, unsigned int name);
 
-/* The same, with a body of so many bytes at least. */
+/* The same with a body of at least so many bytes. */
 void net_apply_sized(struct net *net, unsigned int name, size_t least);
 
-/* The version that a daemon holds; 0: none. */
+/* RETURN VALUE: the version that a daemon holds; 0: none. */
 uint64_t net_held(const struct net *net, unsigned int i, unsigned int name);
 
-/* Whether all that are up hold what the platform's head row lists. */
+/* RETURN VALUE: whether all running daemons hold the versions of the platform's
+ * head row. */
 bool net_has_converged(const struct net *net);
 
 #endif
--- a/tests/test_config_apply.c
+++ b/tests/test_config_apply.c
@@ -7,7 +7,7 @@
 #include "config_platform_fake.h"
 #include "paused_clock.h"
 
-/* One operator's file and what he was told. */
+/* One operator's file and the outcome reported to the operator. */
 struct operator
 {
 	char who[16];
@@ -117,7 +117,8 @@
 	return copy;
 }
 
-/* RETURN VALUE: what a daemon holds that has adopted the operator's file. */
+/* RETURN VALUE: the snapshot of a daemon that has adopted the operator's
+ * file. */
 static struct config_snapshot *holding(const struct operator* op, uint64_t version)
 {
 	struct config_snapshot *none = config_snapshot_create();
@@ -135,8 +136,9 @@
 	return snapshot;
 }
 
-/* Guards against an apply that is acknowledged under a number which daemons hold
- * with another content, after the platform's store was set back: none takes it. */
+/* Guards against an apply that is acknowledged but adopted by no daemon. After
+ * the platform's store is restored to an older state, a new version could get a
+ * number that daemons already hold with other content. */
 static void test_numbers_continue_after_store_rollback(void)
 {
 	char *key = config_namespace_key("a");
@@ -174,10 +176,8 @@
 	g_free(key);
 }
 
-/*
- * The platform is down for long. The operator must hear that nothing was
- * changed, and not be left to guess.
- */
+/* Guards against an unclear outcome while the platform is down for long: the
+ * operator must be told that nothing was changed. */
 static void test_platform_down(void)
 {
 	struct operator op = {0};
@@ -195,8 +195,9 @@
 }
 
 /*
- * The write took effect and its answer was lost. An operator who is told
- * "failed" would apply again on top, or believe the old rules in force.
+ * Guards against the report of a failure for a write that took effect and whose
+ * answer was lost. The operator would apply again on top of it or believe that
+ * the old rules are in force.
  */
 static void test_lost_answer_is_resolved(void)
 {
@@ -220,7 +221,7 @@
 			g_assert_true(is_there);
 		else if (op.result == CONFIG_APPLY_REFUSED)
 			g_assert_false(is_there);
-		/* Asking again, with the platform well, always tells. */
+		/* Once the platform works, applying again gives the outcome. */
 		p.faults.lost = 0;
 		start(&p, &op, "a", 1, 0);
 		fake_platform_run(&p);
@@ -233,7 +234,7 @@
 	operator_finish(&op);
 }
 
-/* What one operator was told must agree with what the rows say afterwards. */
+/* Checks that the outcome reported to one operator agrees with the rows. */
 static void check_told(const struct operator* op,
 		       const struct config_history *history)
 {
@@ -296,9 +297,9 @@
 }
 
 /*
- * Five operators of two teams apply at once, round after round, while the
- * platform loses answers, is slow, and lets writes take effect seconds after
- * it gave up on them. Nobody may be told what the rows then contradict.
+ * Guards against outcomes that the rows contradict. Five operators of two teams
+ * apply at once in several rounds while the platform is slow, loses answers and
+ * applies writes seconds after it reported them as unknown.
  */
 static void test_concurrent_operators(void)
 {
--- a/tests/test_config_check.c
+++ b/tests/test_config_check.c
@@ -82,8 +82,9 @@
 }
 
 /*
- * Teams share a host and nest their paths. A request that found a shorter
- * prefix, or half of a segment, would be run by another team's servers.
+ * Guards against requests that reach another team's servers. Teams share a host
+ * and nest their paths, so a match by a shorter prefix or by part of a segment
+ * would select the wrong service.
  */
 static void test_longest_segment_prefix_wins(void)
 {
@@ -115,7 +116,8 @@
 	g_free(long_path);
 }
 
-/* What a file does not say must never let a booking run twice. */
+/* Guards against defaults that let a request which is not idempotent, such as a
+ * booking, run twice. */
 static void test_defaults_are_safe(void)
 {
 	struct config_snapshot *snapshot = load_sample();
@@ -154,8 +156,8 @@
 }
 
 /*
- * Files are edited by hand under pressure. Each of these would otherwise be
- * in force and do something else than its author believes.
+ * Guards against mistakes in hand-edited files. Without the check each of them
+ * would be put in force and do something else than its author intended.
  */
 static void test_invalid_files_are_rejected(void)
 {
@@ -190,7 +192,8 @@
 		       "rules[0].to[0].group: is missing");
 }
 
-/* Two teams claim one host name: requests would go to whichever sorts first. */
+/* Guards against two teams with one host name: its requests would go to the
+ * namespace that sorts first. */
 static void test_hosts_of_other_namespace_are_rejected(void)
 {
 	struct config_snapshot *snapshot = load_sample();
@@ -214,8 +217,8 @@
 }
 
 /*
- * Operators move part of a service's requests to another group. Each part must
- * get its share, and none that has a weight of 0.
+ * Guards against a wrong split of a rule's requests between groups: each group
+ * must get the share of its weight, and a group with a weight of 0 none.
  */
 static void test_destinations_are_selected_by_weight(void)
 {
--- a/tests/test_config_pieces.c
+++ b/tests/test_config_pieces.c
@@ -26,7 +26,7 @@
 	g_free(f->body);
 }
 
-/* What a peer that holds this version would answer. */
+/* Adds the piece that a peer which holds this version would answer with. */
 static bool take(struct fixture *f, uint64_t version, const char *sha256,
 		 size_t size)
 {
@@ -57,9 +57,10 @@
 }
 
 /*
- * Two peers hold one version with two bodies, as each made it from the platform's row
- * by settings of its own. Asked in turn, the one must not undo what the other brought,
- * or the version never gets here.
+ * Guards against a version that never arrives. Two peers hold it with different
+ * bodies, because each made the body from the platform's row with its own
+ * settings. If they are asked in turn, a piece of one must not discard the
+ * pieces of the other.
  */
 static void test_two_bodies_of_one_version(struct fixture *f, gconstpointer unused)
 {
@@ -70,8 +71,9 @@
 	g_assert_cmpstr(f->pieces.sha256, ==, "one");
 }
 
-/* Its only holder is gone after the first piece. The version that all others hold is
- * older, and has to get here all the same. */
+/* Guards against an incomplete body that blocks all others. Its only holder is
+ * gone after the first piece, and the older version that all other peers hold
+ * must still arrive. */
 static void test_abandoned_body_is_replaced(struct fixture *f,
 					    gconstpointer unused)
 {
@@ -94,8 +96,8 @@
 	g_assert_cmpuint(f->pieces.bytes->len, ==, CONFIG_SPREAD_PIECE_BYTES);
 }
 
-/* A peer at fault names sizes and places that can't be. None of it may be kept, or
- * it would fill the memory or run beyond the body. */
+/* Guards against memory exhaustion and writes beyond the body: pieces of a
+ * faulty peer with impossible sizes or offsets must not be kept. */
 static void test_invalid_pieces_are_rejected(struct fixture *f,
 					     gconstpointer unused)
 {
--- a/tests/test_config_platform.c
+++ b/tests/test_config_platform.c
@@ -4,7 +4,8 @@
 #include "comfreydockd/config/platform_ops.h"
 #include "comfreydockd/platform/platform.h"
 
-/* Answers each call with one status, and keeps what a transaction asked. */
+/* Answers each call with one status and records the operations of a
+ * transaction. */
 struct platform {
 	struct platform_answer answer;
 	struct platform_op ops[3];
@@ -83,8 +84,8 @@
 };
 
 /*
- * A write whose answer was lost must not come out as "nothing was written":
- * the operator would be told "refused" of a file that is in force.
+ * Guards against a lost answer that is reported as "nothing was written": the
+ * operator would be told "refused" for a file that is in force.
  */
 static void test_each_call_ends_once_with_its_status(void)
 {
@@ -145,7 +146,7 @@
 	g_assert_cmpuint(result.times, ==, 0);
 	ev_run(loop, 0);
 	g_assert_cmpuint(result.times, ==, 1);
-	/* One that is open at the end is dropped. */
+	/* A wait that is open at the destruction is dropped. */
 	config_platform_ops.wait(platform, 1, handle_waited, &result);
 	config_platform_destroy(platform);
 	ev_run(loop, 0);
--- a/tests/test_config_spread.c
+++ b/tests/test_config_spread.c
@@ -28,14 +28,14 @@
 	net.head_reads = 0;
 	net_run(&net, 5000);
 	g_assert_true(net_has_converged(&net));
-	/* At 0.8 s to 1.2 s between two reads. */
+	/* Two reads of a reader are 0.8 s to 1.2 s apart. */
 	g_assert_cmpuint(net.head_reads, <=, 4 * 7);
 	g_assert_cmpuint(net.object_reads, <=, 4);
 	net_finish(&net);
 }
 
-/* A rack with both readers of a domain loses its power. If nobody took their
- * place, the domain would hear of changes through others alone. */
+/* Guards against a domain without readers after both of them lose power: it
+ * would hear of changes only through other domains. */
 static void test_readers_are_replaced(void)
 {
 	unsigned int stopped = 0;
@@ -68,18 +68,19 @@
 	net_finish(&net);
 }
 
-/* The platform fails just after a change was read by a few. The others still
- * get it, from those. */
+/* Guards against a change that stops with its first readers: the platform fails
+ * just after a few daemons have read it, and the others must get it from
+ * them. */
 static void test_peers_distribute_without_the_platform(void)
 {
 	check_peers_pass_on(0);
 }
 
 /*
- * An operator adds routes until the file no longer fits into the usual answer of
- * a peer, and the platform fails once a few have read it. Without the body no
- * peer gets on: callers of all other hosts go on meeting the routes of before,
- * for as long as the file stays that large.
+ * Guards against a body that is too large for the usual answer of a peer and is
+ * therefore not distributed. The platform fails once a few daemons have read
+ * it; callers of all other hosts would get the old routes for as long as the
+ * file stays that large.
  */
 static void test_body_larger_than_an_answer_is_distributed(void)
 {
@@ -87,9 +88,9 @@
 }
 
 /*
- * The file outgrows even a frame between daemons: 5,000 routes take 1.5 MB. It
- * is the same to callers, and to the operator, whose next change of a single
- * route reaches just the hosts that read the platform.
+ * The same failure with a body larger than a frame between daemons: 5,000
+ * routes take 1.5 MB. The operator's next change of a single route would reach
+ * only the hosts that read the platform.
  */
 static void test_body_larger_than_a_frame_is_distributed(void)
 {
@@ -102,9 +103,10 @@
 }
 
 /*
- * Hosts are being replaced while a large version travels. The one that was asked for
- * the next piece ends, as all know; waiting for its answer all the same, this host
- * would get the version a second and a half later.
+ * Guards against waiting for a peer that is known to be gone. Hosts are
+ * replaced while a large version is distributed, and the peer asked for the
+ * next piece stops. Waiting for its answer would delay the version by a second
+ * and a half.
  */
 static void test_fetch_from_stopped_peer_is_abandoned(void)
 {
@@ -126,7 +128,8 @@
 	net_finish(&net);
 }
 
-/* Parts of a version that then came in another way are let go: a daemon has 64 MB. */
+/* Guards against pieces that stay in memory after their version arrived from
+ * another source: a daemon has 64 MB. */
 static void test_pieces_of_adopted_version_are_freed(void)
 {
 	const struct config_version *version;
@@ -151,8 +154,10 @@
 }
 
 /*
- * A host is replaced during a long outage. One of its three peers was cut off
- * and is behind; were its word taken, callers would meet rules of last week.
+ * Guards against a start with an old configuration. A host is restarted during
+ * a long outage of the platform, and peers that were partitioned off are
+ * behind. If it adopted the head of one of them, callers would get rules of
+ * last week.
  */
 static void test_restart_adopts_highest_peer_head(void)
 {
@@ -163,7 +168,7 @@
 		net.nodes[1].partitioned = true;
 		net.nodes[2].partitioned = true;
 		net_stop(&net, 0);
-		/* 1 and 2 can't read it either. */
+		/* Nodes 1 and 2 are partitioned off and don't get it. */
 		net_apply(&net, 0);
 		config_store_note_head(net.nodes[3].store, 2, NULL);
 		for (int i = 0; i < 50 && net_held(&net, 3, 0) < 2; i++) {
@@ -181,8 +186,9 @@
 	}
 }
 
-/* All hosts of a hall are started while the platform is down. None has a
- * configuration, and none may take another's emptiness for one. */
+/* Guards against an empty configuration that is taken for a valid one. All
+ * hosts of a data hall start while the platform is down, and none has a
+ * configuration. */
 static void test_no_daemon_is_ready_without_configuration(void)
 {
 	net_init(&net, 6);
@@ -197,8 +203,9 @@
 	net_finish(&net);
 }
 
-/* A peer's memory or wire damages bodies. They are refused by their hash, and
- * the daemon that asked gets them elsewhere. */
+/* Guards against damaged bodies from a peer's memory or the network. Their hash
+ * does not match, so the daemon must reject them and fetch them from another
+ * source. */
 static void test_damaged_bodies_are_fetched_again(void)
 {
 	net_init(&net, 3);
@@ -232,8 +239,9 @@
 	net_finish(&net);
 }
 
-/* After a partition thousands may ask one daemon in the same second. It has
- * upstream work to do, and sends the rest of them to others. */
+/* Guards against an overload of one daemon: after a partition thousands may
+ * query it in the same second. It has upstream work to do and must answer the
+ * rest with busy. */
 static void test_answers_are_rate_limited(void)
 {
 	Cfd__ConfigQuery query = CFD__CONFIG_QUERY__INIT;
@@ -252,7 +260,8 @@
 	net_finish(&net);
 }
 
-/* Mostly of one answer, now and then of several pieces. */
+/* RETURN VALUE: mostly a size that fits one answer, sometimes several
+ * pieces. */
 static size_t random_size(void)
 {
 	if (g_test_rand_int_range(0, 4) > 0)
@@ -288,8 +297,9 @@
 	}
 }
 
-/* Whatever is lost, late, damaged or restarted: no daemon goes back, which the
- * net checks after each event, and all agree soon after it is over. */
+/* Guards against lower versions and lasting disagreement under random loss,
+ * delay, damage and restarts. The network checks after each event that no
+ * daemon goes back; all must agree 10 s after the faults end. */
 static void test_random_faults_converge(void)
 {
 	for (int round = 0; round < 40; round++) {
--- a/tests/test_config_store.c
+++ b/tests/test_config_store.c
@@ -89,8 +89,8 @@
 }
 
 /*
- * Offers come from many peers in any order, some long delayed. If an old one
- * were taken, a town's desk would be served by rules that were replaced.
+ * Guards against a return to replaced rules: offers come from many peers in any
+ * order, some with long delays, and an old one must not be adopted.
  */
 static void test_versions_never_decrease(struct fixture *f, gconstpointer unused)
 {
@@ -115,7 +115,7 @@
 	}
 }
 
-/* A request began under a rule and is still in flight when it is replaced. */
+/* Guards against a rule that changes under a request in flight. */
 static void test_requests_keep_their_snapshot(struct fixture *f,
 					      gconstpointer unused)
 {
@@ -131,7 +131,8 @@
 	config_snapshot_unref(mine);
 }
 
-/* A peer hands over a body that was cut or belongs to another namespace. */
+/* Guards against bodies that a peer has truncated or that belong to another
+ * namespace. */
 static void test_bad_offers_change_nothing(struct fixture *f, gconstpointer unused)
 {
 	struct config_version line = version_of("a", 1);
@@ -153,8 +154,9 @@
 }
 
 /*
- * A restarted daemon remembers nothing. It is ready only when it holds all
- * that the listing names; before, it would answer for services it lacks.
+ * Guards against a daemon that is ready too early. A restarted daemon holds
+ * nothing, and before it has everything in the listing it would answer for
+ * services it lacks.
  */
 static void test_head_advances_with_last_body(struct fixture *f,
 					      gconstpointer unused)
@@ -182,8 +184,9 @@
 	g_assert_cmpuint(f->behind, ==, 1);
 }
 
-/* The word of a peer on a version that is still on its way is kept until that is
- * here; that of one which holds an older version is as good. */
+/* Guards against a wrong age of the last confirmation. A peer's confirmation of
+ * a head that is not reached yet counts once it is reached; a confirmation of
+ * an older head counts at once. */
 static void test_told_age_of_peers_is_kept(struct fixture *f, gconstpointer unused)
 {
 	struct config_version listing[] = {version_of("a", 4)};
@@ -207,9 +210,10 @@
 }
 
 /*
- * A peer names a head that was never in force as far as the platform knows: its rows
- * were put back, or the peer was wrong. All that does not exist would be told to come
- * back, for ever. The platform's word counts if it was asked for after that.
+ * Guards against endless doubt after a peer names a head that the platform does
+ * not have, because its rows were rolled back or the peer was wrong. Every
+ * request without a rule would be told to come back for ever. An answer of the
+ * platform drops the head if the platform was asked after the peer named it.
  */
 static void test_false_head_is_dropped(struct fixture *f, gconstpointer unused)
 {
@@ -230,7 +234,8 @@
 	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_BEHIND);
 }
 
-/* A listing was noted, and its head is known of no other way. */
+/* Guards against a missed update when a listing alone shows it and no higher
+ * head was named. */
 static void test_listing_alone_raises_doubt(struct fixture *f,
 					    gconstpointer unused)
 {
--- a/tests/test_follow.c
+++ b/tests/test_follow.c
@@ -19,7 +19,7 @@
 	void *data;
 };
 
-/* The store, as its client shows it: a reading and a watch may be open. */
+/* A fake platform client: one read and one watch may be open at a time. */
 struct platform {
 	struct open_call get;
 	struct open_call watch;
@@ -63,7 +63,7 @@
 	return store.get.handler || store.watch.handler;
 }
 
-/* Answers the reading, where one is open, else the watch. */
+/* Answers the open read, if there is one, else the watch. */
 static void answer(enum platform_status status, uint64_t version, char *value)
 {
 	struct platform_row row = {
@@ -94,7 +94,7 @@
 	}
 }
 
-/* A row's value is its version here; "x" can't be read. */
+/* The value of a row is its version in this test; "x" can't be parsed. */
 static bool read_row(const char *value, size_t size, uint64_t *version,
 		     char **body, const char **error, void *data)
 {
@@ -161,7 +161,8 @@
 	g_assert_cmpuint(held(), ==, 7);
 	run_ms(300);
 	g_assert_cmpuint(store.after, ==, 15);
-	/* Half a minute without news: watched on from there. */
+	/* After half a minute without a change the watch continues from
+	 * there. */
 	answer(PLATFORM_OK, 20, NULL);
 	run_ms(10);
 	g_assert_cmpuint(store.after, ==, 20);
@@ -169,8 +170,8 @@
 }
 
 /*
- * The store serves an older row after a newer one, as a copy that is behind may.
- * Put in force it would send callers to a service that was taken out.
+ * Guards against an older row from a replica of the store that lags behind. If
+ * it were adopted, callers would be sent to a service that was removed.
  */
 static void test_older_row_is_ignored(void)
 {
@@ -182,7 +183,8 @@
 	finish();
 }
 
-/* The history was dropped while the watch was away: the row itself tells. */
+/* Guards against a stuck watch after the store dropped its history: the daemon
+ * must read the row itself. */
 static void test_lost_history_rereads_row(void)
 {
 	begin();
@@ -197,9 +199,9 @@
 }
 
 /*
- * The store is away. Daemons that asked again at once would keep it busy with
- * nothing else as it comes back; one that waited for long would leave its
- * callers without what has changed.
+ * Guards against wrong retry rates while the store is unavailable. Immediate
+ * retries of all daemons would overload it as it returns; long delays would
+ * keep callers on the old configuration.
  */
 static void test_outage_backs_off(void)
 {
@@ -221,7 +223,8 @@
 	finish();
 }
 
-/* A row that can't be read changes nothing, and the watch goes on. */
+/* Guards against a row that can't be parsed: nothing changes, and the watch
+ * continues. */
 static void test_unreadable_row_changes_nothing(void)
 {
 	begin();
@@ -247,7 +250,8 @@
 	member_table_update(members, &member, 1);
 }
 
-/* In a large domain a few watch, and the others hear of it from them. */
+/* Guards against too many watches: in a large domain a few daemons watch, and
+ * the others hear of changes from them. */
 static void test_few_of_many_watch(void)
 {
 	begin();
@@ -259,7 +263,8 @@
 	finish();
 }
 
-/* Two hundred of a domain, so that this daemon does not watch, hold version 2. */
+/* Begins with version 2 in a domain of 200 others, so that this daemon does not
+ * watch. */
 static void begin_among_many(void)
 {
 	begin();
@@ -271,10 +276,11 @@
 }
 
 /*
- * A version is out, and the peers who hold it don't get it across: it is too large
- * for them, or they are busy, or something new is wrong. Callers here meet the old
- * routes although the store is at hand. The daemon reads it by itself, not at once,
- * as its peers mostly manage, and not together with all the others.
+ * Guards against a daemon that keeps old routes although the store is
+ * reachable. Peers that hold the new version fail to send it, because it is too
+ * large, they are busy or there is another fault. The daemon must read the row
+ * itself: not at once, since peers mostly succeed, and not at the same time as
+ * all others.
  */
 static void test_lagging_daemon_reads_row_itself(void)
 {
@@ -296,7 +302,8 @@
 	finish();
 }
 
-/* The usual case: a peer gives it in time, and the store is not asked. */
+/* Guards against needless reads: if a peer sends the version in time, the store
+ * must not be read. */
 static void test_version_from_peer_avoids_read(void)
 {
 	struct config_version version = {.name = NAMESPACE, .version = 9, .at = 9};
@@ -304,7 +311,7 @@
 
 	begin_among_many();
 	config_store_note_head(config, 9, "host-1");
-	/* Its parts take longer than most versions do. */
+	/* Its pieces take longer to arrive than those of most versions. */
 	for (int i = 0; i < 40; i++) {
 		run_ms(100);
 		config_store_note_piece(config);
@@ -320,8 +327,9 @@
 }
 
 /*
- * Versions follow each other faster than one of that size crosses the link: pieces
- * keep coming, and none is ever whole. Waiting for them has to end.
+ * Guards against an endless wait for pieces: if versions follow each other
+ * faster than one crosses the link, pieces keep arriving but no version is ever
+ * complete.
  */
 static void test_endless_pieces_do_not_prevent_read(void)
 {
@@ -340,8 +348,9 @@
 }
 
 /*
- * One that watches: its watch was lost without a word and ends after half a minute.
- * Peers name a higher head and can't give it.
+ * Guards against a delay of half a minute: a watch is lost without an error and
+ * ends only after that time, while peers name a higher head but can't send the
+ * version.
  */
 static void test_lost_watch_is_bypassed_by_read(void)
 {
@@ -360,8 +369,9 @@
 	finish();
 }
 
-/* Nobody gets the version, and all read by themselves. The store serves 100 reads a
- * second beside what it is there for, also in the minutes after the first. */
+/* Guards against an overload of the store when no daemon gets a version from
+ * peers and all read the row themselves: at most 100 reads a second, also in
+ * the minutes after the first read. */
 static void test_rate_of_reads(void)
 {
 	enum {
--- a/tests/test_known_rules.c
+++ b/tests/test_known_rules.c
@@ -31,8 +31,8 @@
 }
 
 /*
- * A team changes one of many rules. A daemon that reads all of them again stops
- * for milliseconds, and every request in it waits as long.
+ * Guards against a pause of milliseconds for every request when a team changes
+ * one of many rules and the daemon parses all of them again.
  */
 static void test_unchanged_rules_are_reused(void)
 {
@@ -49,7 +49,8 @@
 	config_namespace_unref(next);
 }
 
-/* One letter of a rule changes: the one before must not answer for it. */
+/* Guards against a cached rule that is used although one letter of its text
+ * changed. */
 static void test_changed_rule_is_parsed(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
@@ -64,8 +65,9 @@
 }
 
 /*
- * A rule that leaves its destination to the service means another group in
- * another service; taken over, a team's requests would go to the wrong upstreams.
+ * Guards against requests to the wrong upstreams. A rule without destinations
+ * uses the group of its service, so the same text in another service means
+ * another group.
  */
 static void test_rule_without_destinations_is_not_reused(void)
 {
@@ -81,8 +83,8 @@
 	config_namespace_unref(next);
 }
 
-/* Two rules that are each right may not stand beside or behind one another;
- * that they are known must not let them pass. */
+/* Guards against cached rules that skip the checks between rules: two valid
+ * rules may have the same name, or one may shadow the other. */
 static void test_known_rules_are_checked_together(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
@@ -95,7 +97,8 @@
 	config_namespace_unref(wide);
 }
 
-/* What a body says in place of a rule must not pass for one that was read. */
+/* Guards against malformed text in place of a rule that passes for a cached
+ * rule. */
 static void test_malformed_items_are_not_taken_for_known_rules(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
@@ -122,7 +125,8 @@
 	config_namespace_unref(first);
 }
 
-/* A body that can't be cut, here for its comment, means the same. */
+/* Guards against different results for a body that can't be cut, here because
+ * of its comment. */
 static void test_uncut_body_gives_the_same_rules(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
--- a/tests/test_operator.c
+++ b/tests/test_operator.c
@@ -16,7 +16,7 @@
 #include "common/jsonc.h"
 #include "sample_config.h"
 
-/* An owner whose running count the test sets. */
+/* A fake owner; the test sets its number of running requests. */
 struct owner {
 	struct owner_status status;
 	uint16_t port;
@@ -65,7 +65,7 @@
 	*status = owner->status;
 }
 
-/* One member and one group. */
+/* A fake member table with one group. */
 struct member_table {
 	struct member_list all;
 	GPtrArray *group;
@@ -253,8 +253,9 @@
 	g_free(text);
 }
 
-/* Whoever looks at an alert sees which configuration a daemon holds and how old
- * that is, and whether the retries of a service are used up. */
+/* Guards against metrics that don't show which configuration a daemon holds,
+ * how old it is and whether the retry budget of a service is used up. An
+ * operator needs all three to handle an alert. */
 static void test_metrics_show_the_configuration(struct fixture *f,
 						gconstpointer unused)
 {
@@ -270,9 +271,10 @@
 }
 
 /*
- * A host name was given up by one namespace and is applied with another, at a daemon
- * that has not got the first change yet. It told the operator that the name belongs
- * to the other namespace, which is so no more.
+ * Guards against a false conflict. One namespace gave up a host name and
+ * another takes it, but this daemon has not received the first change yet. It
+ * must not tell the operator that the name still belongs to the first
+ * namespace.
  */
 static void test_conflict_with_stale_configuration(struct fixture *f,
 						   gconstpointer unused)
@@ -328,9 +330,9 @@
 }
 
 /*
- * An operator lists the hosts of a daemon that knows hundreds. In one answer all
- * of 22,000 would take more memory than a daemon may have and hold up its calls;
- * a page that left one out would hide a host from the operator.
+ * Guards against hosts that are missing from the pages of a listing. The
+ * listing has pages because one answer with 22,000 hosts would need more memory
+ * than a daemon may use and would delay its calls.
  */
 static void test_hosts_come_in_pages(struct fixture *f, gconstpointer unused)
 {
@@ -373,7 +375,8 @@
 	g_free(more);
 }
 
-/* Somebody else on the network finds the admin port. */
+/* Guards against use of the admin port by anyone on the network without a
+ * token. */
 static void test_token_is_needed(struct fixture *f, gconstpointer token)
 {
 	static const char *const wrong[] = {"", "s", "secreT", "secretsecret"};
@@ -408,8 +411,8 @@
 }
 
 /*
- * The upstream is told to end and asks first. If it were told "may stop" while
- * a request runs, that caller would be cut off in the middle of its answer.
+ * Guards against a broken answer: if the upstream were told "may stop" while a
+ * request runs, it would exit and break off that answer.
  */
 static void test_stop_waits_for_the_last_request(struct fixture *f,
 						 gconstpointer unused)
@@ -427,7 +430,8 @@
 	g_assert_nonnull(strstr(f->answer.body->str, "may stop"));
 }
 
-/* The operator thinks better of it while the stop still waits. */
+/* Guards against a stop that stays in effect after the operator resumes the
+ * upstream. */
 static void test_resume_cancels_stop(struct fixture *f, gconstpointer unused)
 {
 	(void)unused;
@@ -513,7 +517,8 @@
 	     "\"winner\":\"anna\"");
 	call(f, "GET", "/v1/config?namespace=spurningalina", NULL, 200,
 	     "\"who\":\"anna\"");
-	/* Asked of every daemon after an apply: the platform is left alone. */
+	/* This query goes to every daemon after an apply, so it must not read
+	 * the platform. */
 	call(f, "GET", "/v1/config?namespace=spurningalina&held=1", NULL, 200,
 	     "\"version\":1");
 	g_assert_null(strstr(f->answer.body->str, "platform_answered"));
