--- a/comfreydockd/config/check_rules.c
+++ b/comfreydockd/config/check_rules.c
@@ -142,19 +142,19 @@
 	uint64_t lengths; /* bit n: a prefix has a length of n modulo 64 */
 };
 
-static void rule_index_init(struct rule_index *rule_index)
+static void rule_index_init(struct rule_index *index)
 {
-	rule_index->lengths = 0;
-	rule_index->names = g_hash_table_new(g_str_hash, g_str_equal);
-	rule_index->by_prefix =
+	index->lengths = 0;
+	index->names = g_hash_table_new(g_str_hash, g_str_equal);
+	index->by_prefix =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 				      (GDestroyNotify)g_ptr_array_unref);
 }
 
-static void rule_index_finish(struct rule_index *rule_index)
+static void rule_index_finish(struct rule_index *index)
 {
-	g_hash_table_unref(rule_index->names);
-	g_hash_table_unref(rule_index->by_prefix);
+	g_hash_table_unref(index->names);
+	g_hash_table_unref(index->by_prefix);
 }
 
 static uint64_t length_bit(size_t length)
@@ -162,21 +162,20 @@
 	return UINT64_C(1) << (length % 64);
 }
 
-static void rule_index_add(struct rule_index *rule_index,
+static void rule_index_add(struct rule_index *index,
 			   const struct config_rule *rule)
 {
 	GPtrArray *rules =
-		g_hash_table_lookup(rule_index->by_prefix, rule->path_prefix);
+		g_hash_table_lookup(index->by_prefix, rule->path_prefix);
 
 	if (!rules) {
 		rules = g_ptr_array_new();
-		g_hash_table_insert(rule_index->by_prefix, rule->path_prefix,
-				    rules);
-		rule_index->lengths |= length_bit(strlen(rule->path_prefix));
+		g_hash_table_insert(index->by_prefix, rule->path_prefix, rules);
+		index->lengths |= length_bit(strlen(rule->path_prefix));
 	}
 	g_ptr_array_add(rules, (gpointer)rule);
 	if (rule->name)
-		g_hash_table_add(rule_index->names, rule->name);
+		g_hash_table_add(index->names, rule->name);
 }
 
 static void check_shadowing(struct schema *schema, const GPtrArray *rules,
@@ -194,20 +193,19 @@
 }
 
 /* The first match wins, so a rule after a wider one would never apply. */
-static void check_reachable(struct schema *schema,
-			    const struct rule_index *rule_index,
+static void check_reachable(struct schema *schema, const struct rule_index *index,
 			    const struct config_rule *rule)
 {
 	char *prefix = g_strdup(rule->path_prefix);
 
-	if (rule->name && g_hash_table_contains(rule_index->names, rule->name))
+	if (rule->name && g_hash_table_contains(index->names, rule->name))
 		schema_error(schema, "name", "another rule has this name");
 	for (size_t length = strlen(prefix); length > 0; length--) {
 		prefix[length] = '\0';
-		if (!(rule_index->lengths & length_bit(length)))
+		if (!(index->lengths & length_bit(length)))
 			continue;
 		check_shadowing(schema,
-				g_hash_table_lookup(rule_index->by_prefix, prefix),
+				g_hash_table_lookup(index->by_prefix, prefix),
 				rule);
 	}
 	g_free(prefix);
@@ -241,7 +239,7 @@
 	return rule;
 }
 
-static struct config_rule *take_rule(struct schema *item, json_object *value,
+static struct config_rule *load_rule(struct schema *item, json_object *value,
 				     const char *group)
 {
 	const struct json_span *span = jsonc_cut_item(item->doc, value);
@@ -257,25 +255,25 @@
 {
 	json_object *array = schema_array(schema, "rules", SCHEMA_REQUIRED);
 	size_t length = array ? json_object_array_length(array) : 0;
-	struct rule_index rule_index;
+	struct rule_index index;
 
 	if (array && !length)
 		schema_error(schema, "rules", "may not be empty");
-	rule_index_init(&rule_index);
+	rule_index_init(&index);
 	for (size_t i = 0; i < length; i++) {
 		struct config_rule *rule;
 		struct schema item;
 
 		schema_init_item(&item, schema, "rules", i);
-		rule = take_rule(&item, json_object_array_get_idx(array, i),
+		rule = load_rule(&item, json_object_array_get_idx(array, i),
 				 service->group);
 		if (rule) {
-			check_reachable(&item, &rule_index, rule);
+			check_reachable(&item, &index, rule);
 			g_ptr_array_add(service->rules, rule);
-			rule_index_add(&rule_index, rule);
+			rule_index_add(&index, rule);
 		}
 		schema_finish(&item);
 		slice_pause();
 	}
-	rule_index_finish(&rule_index);
+	rule_index_finish(&index);
 }
--- a/comfreydockd/config/follow.c
+++ b/comfreydockd/config/follow.c
@@ -16,8 +16,8 @@
 	struct random_state random;
 	ev_timer timer;
 	bool is_watching; /* version is known, so the next request is a watch */
-	uint64_t version; /* store version up to which all changes were seen */
-	uint64_t number; /* newest configuration version seen */
+	uint64_t store_version; /* up to which all changes were seen */
+	uint64_t newest_version; /* of the configuration, as read */
 	bool is_row_unreadable; /* the latest value of the row was rejected */
 	int64_t backoff_us;
 	int64_t asked_us; /* boot time of the read that precedes the watch */
@@ -27,7 +27,7 @@
 	int64_t behind_since_us;
 	int64_t read_at_us; /* time of the own read if still behind */
 	bool is_reading;
-	int64_t asked_alone_us;
+	int64_t own_read_us;
 };
 
 static void schedule_request(struct config_follow *follow, int64_t us)
@@ -75,10 +75,10 @@
 
 static void free_row_adoption(void *data)
 {
-	struct row_adoption *row_adoption = data;
+	struct row_adoption *adoption = data;
 
-	g_free(row_adoption->value);
-	g_free(row_adoption);
+	g_free(adoption->value);
+	g_free(adoption);
 }
 
 static void note_told(struct config_follow *follow, int64_t as_of_us,
@@ -89,69 +89,68 @@
 	if (follow->is_row_unreadable || config_store_is_adopting(store))
 		return;
 	if (was_read)
-		config_store_note_newest(store, follow->number, as_of_us);
+		config_store_note_newest(store, follow->newest_version, as_of_us);
 	else
-		config_store_note_told(store, follow->number,
+		config_store_note_told(store, follow->newest_version,
 				       clock_boot_us() - as_of_us);
 }
 
 static void adopt_row(void *data)
 {
-	struct row_adoption *row_adoption = data;
-	struct config_follow *follow = row_adoption->follow;
+	struct row_adoption *adoption = data;
+	struct config_follow *follow = adoption->follow;
 	const struct config_follow_ops *ops = follow->options.ops;
 	const char *error = "";
 	uint64_t number = 0;
 	char *body = NULL;
 
-	counters.config_platform_bytes += row_adoption->size;
+	counters.config_platform_bytes += adoption->size;
 	follow->is_row_unreadable = true;
-	if (!row_adoption->value) {
+	if (!adoption->value) {
 		log_event(EV_CONFIG_ROW_UNREADABLE,
 			  LOG_STR("error", "deleted"));
-	} else if (!ops->read(row_adoption->value, row_adoption->size, &number,
-			      &body, &error, ops->data)) {
+	} else if (!ops->read(adoption->value, adoption->size, &number, &body,
+			      &error, ops->data)) {
 		log_event(EV_CONFIG_ROW_UNREADABLE, LOG_STR("error", error),
-			  LOG_INT("row_version", row_adoption->row_version));
+			  LOG_INT("row_version", adoption->row_version));
 	} else {
 		log_event(EV_CONFIG_ROW_SEEN, LOG_INT("version", number),
-			  LOG_INT("row_version", row_adoption->row_version),
-			  LOG_INT("store_version", follow->version));
+			  LOG_INT("row_version", adoption->row_version),
+			  LOG_INT("store_version", follow->store_version));
 		offer(follow, number, body);
 		follow->is_row_unreadable = false;
-		follow->number = number;
+		follow->newest_version = number;
 	}
 	g_free(body);
 	config_store_end_adoption(follow->options.store);
-	note_told(follow, row_adoption->as_of_us, row_adoption->was_read);
+	note_told(follow, adoption->as_of_us, adoption->was_read);
 }
 
 static void begin_row_adoption(struct config_follow *follow,
 			       const struct platform_row *row, int64_t as_of_us,
 			       bool was_read)
 {
-	struct row_adoption *row_adoption = g_new0(struct row_adoption, 1);
-
-	row_adoption->follow = follow;
-	row_adoption->value =
-		row->value ? g_strndup(row->value, row->size) : NULL;
-	row_adoption->size = row->size;
-	row_adoption->row_version = row->version;
-	row_adoption->as_of_us = as_of_us;
-	row_adoption->was_read = was_read;
+	struct row_adoption *adoption = g_new0(struct row_adoption, 1);
+
+	adoption->follow = follow;
+	adoption->value = row->value ? g_strndup(row->value, row->size) : NULL;
+	adoption->size = row->size;
+	adoption->row_version = row->version;
+	adoption->as_of_us = as_of_us;
+	adoption->was_read = was_read;
 	config_store_begin_adoption(follow->options.store);
 	slices_add(follow->options.slices, adopt_row, free_row_adoption,
-		   row_adoption);
+		   adoption);
 }
 
 /* RETURN VALUE: false if the store did not answer. */
-static bool take_answer(struct config_follow *follow,
-			const struct platform_answer *answer, int64_t as_of_us,
-			bool was_read)
+static bool handle_answer(struct config_follow *follow,
+			  const struct platform_answer *answer,
+			  int64_t as_of_us, bool was_read)
 {
 	if (answer->status != PLATFORM_OK && answer->status != PLATFORM_NOT_FOUND)
 		return false;
-	follow->version = MAX(follow->version, answer->version);
+	follow->store_version = MAX(follow->store_version, answer->version);
 	for (size_t i = 0; i < answer->row_count; i++) {
 		if (strcmp(answer->rows[i].key, follow->options.key) == 0)
 			begin_row_adoption(follow, &answer->rows[i], as_of_us,
@@ -178,11 +177,11 @@
 	if (answer->status == PLATFORM_HISTORY_GONE) {
 		/* The store dropped only the history; the row can be read. */
 		log_event(EV_CONFIG_WATCH_REFUSED,
-			  LOG_INT("after", follow->version));
-		follow->version = 0;
+			  LOG_INT("after", follow->store_version));
+		follow->store_version = 0;
 		follow->is_watching = false;
 		schedule_request(follow, 0);
-	} else if (take_answer(follow, answer, clock_boot_us(), false)) {
+	} else if (handle_answer(follow, answer, clock_boot_us(), false)) {
 		continue_watch(follow, answer);
 	} else {
 		/* A store that was unavailable may have been restored from a
@@ -197,7 +196,7 @@
 {
 	struct config_follow *follow = data;
 
-	if (take_answer(follow, answer, follow->asked_us, true))
+	if (handle_answer(follow, answer, follow->asked_us, true))
 		continue_watch(follow, answer);
 	else
 		schedule_retry(follow);
@@ -208,7 +207,7 @@
 	struct config_follow *follow = data;
 
 	follow->is_reading = false;
-	if (!take_answer(follow, answer, follow->asked_alone_us, true))
+	if (!handle_answer(follow, answer, follow->own_read_us, true))
 		counters.config_fetch_failures++;
 }
 
@@ -256,8 +255,9 @@
 		read_row(follow, handle_read);
 	} else if (is_elected_follower(follow)) {
 		counters.config_head_reads++;
-		platform_watch(options->platform, options->table, follow->version,
-			       CONFIG_FOLLOW_WAIT_MS, handle_watched, follow);
+		platform_watch(options->platform, options->table,
+			       follow->store_version, CONFIG_FOLLOW_WAIT_MS,
+			       handle_watched, follow);
 	} else {
 		schedule_request(follow, CONFIG_FOLLOW_RETRY_MAX_US);
 	}
@@ -293,7 +293,7 @@
 		now_us - follow->behind_since_us >= CONFIG_FOLLOW_PIECES_MAX_US);
 }
 
-static void read_alone(struct config_follow *follow)
+static void read_row_alone(struct config_follow *follow)
 {
 	const struct config_store *store = follow->options.store;
 
@@ -302,7 +302,7 @@
 		LOG_INT("known_head", config_store_known_head(store)),
 		LOG_INT("behind_us", clock_mono_us() - follow->behind_since_us));
 	follow->is_reading = true;
-	follow->asked_alone_us = clock_boot_us();
+	follow->own_read_us = clock_boot_us();
 	schedule_own_read(follow, false);
 	read_row(follow, handle_read_alone);
 }
@@ -315,7 +315,7 @@
 	if (config_store_doubt(follow->options.store) != CONFIG_DOUBT_BEHIND)
 		ev_timer_stop(loop, timer);
 	else if (follow->is_watching && !follow->is_reading && is_due(follow))
-		read_alone(follow);
+		read_row_alone(follow);
 }
 
 /*
--- a/comfreydockd/config/model.c
+++ b/comfreydockd/config/model.c
@@ -196,8 +196,8 @@
 	return group;
 }
 
-static void note_measure(struct config_group *group,
-			 const struct config_service *service)
+static void merge_measure_settings(struct config_group *group,
+				   const struct config_service *service)
 {
 	uint32_t permille = service->measure_budget_permille;
 
@@ -216,9 +216,9 @@
  * would refill it again and again, and a failing service would get all the
  * retries that the budget is meant to prevent.
  */
-static void add_group(struct config_snapshot *snapshot,
-		      const struct config_service *service,
-		      const struct config_rule *rule, const char *name)
+static void merge_rule_settings(struct config_snapshot *snapshot,
+				const struct config_service *service,
+				const struct config_rule *rule, const char *name)
 {
 	struct config_group *group = get_or_create_group(snapshot, name);
 
@@ -227,20 +227,21 @@
 	if (rule->hedge)
 		group->hedge_budget_percent = MAX(group->hedge_budget_percent,
 						  rule->hedge_budget_percent);
-	note_measure(group, service);
+	merge_measure_settings(group, service);
 }
 
-static void add_groups(struct config_snapshot *snapshot,
-		       const struct config_service *service)
+static void merge_service_settings(struct config_snapshot *snapshot,
+				   const struct config_service *service)
 {
 	for (guint i = 0; i < service->rules->len; i++) {
 		const struct config_rule *rule = service->rules->pdata[i];
 
 		for (guint j = 0; j < rule->destinations->len; j++)
-			add_group(snapshot, service, rule,
-				  g_array_index(rule->destinations,
-						struct config_destination, j)
-					  .group);
+			merge_rule_settings(
+				snapshot, service, rule,
+				g_array_index(rule->destinations,
+					      struct config_destination, j)
+					.group);
 	}
 }
 
@@ -266,7 +267,7 @@
 		for (guint j = 0; j < ns->services->len; j++) {
 			config_routes_add(snapshot->routes,
 					  ns->services->pdata[j]);
-			add_groups(snapshot, ns->services->pdata[j]);
+			merge_service_settings(snapshot, ns->services->pdata[j]);
 		}
 		apply_group_settings(snapshot, ns);
 	}
--- a/comfreydockd/config/spread.c
+++ b/comfreydockd/config/spread.c
@@ -11,13 +11,13 @@
 
 /* Random delay that keeps daemons that start together from reading in
  * lockstep. */
-#define START_SPREAD_US (200 * US_PER_MS)
+#define START_JITTER_US (200 * US_PER_MS)
 /* Gossip tells many daemons of a head at once. Each waits for a random part of
  * this time before it asks a peer. */
-#define HINT_SPREAD_US (100 * US_PER_MS)
+#define HINT_JITTER_US (100 * US_PER_MS)
 
-int64_t config_spread_later(struct config_spread *spread, int64_t least_us,
-			    int64_t most_us)
+int64_t config_spread_random_time(struct config_spread *spread,
+				  int64_t least_us, int64_t most_us)
 {
 	uint64_t span = (uint64_t)(most_us - least_us) + 1;
 
@@ -62,8 +62,8 @@
 
 static void read_row(struct config_spread *spread, const char *key);
 
-static bool needs(const struct config_spread *spread,
-		  const struct config_head *row)
+static bool is_newer_head(const struct config_spread *spread,
+			  const struct config_head *row)
 {
 	return row->head > config_store_head(spread->store) ||
 	       !config_store_is_ready(spread->store);
@@ -71,9 +71,10 @@
 
 /* RETURN VALUE: false if the row lists only changes above a head that this
  * daemon has not reached. */
-static bool note_row(struct config_spread *spread, const struct config_head *row)
+static bool note_head_row(struct config_spread *spread,
+			  const struct config_head *row)
 {
-	if (!needs(spread, row))
+	if (!is_newer_head(spread, row))
 		return true;
 	if (row->above > 0 && (!config_store_is_ready(spread->store) ||
 			       row->above > config_store_head(spread->store)))
@@ -85,14 +86,14 @@
 	return true;
 }
 
-static bool take_row(struct config_spread *spread, const char *value)
+static bool handle_row_value(struct config_spread *spread, const char *value)
 {
 	struct config_head row;
 	bool suffices = true;
 
 	config_head_init(&row);
 	if (config_head_parse(&row, value)) {
-		suffices = note_row(spread, &row);
+		suffices = note_head_row(spread, &row);
 		config_store_note_told(spread->store, row.head, 0);
 	} else {
 		log_event(EV_CONFIG_HEAD_UNREADABLE);
@@ -112,7 +113,7 @@
 	spread->is_reading = false;
 	spread->platform_tried = true;
 	spread->platform_failed = status != CONFIG_PLATFORM_OK;
-	if (!spread->platform_failed && !take_row(spread, value)) {
+	if (!spread->platform_failed && !handle_row_value(spread, value)) {
 		read_row(spread, CONFIG_HEAD_KEY);
 		return;
 	}
@@ -123,7 +124,7 @@
 static void read_row(struct config_spread *spread, const char *key)
 {
 	spread->is_reading = true;
-	spread->must_read = false;
+	spread->read_requested = false;
 	counters.config_head_reads++;
 	spread->platform_ops->get(spread->platform, key, handle_row, spread);
 }
@@ -136,15 +137,15 @@
 	if (!spread->platform_ops || spread->is_reading)
 		return;
 	if (is_due) {
-		spread->read_at_us =
-			config_spread_later(spread, CONFIG_SPREAD_READ_US * 4 / 5,
-					    CONFIG_SPREAD_READ_US * 6 / 5);
+		spread->read_at_us = config_spread_random_time(
+			spread, CONFIG_SPREAD_READ_US * 4 / 5,
+			CONFIG_SPREAD_READ_US * 6 / 5);
 		spread->is_reader = is_elected_reader(spread);
 		if (spread->is_reader != was_reader)
 			log_event(EV_CONFIG_READER,
 				  LOG_INT("reads", spread->is_reader));
 	}
-	if (spread->must_read ||
+	if (spread->read_requested ||
 	    (is_due &&
 	     (spread->is_reader || !config_store_is_ready(spread->store))))
 		read_row(spread, CONFIG_RECENT_KEY);
@@ -157,14 +158,14 @@
 
 	if (!from_host) {
 		/* The apply ran through this daemon. */
-		spread->must_read = true;
+		spread->read_requested = true;
 		read_if_due(spread);
 		return;
 	}
 	if (head < spread->hint_head)
 		return;
 	if (head > spread->hint_head) {
-		soon = config_spread_later(spread, 0, HINT_SPREAD_US);
+		soon = config_spread_random_time(spread, 0, HINT_JITTER_US);
 		spread->fetch_at_us = MAX(spread->fetch_at_us, soon);
 	}
 	spread->hint_head = head;
@@ -175,8 +176,8 @@
 {
 	spread->now_us = now_us;
 	read_if_due(spread);
-	config_fetch_check_time(spread);
-	config_fetch_drop_held(spread);
+	config_fetch_check_timeout(spread);
+	config_fetch_drop_adopted_pieces(spread);
 	config_fetch_next(spread);
 	config_spread_publish(spread);
 }
@@ -207,7 +208,8 @@
 	spread->platform_failed = !options->platform_ops;
 	spread->answer_tokens = CONFIG_SPREAD_ANSWERS_PER_S;
 	spread->answer_refilled_us = now_us;
-	spread->read_at_us = config_spread_later(spread, 0, START_SPREAD_US);
+	spread->read_at_us =
+		config_spread_random_time(spread, 0, START_JITTER_US);
 	g_strlcpy(spread->host, options->host, sizeof(spread->host));
 	g_strlcpy(spread->domain, options->domain, sizeof(spread->domain));
 	config_pieces_init(&spread->pieces);
--- a/comfreydockd/config/spread_answer.c
+++ b/comfreydockd/config/spread_answer.c
@@ -5,7 +5,7 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-static bool take_answer_token(struct config_spread *spread)
+static bool consume_answer_token(struct config_spread *spread)
 {
 	int64_t passed_us = spread->now_us - spread->answer_refilled_us;
 	double more = (double)passed_us / US_PER_S * CONFIG_SPREAD_ANSWERS_PER_S;
@@ -56,8 +56,8 @@
  */
 static Cfd__ConfigLine *line_create(const Cfd__ConfigQuery *query,
 				    const struct config_version *version,
-				    struct config_namespace *ns, size_t *room,
-				    bool is_first)
+				    struct config_namespace *ns,
+				    size_t *bytes_left, bool is_first)
 {
 	Cfd__ConfigLine *line = g_new(Cfd__ConfigLine, 1);
 	size_t size = strlen(ns->body);
@@ -70,12 +70,12 @@
 	if (is_sent_in_pieces(query, size)) {
 		if (is_first)
 			config_pieces_cut(query, ns->body, size, line);
-		*room = 0;
+		*bytes_left = 0;
 		return line;
 	}
-	if (size > *room && !is_first)
+	if (size > *bytes_left && !is_first)
 		return line;
-	*room -= MIN(size, *room);
+	*bytes_left -= MIN(size, *bytes_left);
 	line->has_body = size <= CONFIG_SPREAD_WHOLE_MAX_BYTES;
 	line->body.data = (uint8_t *)ns->body;
 	line->body.len = size;
@@ -89,7 +89,7 @@
 	const struct config_snapshot *snapshot =
 		config_store_current(spread->store);
 	GArray *all = config_store_export(spread->store);
-	size_t room = CONFIG_SPREAD_ANSWER_BYTES;
+	size_t bytes_left = CONFIG_SPREAD_ANSWER_BYTES;
 	bool has_piece = false;
 
 	answer->lines = g_new0(Cfd__ConfigLine *, all->len);
@@ -102,7 +102,7 @@
 			continue;
 		line = line_create(query, version,
 				   config_snapshot_find(snapshot, version->name),
-				   &room, answer->n_lines == 0);
+				   &bytes_left, answer->n_lines == 0);
 		answer->lines[answer->n_lines++] = line;
 		has_piece |= line->size > 0;
 	}
@@ -117,7 +117,7 @@
 
 	cfd__config_body__init(answer);
 	answer->seq = query->seq;
-	if (!query->head_only && !take_answer_token(spread)) {
+	if (!query->head_only && !consume_answer_token(spread)) {
 		counters.config_answers_busy++;
 		answer->busy = true;
 		return answer;
--- a/comfreydockd/config/spread_fetch.c
+++ b/comfreydockd/config/spread_fetch.c
@@ -73,8 +73,8 @@
 	return is_live_peer(spread, member) ? member : pick_random_peer(spread);
 }
 
-static void ask(struct config_spread *spread, const struct member *member,
-		enum config_fetch_step step, Cfd__ConfigQuery *query)
+static void send_query(struct config_spread *spread, const struct member *member,
+		       enum config_fetch_step step, Cfd__ConfigQuery *query)
 {
 	query->seq = ++spread->seq;
 	query->above_head = config_store_head(spread->store);
@@ -88,12 +88,13 @@
 	spread->ops->ask(member, query, spread->ops->data);
 }
 
-static void ask_step(struct config_spread *spread, const struct member *member,
-		     enum config_fetch_step step)
+static void send_simple_query(struct config_spread *spread,
+			      const struct member *member,
+			      enum config_fetch_step step)
 {
 	Cfd__ConfigQuery query = CFD__CONFIG_QUERY__INIT;
 
-	ask(spread, member, step, &query);
+	send_query(spread, member, step, &query);
 }
 
 static void note_failure(struct config_spread *spread, const char *why)
@@ -109,10 +110,10 @@
 	counters.config_fetch_failures++;
 	spread->step = CONFIG_FETCH_NONE;
 	spread->tries++;
-	spread->fetch_at_us = config_spread_later(spread, most / 4, most);
+	spread->fetch_at_us = config_spread_random_time(spread, most / 4, most);
 	/* The peers can't help, so read what is in force from the platform. */
 	if (spread->tries % PEER_TRIES == 0)
-		spread->must_read = true;
+		spread->read_requested = true;
 }
 
 static void note_success(struct config_spread *spread)
@@ -120,7 +121,7 @@
 	spread->step = CONFIG_FETCH_NONE;
 	spread->tries = 0;
 	spread->fetch_at_us =
-		config_spread_later(spread, PAUSE_MIN_US, PAUSE_MAX_US);
+		config_spread_random_time(spread, PAUSE_MIN_US, PAUSE_MAX_US);
 	if (config_fetch_is_behind(spread) &&
 	    config_store_has_missing(spread->store))
 		spread->fetch_at_us = spread->now_us;
@@ -198,7 +199,7 @@
 		query.n_wanted = list_names(missing, wanted);
 	}
 	query.wanted = wanted;
-	ask(spread, member, CONFIG_FETCH_BODIES, &query);
+	send_query(spread, member, CONFIG_FETCH_BODIES, &query);
 }
 
 /*
@@ -266,12 +267,12 @@
 	if (member) {
 		g_strlcpy(spread->startup_peer_hosts[spread->startup_peer_count++],
 			  member->host, MEMBER_HOST_MAX);
-		ask_step(spread, member, CONFIG_FETCH_HEAD);
+		send_simple_query(spread, member, CONFIG_FETCH_HEAD);
 		return;
 	}
 	member = choose_startup_peer(spread);
 	if (member)
-		ask_step(spread, member, CONFIG_FETCH_LISTING);
+		send_simple_query(spread, member, CONFIG_FETCH_LISTING);
 	else
 		note_failure(spread, "no live peer");
 }
@@ -281,7 +282,7 @@
 	struct member *member = choose_peer(spread);
 
 	if (member)
-		ask_step(spread, member, CONFIG_FETCH_LISTING);
+		send_simple_query(spread, member, CONFIG_FETCH_LISTING);
 	else
 		note_failure(spread, "no live peer");
 }
@@ -313,7 +314,7 @@
 	       member->state == MEMBER_LEFT;
 }
 
-void config_fetch_check_time(struct config_spread *spread)
+void config_fetch_check_timeout(struct config_spread *spread)
 {
 	if (spread->step == CONFIG_FETCH_NONE ||
 	    spread->step == CONFIG_FETCH_OBJECT)
@@ -324,7 +325,7 @@
 		note_failure(spread, "no answer in time");
 }
 
-void config_fetch_drop_held(struct config_spread *spread)
+void config_fetch_drop_adopted_pieces(struct config_spread *spread)
 {
 	struct config_pieces *pieces = &spread->pieces;
 
@@ -349,17 +350,17 @@
 
 static void free_complete_body(void *data)
 {
-	struct complete_body *whole = data;
+	struct complete_body *complete = data;
 
-	config_pieces_finish(&whole->pieces);
-	g_free(whole);
+	config_pieces_finish(&complete->pieces);
+	g_free(complete);
 }
 
 static void adopt_complete_body(void *data)
 {
-	struct complete_body *whole = data;
-	struct config_spread *spread = whole->spread;
-	const struct config_pieces *pieces = &whole->pieces;
+	struct complete_body *complete = data;
+	struct config_spread *spread = complete->spread;
+	const struct config_pieces *pieces = &complete->pieces;
 	enum config_offer result = config_store_offer(
 		spread->store, pieces->name, pieces->version, pieces->sha256,
 		(const char *)pieces->bytes->data, pieces->bytes->len);
@@ -372,14 +373,14 @@
 
 static void begin_body_adoption(struct config_spread *spread)
 {
-	struct complete_body *whole = g_new0(struct complete_body, 1);
+	struct complete_body *complete = g_new0(struct complete_body, 1);
 
-	whole->spread = spread;
-	whole->pieces = spread->pieces;
+	complete->spread = spread;
+	complete->pieces = spread->pieces;
 	config_pieces_init(&spread->pieces);
 	config_store_begin_adoption(spread->store);
 	slices_add(spread->slices, adopt_complete_body, free_complete_body,
-		   whole);
+		   complete);
 }
 
 /* RETURN VALUE: whether the piece extended the body. */
--- a/comfreydockd/config/store.c
+++ b/comfreydockd/config/store.c
@@ -30,7 +30,7 @@
 	int64_t pending_told_us; /* boot time at which it was the newest one */
 	bool expects_told;
 	int64_t expects_since_us; /* boot time */
-	int64_t heard_us; /* boot time at which known_head was last named */
+	int64_t known_head_us; /* boot time at which known_head was last named */
 	GArray *listing; /* of struct config_version, names owned */
 	GHashTable *origins; /* name -> struct origin */
 	struct config_store_observer observers[OBSERVERS_MAX];
@@ -277,12 +277,12 @@
 	}
 }
 
-static void note_known(struct config_store *store, uint64_t head)
+static void note_known_head(struct config_store *store, uint64_t head)
 {
 	if (head < store->known_head)
 		return;
 	store->known_head = head;
-	store->heard_us = clock_boot_us();
+	store->known_head_us = clock_boot_us();
 }
 
 static void drop_heads_above(struct config_store *store, uint64_t head)
@@ -304,7 +304,7 @@
 	uint64_t highest = MAX(head, store->head);
 
 	config_store_note_told(store, head, clock_boot_us() - asked_us);
-	if (store->known_head > highest && store->heard_us < asked_us)
+	if (store->known_head > highest && store->known_head_us < asked_us)
 		drop_heads_above(store, highest);
 }
 
@@ -315,7 +315,7 @@
 		config_store_note_told(store, head, 0);
 	if (head <= store->head && store->ready)
 		return;
-	note_known(store, head);
+	note_known_head(store, head);
 	for (size_t i = 0; i < store->observer_count; i++) {
 		struct config_store_observer *observer = &store->observers[i];
 
@@ -330,7 +330,7 @@
 {
 	if (head < store->listed_head)
 		return;
-	note_known(store, head);
+	note_known_head(store, head);
 	store->listed_head = head;
 	g_array_set_size(store->listing, 0);
 	for (size_t i = 0; i < count; i++) {
@@ -402,9 +402,9 @@
 }
 
 /* The caller vouches that sha256 is the hash of the body. */
-static enum config_offer take_body(struct config_store *store, const char *name,
-				   uint64_t version, const char *sha256,
-				   const char *body, size_t size)
+static enum config_offer adopt_body(struct config_store *store, const char *name,
+				    uint64_t version, const char *sha256,
+				    const char *body, size_t size)
 {
 	struct config_namespace *ns = NULL;
 	char *text = g_strndup(body, size);
@@ -436,8 +436,8 @@
 {
 	if (!is_newer(store, version->name, version->version))
 		return CONFIG_OFFER_NOT_NEWER;
-	return take_body(store, version->name, version->version,
-			 version->sha256, body, strlen(body));
+	return adopt_body(store, version->name, version->version,
+			  version->sha256, body, strlen(body));
 }
 
 enum config_offer config_store_offer(struct config_store *store, const char *name,
@@ -452,5 +452,5 @@
 	if (strcmp(hash, sha256) != 0)
 		return refuse(name, version, CONFIG_OFFER_BAD_HASH,
 			      "the body does not match its hash");
-	return take_body(store, name, version, sha256, body, size);
+	return adopt_body(store, name, version, sha256, body, size);
 }
--- a/comfreydockd/operator/gather.c
+++ b/comfreydockd/operator/gather.c
@@ -60,7 +60,7 @@
 	gather_finish(timer->data);
 }
 
-static void gather_ask(struct gather *gather, const char *host)
+static void gather_query(struct gather *gather, const char *host)
 {
 	struct daemon *daemon = gather->gatherer->daemon;
 	const struct member *member = member_table_find(daemon->members, host);
@@ -83,7 +83,7 @@
 }
 
 /* Queries the daemon that a note names: "seq=7 to=esja-07 may-queue=0". */
-static void gather_follow(struct gather *gather, const char *note)
+static void gather_query_next(struct gather *gather, const char *note)
 {
 	const char *to = strstr(note, SENT_TO);
 	char host[MEMBER_HOST_MAX];
@@ -92,10 +92,10 @@
 		return;
 	to += strlen(SENT_TO);
 	g_strlcpy(host, to, MIN(strcspn(to, " ") + 1, sizeof(host)));
-	gather_ask(gather, host);
+	gather_query(gather, host);
 }
 
-static void gather_take(struct gather *gather, const char *text)
+static void gather_add_events(struct gather *gather, const char *text)
 {
 	json_object *array = json_tokener_parse(text);
 
@@ -106,12 +106,13 @@
 
 		json_object_array_add(gather->events, json_object_get(event));
 		if (gather->gatherer->daemon->peers)
-			gather_follow(gather, jsonc_get_text(event, "note"));
+			gather_query_next(gather,
+					  jsonc_get_text(event, "note"));
 	}
 	json_object_put(array);
 }
 
-static char *own_events(const struct daemon *daemon, const char *trace)
+static char *local_events(const struct daemon *daemon, const char *trace)
 {
 	GString *text = g_string_new(NULL);
 
@@ -124,8 +125,8 @@
 			 void *data)
 {
 	struct gatherer *gatherer = data;
-	char *events =
-		own_events(gatherer->daemon, query_frame->timeline_query->trace);
+	char *events = local_events(gatherer->daemon,
+				    query_frame->timeline_query->trace);
 	Cfd__TimelineReport report = CFD__TIMELINE_REPORT__INIT;
 	Cfd__Frame frame = CFD__FRAME__INIT;
 
@@ -148,7 +149,7 @@
 	}
 	if (!gather || !g_hash_table_remove(gather->unanswered, peer_host(peer)))
 		return;
-	gather_take(gather, frame->timeline_report->events);
+	gather_add_events(gather, frame->timeline_report->events);
 	if (g_hash_table_size(gather->unanswered) == 0)
 		gather_finish(gather);
 }
@@ -162,7 +163,7 @@
 	return !trace_names_host(trace) || trace_is_from(trace, member->host);
 }
 
-static void gather_ask_first(struct gather *gather)
+static void gather_query_origin(struct gather *gather)
 {
 	struct daemon *daemon = gather->gatherer->daemon;
 	struct member *member;
@@ -170,7 +171,7 @@
 	TAILQ_FOREACH (member, member_table_all(daemon->members), link) {
 		if (strcmp(member->host, daemon->settings->host) != 0 &&
 		    host_may_know(member, gather->trace))
-			gather_ask(gather, member->host);
+			gather_query(gather, member->host);
 	}
 }
 
@@ -205,7 +206,7 @@
 {
 	struct daemon *daemon = gatherer->daemon;
 	struct gather *gather = g_new0(struct gather, 1);
-	char *events = own_events(daemon, trace);
+	char *events = local_events(daemon, trace);
 
 	gather->gatherer = gatherer;
 	gather->request = request;
@@ -221,8 +222,8 @@
 	LIST_INSERT_HEAD(&gatherer->gathers, gather, link);
 	g_hash_table_add(gather->queried, g_strdup(daemon->settings->host));
 	if (trace && daemon->peers)
-		gather_ask_first(gather);
-	gather_take(gather, events);
+		gather_query_origin(gather);
+	gather_add_events(gather, events);
 	g_free(events);
 	if (g_hash_table_size(gather->unanswered) == 0)
 		gather_finish(gather);
--- a/comfreydockd/operator/metrics.c
+++ b/comfreydockd/operator/metrics.c
@@ -11,7 +11,7 @@
 #include "common/tally.h"
 
 /* The unit of ru_maxrss in bytes. */
-#define KILO 1024
+#define RSS_UNIT_BYTES 1024
 
 static void append_members(GString *text, struct member_table *members)
 {
@@ -111,7 +111,7 @@
 			       cpu_us / US_PER_S, cpu_us % US_PER_S);
 	metric_append_gauge(text, "memory_peak_bytes",
 			    "memory of this process at most",
-			    (double)usage.ru_maxrss * KILO);
+			    (double)usage.ru_maxrss * RSS_UNIT_BYTES);
 }
 
 void operator_get_metrics(struct operator_api *api, struct http_request *request)
--- a/include/comfreydockd/config/follow.h
+++ b/include/comfreydockd/config/follow.h
@@ -48,7 +48,8 @@
 /* No read is made unless pieces from peers have stopped for this time: a read
  * beside them would halve the bandwidth of the link. */
 #define CONFIG_FOLLOW_STALL_US (500 * 1000)
-/* A daemon that is behind for this long reads the row although pieces arrive. */
+/* A daemon that is behind for this long reads the row although pieces
+ * arrive. */
 #define CONFIG_FOLLOW_PIECES_MAX_US (5 * 1000 * 1000)
 #define CONFIG_FOLLOW_CHECK_US \
 	(100 * 1000) /* interval of checks while behind */
--- a/include/comfreydockd/config/spread_internal.h
+++ b/include/comfreydockd/config/spread_internal.h
@@ -52,7 +52,7 @@
 	int64_t read_at_us;
 	bool is_reading;
 	bool is_reader;
-	bool must_read; /* even if this daemon is not a reader */
+	bool read_requested; /* even if this daemon is not a reader */
 	bool platform_failed; /* in the last read */
 	bool platform_tried;
 
@@ -94,10 +94,10 @@
 void config_fetch_next(struct config_spread *spread);
 
 /* Fails the fetch in progress if its peer is gone or its timeout is over. */
-void config_fetch_check_time(struct config_spread *spread);
+void config_fetch_check_timeout(struct config_spread *spread);
 
 /* Frees the pieces of a version that was adopted from another source. */
-void config_fetch_drop_held(struct config_spread *spread);
+void config_fetch_drop_adopted_pieces(struct config_spread *spread);
 
 bool config_fetch_is_behind(const struct config_spread *spread);
 
@@ -128,8 +128,8 @@
 /* spread.c */
 
 /* RETURN VALUE: a random time between least_us and most_us from now. */
-int64_t config_spread_later(struct config_spread *spread, int64_t least_us,
-			    int64_t most_us);
+int64_t config_spread_random_time(struct config_spread *spread,
+				  int64_t least_us, int64_t most_us);
 void config_spread_publish(struct config_spread *spread);
 
 #endif
--- a/tests/test_config_apply.c
+++ b/tests/test_config_apply.c
@@ -235,8 +235,8 @@
 }
 
 /* Checks that the outcome reported to one operator agrees with the rows. */
-static void check_told(const struct operator* op,
-		       const struct config_history *history)
+static void check_outcome(const struct operator* op,
+			  const struct config_history *history)
 {
 	bool is_there = false;
 	char hash[65];
@@ -266,7 +266,7 @@
 	}
 }
 
-static void check_rows(struct fake_platform *p, struct operator* ops_told,
+static void check_rows(struct fake_platform *p, struct operator* operators,
 		       int count)
 {
 	static const char *const names[] = {"a", "b"};
@@ -289,7 +289,7 @@
 							 .version +
 						 1);
 		for (int i = n; i < count; i += 2)
-			check_told(&ops_told[i], &history);
+			check_outcome(&operators[i], &history);
 		config_history_finish(&history);
 	}
 	g_assert_cmpuint(head.head, ==, sum);
@@ -306,7 +306,7 @@
 	unsigned int told[4] = {0};
 
 	for (int seed = 0; seed < 300; seed++) {
-		struct operator ops_told[5] = {0};
+		struct operator operators[5] = {0};
 		struct fake_platform p;
 
 		fake_platform_init(&p);
@@ -322,17 +322,17 @@
 				const char *name = i % 2 ? "b" : "a";
 
 				read_history(&p, name, &history);
-				start(&p, &ops_told[i], name, round * 5 + i,
+				start(&p, &operators[i], name, round * 5 + i,
 				      config_history_version(&history));
 				config_history_finish(&history);
 			}
 			fake_platform_run(&p);
-			check_rows(&p, ops_told, 5);
+			check_rows(&p, operators, 5);
 			for (int i = 0; i < 5; i++)
-				told[ops_told[i].result]++;
+				told[operators[i].result]++;
 		}
 		for (int i = 0; i < 5; i++)
-			operator_finish(&ops_told[i]);
+			operator_finish(&operators[i]);
 		fake_platform_finish(&p);
 	}
 	g_test_message("in force %u, refused %u, conflict %u, unknown %u",
