--- a/comfreydockd/config/follow.c
+++ b/comfreydockd/config/follow.c
@@ -81,6 +81,8 @@
 	g_free(adoption);
 }
 
+/* Reports to the store that newest_version was the newest one at as_of_us,
+ * unless the latest row was rejected or is still being adopted. */
 static void note_told(struct config_follow *follow, int64_t as_of_us,
 		      bool was_read)
 {
@@ -263,7 +265,7 @@
 	}
 }
 
-/* Reads by a daemon that is behind. */
+/* The rest of this file handles a daemon that stays behind. */
 
 /* After a failed first read the delay is one span longer. Without it the
  * daemons of a large installation would repeat their reads at a higher rate
--- a/comfreydockd/config/rows.c
+++ b/comfreydockd/config/rows.c
@@ -74,7 +74,7 @@
 			&g_array_index(head->versions, struct config_version, i);
 		json_object *item;
 
-		/* at 0: written by a release that did not count it. */
+		/* at is 0 if a release that did not record it wrote the row. */
 		if (above && version->at && version->at <= above)
 			continue;
 		item = json_object_new_object();
--- a/comfreydockd/config/spread_fetch.c
+++ b/comfreydockd/config/spread_fetch.c
@@ -255,7 +255,8 @@
 	return is_live_peer(spread, best) ? best : NULL;
 }
 
-/* Without the platform: the highest head that some live peers name. */
+/* Without the platform, a starting daemon asks some live peers for their heads
+ * and then fetches from the one with the highest. */
 static void fetch_at_startup(struct config_spread *spread)
 {
 	struct member *member = NULL;
@@ -306,8 +307,8 @@
 	g_array_unref(missing);
 }
 
-/* A suspected member still counts as there: it may be slow to answer, or this
- * daemon may be slow to receive. */
+/* A suspected member is not gone: it may be slow to answer, or this daemon may
+ * be slow to receive. */
 static bool is_gone(const struct member *member)
 {
 	return !member || member->state == MEMBER_DEAD ||
--- a/comfreydockd/config/store.c
+++ b/comfreydockd/config/store.c
@@ -30,7 +30,7 @@
 	int64_t pending_told_us; /* boot time at which it was the newest one */
 	bool expects_told;
 	int64_t expects_since_us; /* boot time */
-	int64_t known_head_us; /* boot time at which known_head was last named */
+	int64_t known_head_us; /* boot time of the last note of known_head */
 	GArray *listing; /* of struct config_version, names owned */
 	GHashTable *origins; /* name -> struct origin */
 	struct config_store_observer observers[OBSERVERS_MAX];
--- a/comfreydockd/operator/api.c
+++ b/comfreydockd/operator/api.c
@@ -54,8 +54,9 @@
 }
 
 /*
- * Compares all bytes in constant time. A comparison that stops at the first
- * difference would allow a timing attack that guesses the token byte by byte.
+ * Compares every byte, also after one that differs. A comparison that stops at
+ * the first difference would allow a timing attack that guesses the token byte
+ * by byte.
  */
 static bool token_equals(const char *expected, const char *given)
 {
--- a/tests/config_platform_fake.c
+++ b/tests/config_platform_fake.c
@@ -111,7 +111,7 @@
 	}
 }
 
-static bool draw_fault(int percent)
+static bool chance(int percent)
 {
 	return g_test_rand_int_range(0, 100) < percent;
 }
@@ -122,13 +122,13 @@
 	int64_t ms = g_test_rand_int_range(1, 2 + p->faults.slow_ms);
 	struct task late = task;
 
-	if (draw_fault(p->faults.unavailable)) {
+	if (chance(p->faults.unavailable)) {
 		task.status = CONFIG_PLATFORM_UNAVAILABLE;
 		task.writes = false;
-	} else if (draw_fault(p->faults.lost)) {
+	} else if (chance(p->faults.lost)) {
 		task.status = CONFIG_PLATFORM_UNKNOWN;
-		task.writes = task.writes && draw_fault(50);
-	} else if (task.writes && draw_fault(p->faults.late)) {
+		task.writes = task.writes && chance(50);
+	} else if (task.writes && chance(p->faults.late)) {
 		for (int i = 0; i < ROWS; i++) {
 			late.keys[i] = g_strdup(task.keys[i]);
 			late.values[i] = g_strdup(task.values[i]);
