--- a/comfreydockd/config/check_rules.c
+++ b/comfreydockd/config/check_rules.c
@@ -25,7 +25,7 @@
 	for (char **method = rule->methods; method && *method; method++) {
 		if (!g_strv_contains(methods, *method))
 			schema_error(schema, "methods",
-				     "\"%s\" is no method known here", *method);
+				     "\"%s\" is not a supported method", *method);
 	}
 }
 
@@ -53,7 +53,7 @@
 	rule->hedge_budget_percent = (uint32_t)schema_uint(
 		&hedge, "budget_percent", SCHEMA_REQUIRED, 0, 1, 50);
 	schema_finish(&hedge);
-	/* A hedge is a second run of the same request. */
+	/* A hedge runs the same request a second time. */
 	if (rule->hedge && !rule->idempotent)
 		schema_error(schema, "hedge",
 			     "only an idempotent rule may be hedged");
@@ -88,8 +88,8 @@
 		config_rule_add_destination(rule, group, 1);
 	else if (!array)
 		schema_error(schema, "to",
-			     "is needed where the service has no group");
-	else if (config_rule_weights(rule) == 0)
+			     "is required if the service has no group");
+	else if (config_rule_total_weight(rule) == 0)
 		schema_error(schema, "to", "needs a weight above 0");
 }
 
@@ -119,8 +119,8 @@
 	return rule;
 }
 
-static bool rule_covers(const struct config_rule *first,
-			const struct config_rule *later)
+static bool rule_shadows(const struct config_rule *first,
+			 const struct config_rule *later)
 {
 	if (!g_str_has_prefix(later->path_prefix, first->path_prefix))
 		return false;
@@ -133,27 +133,28 @@
 	return later->methods;
 }
 
-/* The rules of a service that were read, to find those before a rule that
- * cover it: one by one, 3,000 rules would take millions of comparisons. */
-struct reach {
+/* Index of the rules read so far of a service. It finds the earlier rules that
+ * shadow a new one; comparing 3,000 rules pairwise would take millions of
+ * comparisons. */
+struct rule_index {
 	GHashTable *names;
 	GHashTable *by_prefix; /* path prefix -> GPtrArray of rules */
-	uint64_t lengths; /* of the prefixes, modulo 64, a bit each */
+	uint64_t lengths; /* bit n: a prefix has a length of n modulo 64 */
 };
 
-static void reach_init(struct reach *reach)
+static void rule_index_init(struct rule_index *index)
 {
-	reach->lengths = 0;
-	reach->names = g_hash_table_new(g_str_hash, g_str_equal);
-	reach->by_prefix =
+	index->lengths = 0;
+	index->names = g_hash_table_new(g_str_hash, g_str_equal);
+	index->by_prefix =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 				      (GDestroyNotify)g_ptr_array_unref);
 }
 
-static void reach_finish(struct reach *reach)
+static void rule_index_finish(struct rule_index *index)
 {
-	g_hash_table_unref(reach->names);
-	g_hash_table_unref(reach->by_prefix);
+	g_hash_table_unref(index->names);
+	g_hash_table_unref(index->by_prefix);
 }
 
 static uint64_t length_bit(size_t length)
@@ -161,54 +162,56 @@
 	return UINT64_C(1) << (length % 64);
 }
 
-static void reach_add(struct reach *reach, const struct config_rule *rule)
+static void rule_index_add(struct rule_index *index,
+			   const struct config_rule *rule)
 {
 	GPtrArray *rules =
-		g_hash_table_lookup(reach->by_prefix, rule->path_prefix);
+		g_hash_table_lookup(index->by_prefix, rule->path_prefix);
 
 	if (!rules) {
 		rules = g_ptr_array_new();
-		g_hash_table_insert(reach->by_prefix, rule->path_prefix, rules);
-		reach->lengths |= length_bit(strlen(rule->path_prefix));
+		g_hash_table_insert(index->by_prefix, rule->path_prefix, rules);
+		index->lengths |= length_bit(strlen(rule->path_prefix));
 	}
 	g_ptr_array_add(rules, (gpointer)rule);
 	if (rule->name)
-		g_hash_table_add(reach->names, rule->name);
+		g_hash_table_add(index->names, rule->name);
 }
 
-static void check_covers(struct schema *schema, const GPtrArray *rules,
-			 const struct config_rule *rule)
+static void check_shadowing(struct schema *schema, const GPtrArray *rules,
+			    const struct config_rule *rule)
 {
 	for (guint i = 0; rules && i < rules->len; i++) {
 		const struct config_rule *first = rules->pdata[i];
 
-		if (rule_covers(first, rule))
+		if (rule_shadows(first, rule))
 			schema_error(schema, NULL,
-				     "never applies: rule \"%s\" before it "
-				     "covers all it matches",
+				     "never applies: the earlier rule \"%s\" "
+				     "matches all its requests",
 				     first->name ? first->name : "");
 	}
 }
 
-/* The first match wins, so a rule behind a wider one would never apply. */
-static void check_reach(struct schema *schema, const struct reach *reach,
-			const struct config_rule *rule)
+/* The first match wins, so a rule after a wider one would never apply. */
+static void check_reachable(struct schema *schema, const struct rule_index *index,
+			    const struct config_rule *rule)
 {
 	char *prefix = g_strdup(rule->path_prefix);
 
-	if (rule->name && g_hash_table_contains(reach->names, rule->name))
+	if (rule->name && g_hash_table_contains(index->names, rule->name))
 		schema_error(schema, "name", "another rule has this name");
 	for (size_t length = strlen(prefix); length > 0; length--) {
 		prefix[length] = '\0';
-		if (!(reach->lengths & length_bit(length)))
+		if (!(index->lengths & length_bit(length)))
 			continue;
-		check_covers(schema,
-			     g_hash_table_lookup(reach->by_prefix, prefix), rule);
+		check_shadowing(schema,
+				g_hash_table_lookup(index->by_prefix, prefix),
+				rule);
 	}
 	g_free(prefix);
 }
 
-/* RETURN VALUE: the rule, or NULL where its text is no JSON. */
+/* RETURN VALUE: the rule, or NULL if its text is not valid JSON. */
 static struct config_rule *read_cut_rule(const struct schema *item,
 					 const char *group,
 					 const struct json_span *span)
@@ -225,7 +228,8 @@
 		schema_init(&schema, doc, findings);
 		rule = read_rule(&schema, group);
 		schema_finish(&schema);
-		/* Without "to" it depends on the service as well. */
+		/* Without "to" the rule depends on the group of its service, so
+		 * it must not be shared by its text. */
 		if (findings->errors == errors &&
 		    json_object_object_get_ex(doc->root, "to", NULL))
 			config_known_rules_add(rule, span);
@@ -235,7 +239,7 @@
 	return rule;
 }
 
-static struct config_rule *take_rule(struct schema *item, json_object *value,
+static struct config_rule *load_rule(struct schema *item, json_object *value,
 				     const char *group)
 {
 	const struct json_span *span = jsonc_cut_item(item->doc, value);
@@ -251,25 +255,25 @@
 {
 	json_object *array = schema_array(schema, "rules", SCHEMA_REQUIRED);
 	size_t length = array ? json_object_array_length(array) : 0;
-	struct reach reach;
+	struct rule_index index;
 
 	if (array && !length)
 		schema_error(schema, "rules", "may not be empty");
-	reach_init(&reach);
+	rule_index_init(&index);
 	for (size_t i = 0; i < length; i++) {
 		struct config_rule *rule;
 		struct schema item;
 
 		schema_init_item(&item, schema, "rules", i);
-		rule = take_rule(&item, json_object_array_get_idx(array, i),
+		rule = load_rule(&item, json_object_array_get_idx(array, i),
 				 service->group);
 		if (rule) {
-			check_reach(&item, &reach, rule);
+			check_reachable(&item, &index, rule);
 			g_ptr_array_add(service->rules, rule);
-			reach_add(&reach, rule);
+			rule_index_add(&index, rule);
 		}
 		schema_finish(&item);
 		slice_pause();
 	}
-	reach_finish(&reach);
+	rule_index_finish(&index);
 }
--- a/comfreydockd/config/spread_answer.c
+++ b/comfreydockd/config/spread_answer.c
@@ -5,7 +5,7 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-static bool take_answer_token(struct config_spread *spread)
+static bool consume_answer_token(struct config_spread *spread)
 {
 	int64_t passed_us = spread->now_us - spread->answer_refilled_us;
 	double more = (double)passed_us / US_PER_S * CONFIG_SPREAD_ANSWERS_PER_S;
@@ -23,7 +23,7 @@
 		      const struct config_version *version)
 {
 	if (!version->version)
-		return false; /* this daemon's own file */
+		return false; /* loaded from a local file */
 	if (!query->n_wanted)
 		return !version->at || version->at > query->above_head;
 	for (size_t i = 0; i < query->n_wanted; i++) {
@@ -33,30 +33,31 @@
 	return false;
 }
 
-/* What is sent at once may take a full answer's room, a piece only its part. */
-static void give_back_token(struct config_spread *spread)
+/* One token pays for CONFIG_SPREAD_ANSWER_BYTES. An answer with a piece is
+ * smaller, so the rest of its token is refunded. */
+static void refund_token(struct config_spread *spread)
 {
 	spread->answer_tokens += 1.0 - (double)CONFIG_SPREAD_PIECE_BYTES /
 					       CONFIG_SPREAD_ANSWER_BYTES;
 }
 
-static bool goes_in_pieces(const Cfd__ConfigQuery *query, size_t size)
+static bool is_sent_in_pieces(const Cfd__ConfigQuery *query, size_t size)
 {
 	return query->takes_pieces && size > CONFIG_SPREAD_PIECE_BYTES &&
 	       size <= CONFIG_SPREAD_BODY_MAX_BYTES;
 }
 
 /*
- * The first body of an answer goes whatever its size, a large one in pieces. With
- * any size that a body may not have, a file that outgrows it would never travel:
- * each peer would ask again and again, and all but those that read the platform
- * themselves would stay with the rules of before. One notices config.fetch-failed
- * on most hosts.
+ * The first body of an answer is sent whatever its size, a large one in pieces.
+ * With a size limit here, a file above it would never be distributed: each peer
+ * would ask again and again, and only the daemons that read the platform
+ * themselves would leave the old rules. The symptom is config.fetch-failed on
+ * most hosts.
  */
 static Cfd__ConfigLine *line_create(const Cfd__ConfigQuery *query,
 				    const struct config_version *version,
-				    struct config_namespace *ns, size_t *room,
-				    bool is_first)
+				    struct config_namespace *ns,
+				    size_t *bytes_left, bool is_first)
 {
 	Cfd__ConfigLine *line = g_new(Cfd__ConfigLine, 1);
 	size_t size = strlen(ns->body);
@@ -66,29 +67,29 @@
 	line->version = version->version;
 	line->sha256 = ns->sha256;
 	line->at = version->at;
-	if (goes_in_pieces(query, size)) {
+	if (is_sent_in_pieces(query, size)) {
 		if (is_first)
 			config_pieces_cut(query, ns->body, size, line);
-		*room = 0;
+		*bytes_left = 0;
 		return line;
 	}
-	if (size > *room && !is_first)
+	if (size > *bytes_left && !is_first)
 		return line;
-	*room -= MIN(size, *room);
+	*bytes_left -= MIN(size, *bytes_left);
 	line->has_body = size <= CONFIG_SPREAD_WHOLE_MAX_BYTES;
 	line->body.data = (uint8_t *)ns->body;
 	line->body.len = size;
 	return line;
 }
 
-/* RETURN VALUE: whether a piece of a body is in it. */
+/* RETURN VALUE: whether the answer contains a piece of a body. */
 static bool fill_lines(const struct config_spread *spread,
 		       const Cfd__ConfigQuery *query, Cfd__ConfigBody *answer)
 {
 	const struct config_snapshot *snapshot =
 		config_store_current(spread->store);
 	GArray *all = config_store_export(spread->store);
-	size_t room = CONFIG_SPREAD_ANSWER_BYTES;
+	size_t bytes_left = CONFIG_SPREAD_ANSWER_BYTES;
 	bool has_piece = false;
 
 	answer->lines = g_new0(Cfd__ConfigLine *, all->len);
@@ -101,7 +102,7 @@
 			continue;
 		line = line_create(query, version,
 				   config_snapshot_find(snapshot, version->name),
-				   &room, answer->n_lines == 0);
+				   &bytes_left, answer->n_lines == 0);
 		answer->lines[answer->n_lines++] = line;
 		has_piece |= line->size > 0;
 	}
@@ -116,7 +117,7 @@
 
 	cfd__config_body__init(answer);
 	answer->seq = query->seq;
-	if (!query->head_only && !take_answer_token(spread)) {
+	if (!query->head_only && !consume_answer_token(spread)) {
 		counters.config_answers_busy++;
 		answer->busy = true;
 		return answer;
@@ -128,7 +129,7 @@
 		return answer;
 	answer->is_listing = !query->n_wanted;
 	if (fill_lines(spread, query, answer))
-		give_back_token(spread);
+		refund_token(spread);
 	return answer;
 }
 
--- a/comfreydockd/config/spread_fetch.c
+++ b/comfreydockd/config/spread_fetch.c
@@ -9,12 +9,13 @@
 #include "common/slice.h"
 
 #define ANSWER_TIMEOUT_US (1500 * US_PER_MS)
-/* Between two fetches that went well, so that several changes travel as one. */
+/* Delay between two successful fetches, so that one fetch gets several
+ * changes. */
 #define PAUSE_MIN_US (100 * US_PER_MS)
 #define PAUSE_MAX_US (300 * US_PER_MS)
 #define BACKOFF_US (200 * US_PER_MS)
-#define BACKOFF_MOST 4 /* doublings: 3.2 s */
-#define PEER_TRIES 3 /* then the platform is asked */
+#define BACKOFF_MAX_DOUBLINGS 4 /* 3.2 s */
+#define PEER_TRIES 3 /* after so many failures the platform is read */
 #define WANTED_MAX 64
 
 bool config_fetch_is_behind(const struct config_spread *spread)
@@ -31,18 +32,18 @@
 	       strcmp(member->host, spread->host) != 0;
 }
 
-static bool is_witness(const struct config_spread *spread, const char *host)
+static bool is_startup_peer(const struct config_spread *spread, const char *host)
 {
-	for (unsigned int i = 0; i < spread->witnesses; i++) {
-		if (strcmp(spread->witness_hosts[i], host) == 0)
+	for (unsigned int i = 0; i < spread->startup_peer_count; i++) {
+		if (strcmp(spread->startup_peer_hosts[i], host) == 0)
 			return true;
 	}
 	return false;
 }
 
-/* Any live peer that is no witness yet, and not the one that was asked last if
- * there is another. */
-static struct member *draw_peer(struct config_spread *spread)
+/* Picks a random live peer that has not given its head at startup. The peer
+ * asked last is picked only if there is no other. */
+static struct member *pick_random_peer(struct config_spread *spread)
 {
 	struct member *drawn = NULL;
 	struct member *last = NULL;
@@ -51,7 +52,7 @@
 
 	TAILQ_FOREACH (member, member_table_all(spread->members), link) {
 		if (!is_live_peer(spread, member) ||
-		    is_witness(spread, member->host))
+		    is_startup_peer(spread, member->host))
 			continue;
 		if (strcmp(member->host, spread->asked_host) == 0)
 			last = member;
@@ -61,18 +62,19 @@
 	return drawn ? drawn : last;
 }
 
-/* The one that named the head, but only once: it may be the one that fails. */
+/* Prefers the peer that named the head, but only once, because it may be the
+ * one that fails. */
 static struct member *choose_peer(struct config_spread *spread)
 {
 	struct member *member =
 		member_table_find(spread->members, spread->hint_host);
 
 	spread->hint_host[0] = '\0';
-	return is_live_peer(spread, member) ? member : draw_peer(spread);
+	return is_live_peer(spread, member) ? member : pick_random_peer(spread);
 }
 
-static void ask(struct config_spread *spread, const struct member *member,
-		enum config_fetch_step step, Cfd__ConfigQuery *query)
+static void send_query(struct config_spread *spread, const struct member *member,
+		       enum config_fetch_step step, Cfd__ConfigQuery *query)
 {
 	query->seq = ++spread->seq;
 	query->above_head = config_store_head(spread->store);
@@ -86,17 +88,18 @@
 	spread->ops->ask(member, query, spread->ops->data);
 }
 
-static void ask_simply(struct config_spread *spread,
-		       const struct member *member, enum config_fetch_step step)
+static void send_simple_query(struct config_spread *spread,
+			      const struct member *member,
+			      enum config_fetch_step step)
 {
 	Cfd__ConfigQuery query = CFD__CONFIG_QUERY__INIT;
 
-	ask(spread, member, step, &query);
+	send_query(spread, member, step, &query);
 }
 
 static void note_failure(struct config_spread *spread, const char *why)
 {
-	unsigned int doublings = MIN(spread->tries, BACKOFF_MOST);
+	unsigned int doublings = MIN(spread->tries, BACKOFF_MAX_DOUBLINGS);
 	int64_t most = (int64_t)BACKOFF_US << doublings;
 
 	log_event(EV_CONFIG_FETCH_FAILED, LOG_STR("why", why),
@@ -107,10 +110,10 @@
 	counters.config_fetch_failures++;
 	spread->step = CONFIG_FETCH_NONE;
 	spread->tries++;
-	spread->fetch_at_us = config_spread_later(spread, most / 4, most);
-	/* The peers don't help; one read more tells what is in force. */
+	spread->fetch_at_us = config_spread_random_time(spread, most / 4, most);
+	/* The peers can't help, so read what is in force from the platform. */
 	if (spread->tries % PEER_TRIES == 0)
-		spread->must_read = true;
+		spread->read_requested = true;
 }
 
 static void note_success(struct config_spread *spread)
@@ -118,8 +121,9 @@
 	spread->step = CONFIG_FETCH_NONE;
 	spread->tries = 0;
 	spread->fetch_at_us =
-		config_spread_later(spread, PAUSE_MIN_US, PAUSE_MAX_US);
-	if (config_fetch_is_behind(spread) && config_store_lacks(spread->store))
+		config_spread_random_time(spread, PAUSE_MIN_US, PAUSE_MAX_US);
+	if (config_fetch_is_behind(spread) &&
+	    config_store_has_missing(spread->store))
 		spread->fetch_at_us = spread->now_us;
 }
 
@@ -140,7 +144,7 @@
 	if (result == CONFIG_OFFER_ADOPTED || result == CONFIG_OFFER_NOT_NEWER)
 		note_success(spread);
 	else
-		note_failure(spread, "the store gave no body");
+		note_failure(spread, "no valid body in the object store");
 	config_spread_publish(spread);
 	config_fetch_next(spread);
 }
@@ -195,15 +199,16 @@
 		query.n_wanted = list_names(missing, wanted);
 	}
 	query.wanted = wanted;
-	ask(spread, member, CONFIG_FETCH_BODIES, &query);
+	send_query(spread, member, CONFIG_FETCH_BODIES, &query);
 }
 
 /*
- * A reader is among the first to know: hardly any peer has the body yet, so
- * it goes to the object store at once. The others, and one that has just
- * started and lacks everything, do so where two peers fail in a row.
+ * A reader is among the first to see a new head and hardly any peer has the
+ * body yet, so it reads the object store first. The other daemons, and a reader
+ * that has just started and lacks everything, read it after two peers failed in
+ * a row.
  */
-static bool prefers_store(const struct config_spread *spread)
+static bool prefers_object_store(const struct config_spread *spread)
 {
 	unsigned int turn = spread->tries % PEER_TRIES;
 
@@ -217,7 +222,7 @@
 	bool may_read = spread->platform_ops && !spread->platform_failed;
 	struct member *peer;
 
-	if (may_read && prefers_store(spread)) {
+	if (may_read && prefers_object_store(spread)) {
 		read_object(spread,
 			    &g_array_index(missing, struct config_version, 0));
 		return;
@@ -232,8 +237,9 @@
 		note_failure(spread, "no live peer");
 }
 
-/* The witness with the highest head, or who named a higher one by gossip. */
-static struct member *choose_first(struct config_spread *spread)
+/* Chooses the peer with the highest head among those asked at startup, or the
+ * one that named a higher head by gossip. */
+static struct member *choose_startup_peer(struct config_spread *spread)
 {
 	struct member *best =
 		member_table_find(spread->members, spread->best_host);
@@ -245,28 +251,29 @@
 	spread->hint_host[0] = '\0';
 	spread->best_host[0] = '\0';
 	spread->best_head = 0;
-	spread->witnesses = 0;
+	spread->startup_peer_count = 0;
 	return is_live_peer(spread, best) ? best : NULL;
 }
 
-/* Without the platform: the highest head that some live peers name. */
-static void fetch_first(struct config_spread *spread)
+/* Without the platform, a starting daemon asks some live peers for their heads
+ * and then fetches from the one with the highest. */
+static void fetch_at_startup(struct config_spread *spread)
 {
 	struct member *member = NULL;
 
 	if (!spread->platform_tried || !spread->platform_failed)
 		return;
-	if (spread->witnesses < CONFIG_SPREAD_WITNESSES)
-		member = draw_peer(spread);
+	if (spread->startup_peer_count < CONFIG_SPREAD_STARTUP_PEERS)
+		member = pick_random_peer(spread);
 	if (member) {
-		g_strlcpy(spread->witness_hosts[spread->witnesses++],
+		g_strlcpy(spread->startup_peer_hosts[spread->startup_peer_count++],
 			  member->host, MEMBER_HOST_MAX);
-		ask_simply(spread, member, CONFIG_FETCH_HEAD);
+		send_simple_query(spread, member, CONFIG_FETCH_HEAD);
 		return;
 	}
-	member = choose_first(spread);
+	member = choose_startup_peer(spread);
 	if (member)
-		ask_simply(spread, member, CONFIG_FETCH_LISTING);
+		send_simple_query(spread, member, CONFIG_FETCH_LISTING);
 	else
 		note_failure(spread, "no live peer");
 }
@@ -276,7 +283,7 @@
 	struct member *member = choose_peer(spread);
 
 	if (member)
-		ask_simply(spread, member, CONFIG_FETCH_LISTING);
+		send_simple_query(spread, member, CONFIG_FETCH_LISTING);
 	else
 		note_failure(spread, "no live peer");
 }
@@ -287,38 +294,39 @@
 
 	if (spread->step != CONFIG_FETCH_NONE ||
 	    spread->now_us < spread->fetch_at_us ||
-	    config_store_is_taking(spread->store) ||
+	    config_store_is_adopting(spread->store) ||
 	    !config_fetch_is_behind(spread))
 		return;
 	missing = config_store_missing(spread->store);
 	if (missing->len)
 		fetch_missing(spread, missing);
 	else if (!config_store_is_ready(spread->store))
-		fetch_first(spread);
+		fetch_at_startup(spread);
 	else
 		fetch_changes(spread);
 	g_array_unref(missing);
 }
 
-/* Who is only suspected may be slow to answer, as this one is to hear. */
+/* A suspected member is not gone: it may be slow to answer, or this daemon may
+ * be slow to receive. */
 static bool is_gone(const struct member *member)
 {
 	return !member || member->state == MEMBER_DEAD ||
 	       member->state == MEMBER_LEFT;
 }
 
-void config_fetch_check_time(struct config_spread *spread)
+void config_fetch_check_timeout(struct config_spread *spread)
 {
 	if (spread->step == CONFIG_FETCH_NONE ||
 	    spread->step == CONFIG_FETCH_OBJECT)
 		return;
 	if (is_gone(member_table_find(spread->members, spread->asked_host)))
-		note_failure(spread, "the peer is gone");
+		note_failure(spread, "the peer left or died");
 	else if (spread->now_us >= spread->give_up_us)
 		note_failure(spread, "no answer in time");
 }
 
-void config_fetch_drop_held(struct config_spread *spread)
+void config_fetch_drop_adopted_pieces(struct config_spread *spread)
 {
 	struct config_pieces *pieces = &spread->pieces;
 
@@ -334,47 +342,49 @@
 				  line->body.len) == CONFIG_OFFER_ADOPTED;
 }
 
-/* A body that came in pieces, on its way into force. */
-struct whole_body {
+/* A body that arrived in pieces and is being parsed and adopted in time
+ * slices. */
+struct complete_body {
 	struct config_spread *spread;
 	struct config_pieces pieces;
 };
 
-static void free_whole(void *data)
+static void free_complete_body(void *data)
 {
-	struct whole_body *whole = data;
+	struct complete_body *complete = data;
 
-	config_pieces_finish(&whole->pieces);
-	g_free(whole);
+	config_pieces_finish(&complete->pieces);
+	g_free(complete);
 }
 
-static void take_whole(void *data)
+static void adopt_complete_body(void *data)
 {
-	struct whole_body *whole = data;
-	struct config_spread *spread = whole->spread;
-	const struct config_pieces *pieces = &whole->pieces;
+	struct complete_body *complete = data;
+	struct config_spread *spread = complete->spread;
+	const struct config_pieces *pieces = &complete->pieces;
 	enum config_offer result = config_store_offer(
 		spread->store, pieces->name, pieces->version, pieces->sha256,
 		(const char *)pieces->bytes->data, pieces->bytes->len);
 
-	config_store_end_taking(spread->store);
+	config_store_end_adoption(spread->store);
 	if (result != CONFIG_OFFER_ADOPTED && result != CONFIG_OFFER_NOT_NEWER)
-		note_failure(spread, "the body was refused");
+		note_failure(spread, "the body was rejected");
 	config_spread_publish(spread);
 }
 
-static void begin_whole(struct config_spread *spread)
+static void begin_body_adoption(struct config_spread *spread)
 {
-	struct whole_body *whole = g_new0(struct whole_body, 1);
+	struct complete_body *complete = g_new0(struct complete_body, 1);
 
-	whole->spread = spread;
-	whole->pieces = spread->pieces;
+	complete->spread = spread;
+	complete->pieces = spread->pieces;
 	config_pieces_init(&spread->pieces);
-	config_store_begin_taking(spread->store);
-	slices_add(spread->slices, take_whole, free_whole, whole);
+	config_store_begin_adoption(spread->store);
+	slices_add(spread->slices, adopt_complete_body, free_complete_body,
+		   complete);
 }
 
-/* RETURN VALUE: whether there is more of the body than before. */
+/* RETURN VALUE: whether the piece extended the body. */
 static bool take_piece(struct config_spread *spread, const Cfd__ConfigLine *line)
 {
 	struct config_pieces *pieces = &spread->pieces;
@@ -382,13 +392,13 @@
 	if (config_store_holds(spread->store, line->namespace_, line->version) ||
 	    !config_pieces_add(pieces, line))
 		return false;
-	config_store_note_part(spread->store);
-	if (config_pieces_are_whole(pieces))
-		begin_whole(spread);
+	config_store_note_piece(spread->store);
+	if (config_pieces_are_complete(pieces))
+		begin_body_adoption(spread);
 	return true;
 }
 
-/* RETURN VALUE: whether a version, or a part of one, was new. */
+/* RETURN VALUE: whether the answer brought a new version or a piece of one. */
 static bool take_bodies(struct config_spread *spread,
 			const Cfd__ConfigBody *answer)
 {
@@ -430,8 +440,8 @@
 	g_array_unref(versions);
 }
 
-static void take_witness(struct config_spread *spread, const char *host,
-			 const Cfd__ConfigBody *answer)
+static void take_startup_head(struct config_spread *spread, const char *host,
+			      const Cfd__ConfigBody *answer)
 {
 	spread->step = CONFIG_FETCH_NONE;
 	if (!answer->ready)
@@ -450,7 +460,7 @@
 
 	if (answer->is_listing)
 		take_listing(spread, answer);
-	/* Who gave a piece has the others. */
+	/* The peer that sent a piece has the others as well. */
 	if (has_news && spread->pieces.bytes->len)
 		g_strlcpy(spread->hint_host, spread->asked_host,
 			  sizeof(spread->hint_host));
@@ -474,7 +484,7 @@
 		return;
 	}
 	if (spread->step == CONFIG_FETCH_HEAD)
-		take_witness(spread, host, answer);
+		take_startup_head(spread, host, answer);
 	else if (answer->busy || !answer->ready)
 		note_failure(spread, answer->busy ? "busy" : "not ready");
 	else
--- a/comfreydockd/operator/config.c
+++ b/comfreydockd/operator/config.c
@@ -5,23 +5,23 @@
 #include "comfreydockd/operator/handler.h"
 #include "common/jsonc.h"
 
-/* A request that waits for the platform. */
-struct waiting {
+/* An admin request that waits for an answer of the platform. */
+struct pending_reply {
 	struct operator_api *api;
 	struct http_request *request;
 	json_object *root;
 };
 
-static struct waiting *waiting_create(struct operator_api *api,
-				      struct http_request *request,
-				      json_object *root)
+static struct pending_reply *pending_reply_create(struct operator_api *api,
+						  struct http_request *request,
+						  json_object *root)
 {
-	struct waiting *waiting = g_new0(struct waiting, 1);
+	struct pending_reply *pending_reply = g_new0(struct pending_reply, 1);
 
-	waiting->api = api;
-	waiting->request = request;
-	waiting->root = root;
-	return waiting;
+	pending_reply->api = api;
+	pending_reply->request = request;
+	pending_reply->root = root;
+	return pending_reply;
 }
 
 static json_object *namespace_to_json(const struct config_namespace *ns,
@@ -57,11 +57,12 @@
 	return root;
 }
 
-/* What the platform says counts: it knows of applies that are not here yet. */
+/* Adds the commits from the platform's row, which has applies that this daemon
+ * has not received yet. */
 static void handle_row(enum config_platform_status status, uint64_t row_version,
 		       const char *value, size_t size, void *data)
 {
-	struct waiting *waiting = data;
+	struct pending_reply *pending_reply = data;
 	json_object *row = NULL;
 
 	(void)row_version;
@@ -70,12 +71,12 @@
 		row = value ? json_tokener_parse(value) :
 			      json_object_new_object();
 	json_object_object_add(
-		waiting->root, "commits",
+		pending_reply->root, "commits",
 		json_object_get(jsonc_get_array(row, "commits")));
-	jsonc_add_bool(waiting->root, "platform_answered", row != NULL);
+	jsonc_add_bool(pending_reply->root, "platform_answered", row != NULL);
 	json_object_put(row);
-	operator_reply(waiting->request, 200, waiting->root);
-	g_free(waiting);
+	operator_reply(pending_reply->request, 200, pending_reply->root);
+	g_free(pending_reply);
 }
 
 void operator_get_config(struct operator_api *api, struct http_request *request)
@@ -92,7 +93,7 @@
 	}
 	key = config_namespace_key(only);
 	api->platform_ops->get(api->platform, key, handle_row,
-			       waiting_create(api, request, root));
+			       pending_reply_create(api, request, root));
 	g_free(key);
 }
 
@@ -103,7 +104,8 @@
 	return file ? file : "request";
 }
 
-/* A group that nobody announces is a misspelling, or comes up later. */
+/* Warns of a group that no upstream announces. Its name may be misspelled, or
+ * its upstreams start later. */
 static void check_groups(struct operator_api *api,
 			 const struct config_namespace *ns, const char *file,
 			 struct findings *findings)
@@ -125,8 +127,8 @@
 	}
 }
 
-static bool clashes(const struct config_snapshot *snapshot,
-		    const struct config_namespace *ns, const char *file)
+static bool has_conflicts(const struct config_snapshot *snapshot,
+			  const struct config_namespace *ns, const char *file)
 {
 	struct findings findings;
 	bool has_errors;
@@ -139,13 +141,17 @@
 }
 
 /*
- * "That host belongs to another namespace already" ends an operator's work, and the
- * other namespace may have given it up in a version that is not here yet; one would
- * look for the owner of what nobody owns. So it is said only by what may be the newest.
+ * Answers 503 if the file conflicts with another namespace while the
+ * configuration held here may be stale. The other namespace may have given up
+ * the host or path in a version that is not here yet, and the finding "belongs
+ * to service ... already" would send the operator to look for an owner that no
+ * longer exists.
  *
- * RETURN VALUE: true where the request was answered so.
+ * RETURN VALUE
+ *	whether the request was answered.
  */
-static bool refuse_in_doubt(struct operator_api *api, struct http_request *request)
+static bool refuse_stale_conflict(struct operator_api *api,
+				  struct http_request *request)
 {
 	const struct config_store *store = api->daemon->config;
 	struct config_namespace *ns = NULL;
@@ -158,11 +164,11 @@
 	findings_init(&findings);
 	ns = config_namespace_load(file_argument(request),
 				   http_request_body(request)->str, &findings);
-	is_refused = ns && clashes(config_store_current(store), ns,
-				   file_argument(request));
+	is_refused = ns && has_conflicts(config_store_current(store), ns,
+					 file_argument(request));
 	if (is_refused) {
 		text = g_strdup_printf(
-			"it clashes with another namespace as held here, "
+			"conflict with another namespace as held here, "
 			"which may be old (head %" G_GUINT64_FORMAT
 			", known %" G_GUINT64_FORMAT "): try again",
 			config_store_head(store), config_store_known_head(store));
@@ -182,7 +188,7 @@
 	json_object *root;
 	bool passes;
 
-	if (refuse_in_doubt(api, request))
+	if (refuse_stale_conflict(api, request))
 		return;
 	findings_init(&findings);
 	ns = config_namespace_load(file, http_request_body(request)->str,
@@ -216,8 +222,9 @@
 	return 504;
 }
 
-/* The head tells that the platform's row is to be read at once, and the others
- * through gossip. */
+/* Adopts the version that was applied through this daemon. The note of the new
+ * head makes this daemon read the platform's row at once, and gossip then tells
+ * the others. */
 static void adopt_applied(struct config_store *store,
 			  const struct config_apply_outcome *outcome)
 {
@@ -229,11 +236,11 @@
 
 static void handle_applied(const struct config_apply_outcome *outcome, void *data)
 {
-	struct waiting *waiting = data;
+	struct pending_reply *pending_reply = data;
 	json_object *root = json_object_new_object();
 
 	if (outcome->result == CONFIG_APPLY_IN_FORCE)
-		adopt_applied(waiting->api->daemon->config, outcome);
+		adopt_applied(pending_reply->api->daemon->config, outcome);
 	jsonc_add_text(root, "result", config_apply_result_name(outcome->result));
 	jsonc_add_text(root, "namespace", outcome->name);
 	jsonc_add_uint(root, "base", outcome->base);
@@ -243,8 +250,9 @@
 	jsonc_add_bool(root, "was_in_force", outcome->was_in_force);
 	json_object_object_add(root, "findings",
 			       jsonc_from_findings(outcome->findings));
-	operator_reply(waiting->request, apply_status(outcome->result), root);
-	g_free(waiting);
+	operator_reply(pending_reply->request, apply_status(outcome->result),
+		       root);
+	g_free(pending_reply);
 }
 
 void operator_apply_config(struct operator_api *api, struct http_request *request)
@@ -262,16 +270,17 @@
 	if (!base || !apply.who ||
 	    !g_ascii_string_to_unsigned(base, 10, 0, G_MAXINT64, &number, NULL)) {
 		operator_reply_error(request, 400,
-				     "base=VERSION and who=NAME are needed");
+				     "base=VERSION and who=NAME are required");
 		return;
 	}
 	if (!api->platform_ops) {
-		operator_reply_error(request, 503, "the platform is not set up");
+		operator_reply_error(request, 503, "no platform is configured");
 		return;
 	}
-	if (refuse_in_doubt(api, request))
+	if (refuse_stale_conflict(api, request))
 		return;
 	apply.base = number;
 	config_apply_start(api->platform_ops, api->platform, &apply,
-			   handle_applied, waiting_create(api, request, NULL));
+			   handle_applied,
+			   pending_reply_create(api, request, NULL));
 }
--- a/comfreydockd/operator/gather.c
+++ b/comfreydockd/operator/gather.c
@@ -10,7 +10,8 @@
 #include "common/jsonc.h"
 #include "common/trace.h"
 
-/* As the entry words it in the notes of its events. */
+/* The entry writes the next host after this key into the notes of its
+ * events. */
 #define SENT_TO "to="
 
 struct gather {
@@ -20,8 +21,8 @@
 	uint64_t id;
 	char *trace;
 	json_object *events;
-	GHashTable *asked; /* host -> itself; those that have not answered */
-	GHashTable *known; /* host -> itself; all that were asked */
+	GHashTable *unanswered; /* set of hosts that have not answered yet */
+	GHashTable *queried; /* set of all hosts that were queried */
 	ev_timer timeout;
 };
 
@@ -38,7 +39,7 @@
 	GHashTableIter iter;
 	gpointer host;
 
-	g_hash_table_iter_init(&iter, gather->asked);
+	g_hash_table_iter_init(&iter, gather->unanswered);
 	while (g_hash_table_iter_next(&iter, &host, NULL))
 		json_object_array_add(missing, json_object_new_string(host));
 	json_object_object_add(root, "events", gather->events);
@@ -46,8 +47,8 @@
 	operator_reply(gather->request, 200, root);
 	ev_timer_stop(gather->gatherer->daemon->loop, &gather->timeout);
 	LIST_REMOVE(gather, link);
-	g_hash_table_unref(gather->asked);
-	g_hash_table_unref(gather->known);
+	g_hash_table_unref(gather->unanswered);
+	g_hash_table_unref(gather->queried);
 	g_free(gather->trace);
 	g_free(gather);
 }
@@ -59,18 +60,18 @@
 	gather_finish(timer->data);
 }
 
-static void gather_ask(struct gather *gather, const char *host)
+static void gather_query(struct gather *gather, const char *host)
 {
 	struct daemon *daemon = gather->gatherer->daemon;
 	const struct member *member = member_table_find(daemon->members, host);
 	Cfd__TimelineQuery query = CFD__TIMELINE_QUERY__INIT;
 	Cfd__Frame frame = CFD__FRAME__INIT;
 
-	if (g_hash_table_contains(gather->known, host) ||
-	    g_hash_table_size(gather->known) >= GATHER_MAX_HOSTS)
+	if (g_hash_table_contains(gather->queried, host) ||
+	    g_hash_table_size(gather->queried) >= GATHER_MAX_HOSTS)
 		return;
-	g_hash_table_add(gather->known, g_strdup(host));
-	g_hash_table_add(gather->asked, g_strdup(host));
+	g_hash_table_add(gather->queried, g_strdup(host));
+	g_hash_table_add(gather->unanswered, g_strdup(host));
 	if (!member || member->state == MEMBER_DEAD ||
 	    member->state == MEMBER_LEFT)
 		return;
@@ -81,8 +82,8 @@
 	peer_send(peers_connect(daemon->peers, member), &frame);
 }
 
-/* "seq=7 to=esja-07 may-queue=0" names the next daemon. */
-static void gather_follow(struct gather *gather, const char *note)
+/* Queries the daemon that a note names: "seq=7 to=esja-07 may-queue=0". */
+static void gather_query_next(struct gather *gather, const char *note)
 {
 	const char *to = strstr(note, SENT_TO);
 	char host[MEMBER_HOST_MAX];
@@ -91,10 +92,10 @@
 		return;
 	to += strlen(SENT_TO);
 	g_strlcpy(host, to, MIN(strcspn(to, " ") + 1, sizeof(host)));
-	gather_ask(gather, host);
+	gather_query(gather, host);
 }
 
-static void gather_take(struct gather *gather, const char *text)
+static void gather_add_events(struct gather *gather, const char *text)
 {
 	json_object *array = json_tokener_parse(text);
 
@@ -105,12 +106,13 @@
 
 		json_object_array_add(gather->events, json_object_get(event));
 		if (gather->gatherer->daemon->peers)
-			gather_follow(gather, jsonc_get_text(event, "note"));
+			gather_query_next(gather,
+					  jsonc_get_text(event, "note"));
 	}
 	json_object_put(array);
 }
 
-static char *own_events(const struct daemon *daemon, const char *trace)
+static char *local_events(const struct daemon *daemon, const char *trace)
 {
 	GString *text = g_string_new(NULL);
 
@@ -119,14 +121,16 @@
 	return g_string_free(text, FALSE);
 }
 
-static void handle_query(struct peer *peer, const Cfd__Frame *asked, void *data)
+static void handle_query(struct peer *peer, const Cfd__Frame *query_frame,
+			 void *data)
 {
 	struct gatherer *gatherer = data;
-	char *events = own_events(gatherer->daemon, asked->timeline_query->trace);
+	char *events = local_events(gatherer->daemon,
+				    query_frame->timeline_query->trace);
 	Cfd__TimelineReport report = CFD__TIMELINE_REPORT__INIT;
 	Cfd__Frame frame = CFD__FRAME__INIT;
 
-	report.id = asked->timeline_query->id;
+	report.id = query_frame->timeline_query->id;
 	report.events = events;
 	frame.kind_case = CFD__FRAME__KIND_TIMELINE_REPORT;
 	frame.timeline_report = &report;
@@ -143,14 +147,15 @@
 		if (gather->id == frame->timeline_report->id)
 			break;
 	}
-	if (!gather || !g_hash_table_remove(gather->asked, peer_host(peer)))
+	if (!gather || !g_hash_table_remove(gather->unanswered, peer_host(peer)))
 		return;
-	gather_take(gather, frame->timeline_report->events);
-	if (g_hash_table_size(gather->asked) == 0)
+	gather_add_events(gather, frame->timeline_report->events);
+	if (g_hash_table_size(gather->unanswered) == 0)
 		gather_finish(gather);
 }
 
-/* RETURN VALUE: whether a host gave this id, or may know of it. */
+/* RETURN VALUE: whether a host assigned this trace id, or may have events of
+ * it. */
 static bool host_may_know(const struct member *member, const char *trace)
 {
 	if (member->state != MEMBER_ALIVE && member->state != MEMBER_SUSPECT)
@@ -158,7 +163,7 @@
 	return !trace_names_host(trace) || trace_is_from(trace, member->host);
 }
 
-static void gather_ask_first(struct gather *gather)
+static void gather_query_origin(struct gather *gather)
 {
 	struct daemon *daemon = gather->gatherer->daemon;
 	struct member *member;
@@ -166,7 +171,7 @@
 	TAILQ_FOREACH (member, member_table_all(daemon->members), link) {
 		if (strcmp(member->host, daemon->settings->host) != 0 &&
 		    host_may_know(member, gather->trace))
-			gather_ask(gather, member->host);
+			gather_query(gather, member->host);
 	}
 }
 
@@ -201,26 +206,26 @@
 {
 	struct daemon *daemon = gatherer->daemon;
 	struct gather *gather = g_new0(struct gather, 1);
-	char *events = own_events(daemon, trace);
+	char *events = local_events(daemon, trace);
 
 	gather->gatherer = gatherer;
 	gather->request = request;
 	gather->id = ++gatherer->next_id;
 	gather->trace = g_strdup(trace);
 	gather->events = json_object_new_array();
-	gather->asked =
+	gather->unanswered =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	gather->known =
+	gather->queried =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	ev_timer_init(&gather->timeout, handle_timeout, GATHER_TIMEOUT_S, 0.0);
 	gather->timeout.data = gather;
 	LIST_INSERT_HEAD(&gatherer->gathers, gather, link);
-	g_hash_table_add(gather->known, g_strdup(daemon->settings->host));
+	g_hash_table_add(gather->queried, g_strdup(daemon->settings->host));
 	if (trace && daemon->peers)
-		gather_ask_first(gather);
-	gather_take(gather, events);
+		gather_query_origin(gather);
+	gather_add_events(gather, events);
 	g_free(events);
-	if (g_hash_table_size(gather->asked) == 0)
+	if (g_hash_table_size(gather->unanswered) == 0)
 		gather_finish(gather);
 	else
 		ev_timer_start(daemon->loop, &gather->timeout);
--- a/comfreydockd/operator/metrics.c
+++ b/comfreydockd/operator/metrics.c
@@ -10,8 +10,8 @@
 #include "common/metric.h"
 #include "common/tally.h"
 
-/* Of the kernel's figures for memory. */
-#define KILO 1024
+/* The unit of ru_maxrss in bytes. */
+#define RSS_UNIT_BYTES 1024
 
 static void append_members(GString *text, struct member_table *members)
 {
@@ -94,7 +94,7 @@
 			(double)told_age_us);
 }
 
-/* Under the names that collectors know from other programs. */
+/* Uses the metric names that collectors know from other programs. */
 static void append_process(GString *text)
 {
 	struct rusage usage;
@@ -111,7 +111,7 @@
 			       cpu_us / US_PER_S, cpu_us % US_PER_S);
 	metric_append_gauge(text, "memory_peak_bytes",
 			    "memory of this process at most",
-			    (double)usage.ru_maxrss * KILO);
+			    (double)usage.ru_maxrss * RSS_UNIT_BYTES);
 }
 
 void operator_get_metrics(struct operator_api *api, struct http_request *request)
--- a/tests/config_platform_fake.c
+++ b/tests/config_platform_fake.c
@@ -5,9 +5,9 @@
 #include "common/clock.h"
 #include "paused_clock.h"
 
-#define ROWS 3 /* of a transaction: the namespace, the head, the last changes */
+#define ROWS 3 /* of a transaction: namespace, head and recent row */
 
-/* One call, or its late effect. */
+/* One call, or the delayed effect of one. */
 struct task {
 	int64_t at_us;
 	struct fake_platform *platform;
@@ -111,24 +111,24 @@
 	}
 }
 
-static bool happens(int percent)
+static bool chance(int percent)
 {
 	return g_test_rand_int_range(0, 100) < percent;
 }
 
-/* Draws what becomes of a call and posts it. */
+/* Draws a fault for a call at random and queues the call. */
 static void post_faulty(struct fake_platform *p, struct task task)
 {
 	int64_t ms = g_test_rand_int_range(1, 2 + p->faults.slow_ms);
 	struct task late = task;
 
-	if (happens(p->faults.unavailable)) {
+	if (chance(p->faults.unavailable)) {
 		task.status = CONFIG_PLATFORM_UNAVAILABLE;
 		task.writes = false;
-	} else if (happens(p->faults.lost)) {
+	} else if (chance(p->faults.lost)) {
 		task.status = CONFIG_PLATFORM_UNKNOWN;
-		task.writes = task.writes && happens(50);
-	} else if (task.writes && happens(p->faults.late)) {
+		task.writes = task.writes && chance(50);
+	} else if (task.writes && chance(p->faults.late)) {
 		for (int i = 0; i < ROWS; i++) {
 			late.keys[i] = g_strdup(task.keys[i]);
 			late.values[i] = g_strdup(task.values[i]);
--- a/tests/test_config_apply.c
+++ b/tests/test_config_apply.c
@@ -7,7 +7,7 @@
 #include "config_platform_fake.h"
 #include "paused_clock.h"
 
-/* One operator's file and what he was told. */
+/* One operator's file and the outcome reported to the operator. */
 struct operator
 {
 	char who[16];
@@ -85,7 +85,7 @@
 	g_assert_true(config_head_parse(head, row ? row->value : NULL));
 }
 
-static void test_version_by_version(void)
+static void test_consecutive_versions(void)
 {
 	struct operator op = {0};
 	struct fake_platform p;
@@ -117,7 +117,8 @@
 	return copy;
 }
 
-/* RETURN VALUE: what a daemon holds that has adopted the operator's file. */
+/* RETURN VALUE: the snapshot of a daemon that has adopted the operator's
+ * file. */
 static struct config_snapshot *holding(const struct operator* op, uint64_t version)
 {
 	struct config_snapshot *none = config_snapshot_create();
@@ -135,9 +136,10 @@
 	return snapshot;
 }
 
-/* Guards against an apply that is acknowledged under a number which daemons hold
- * with another content, after the platform's store was set back: none takes it. */
-static void test_numbers_go_on_after_the_store_was_set_back(void)
+/* Guards against an apply that is acknowledged but adopted by no daemon. After
+ * the platform's store is restored to an older state, a new version could get a
+ * number that daemons already hold with other content. */
+static void test_numbers_continue_after_store_rollback(void)
 {
 	char *key = config_namespace_key("a");
 	struct config_apply_request request = {.base = 3, .known_head = 3};
@@ -174,10 +176,8 @@
 	g_free(key);
 }
 
-/*
- * The platform is down for long. The operator must hear that nothing was
- * changed, and not be left to guess.
- */
+/* Guards against an unclear outcome while the platform is down for long: the
+ * operator must be told that nothing was changed. */
 static void test_platform_down(void)
 {
 	struct operator op = {0};
@@ -195,8 +195,9 @@
 }
 
 /*
- * The write took effect and its answer was lost. An operator who is told
- * "failed" would apply again on top, or believe the old rules in force.
+ * Guards against the report of a failure for a write that took effect and whose
+ * answer was lost. The operator would apply again on top of it or believe that
+ * the old rules are in force.
  */
 static void test_lost_answer_is_resolved(void)
 {
@@ -220,7 +221,7 @@
 			g_assert_true(is_there);
 		else if (op.result == CONFIG_APPLY_REFUSED)
 			g_assert_false(is_there);
-		/* Asking again, with the platform well, always tells. */
+		/* Once the platform works, applying again gives the outcome. */
 		p.faults.lost = 0;
 		start(&p, &op, "a", 1, 0);
 		fake_platform_run(&p);
@@ -233,9 +234,9 @@
 	operator_finish(&op);
 }
 
-/* What one operator was told must agree with what the rows say afterwards. */
-static void check_told(const struct operator* op,
-		       const struct config_history *history)
+/* Checks that the outcome reported to one operator agrees with the rows. */
+static void check_outcome(const struct operator* op,
+			  const struct config_history *history)
 {
 	bool is_there = false;
 	char hash[65];
@@ -265,7 +266,7 @@
 	}
 }
 
-static void check_rows(struct fake_platform *p, struct operator* ops_told,
+static void check_rows(struct fake_platform *p, struct operator* operators,
 		       int count)
 {
 	static const char *const names[] = {"a", "b"};
@@ -288,7 +289,7 @@
 							 .version +
 						 1);
 		for (int i = n; i < count; i += 2)
-			check_told(&ops_told[i], &history);
+			check_outcome(&operators[i], &history);
 		config_history_finish(&history);
 	}
 	g_assert_cmpuint(head.head, ==, sum);
@@ -296,16 +297,16 @@
 }
 
 /*
- * Five operators of two teams apply at once, round after round, while the
- * platform loses answers, is slow, and lets writes take effect seconds after
- * it gave up on them. Nobody may be told what the rows then contradict.
+ * Guards against outcomes that the rows contradict. Five operators of two teams
+ * apply at once in several rounds while the platform is slow, loses answers and
+ * applies writes seconds after it reported them as unknown.
  */
-static void test_five_operators_race(void)
+static void test_concurrent_operators(void)
 {
 	unsigned int told[4] = {0};
 
 	for (int seed = 0; seed < 300; seed++) {
-		struct operator ops_told[5] = {0};
+		struct operator operators[5] = {0};
 		struct fake_platform p;
 
 		fake_platform_init(&p);
@@ -321,17 +322,17 @@
 				const char *name = i % 2 ? "b" : "a";
 
 				read_history(&p, name, &history);
-				start(&p, &ops_told[i], name, round * 5 + i,
+				start(&p, &operators[i], name, round * 5 + i,
 				      config_history_version(&history));
 				config_history_finish(&history);
 			}
 			fake_platform_run(&p);
-			check_rows(&p, ops_told, 5);
+			check_rows(&p, operators, 5);
 			for (int i = 0; i < 5; i++)
-				told[ops_told[i].result]++;
+				told[operators[i].result]++;
 		}
 		for (int i = 0; i < 5; i++)
-			operator_finish(&ops_told[i]);
+			operator_finish(&operators[i]);
 		fake_platform_finish(&p);
 	}
 	g_test_message("in force %u, refused %u, conflict %u, unknown %u",
@@ -343,11 +344,11 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/apply/versions", test_version_by_version);
-	g_test_add_func("/apply/set-back",
-			test_numbers_go_on_after_the_store_was_set_back);
+	g_test_add_func("/apply/versions", test_consecutive_versions);
+	g_test_add_func("/apply/store-rollback",
+			test_numbers_continue_after_store_rollback);
 	g_test_add_func("/apply/down", test_platform_down);
 	g_test_add_func("/apply/lost-answer", test_lost_answer_is_resolved);
-	g_test_add_func("/apply/race", test_five_operators_race);
+	g_test_add_func("/apply/race", test_concurrent_operators);
 	return g_test_run();
 }
--- a/tests/test_config_store.c
+++ b/tests/test_config_store.c
@@ -89,10 +89,10 @@
 }
 
 /*
- * Offers come from many peers in any order, some long delayed. If an old one
- * were taken, a town's desk would be served by rules that were replaced.
+ * Guards against a return to replaced rules: offers come from many peers in any
+ * order, some with long delays, and an old one must not be adopted.
  */
-static void test_versions_never_go_back(struct fixture *f, gconstpointer unused)
+static void test_versions_never_decrease(struct fixture *f, gconstpointer unused)
 {
 	uint64_t highest[3] = {0};
 
@@ -115,7 +115,7 @@
 	}
 }
 
-/* A request began under a rule and is still in flight when it is replaced. */
+/* Guards against a rule that changes under a request in flight. */
 static void test_requests_keep_their_snapshot(struct fixture *f,
 					      gconstpointer unused)
 {
@@ -131,7 +131,8 @@
 	config_snapshot_unref(mine);
 }
 
-/* A peer hands over a body that was cut or belongs to another namespace. */
+/* Guards against bodies that a peer has truncated or that belong to another
+ * namespace. */
 static void test_bad_offers_change_nothing(struct fixture *f, gconstpointer unused)
 {
 	struct config_version line = version_of("a", 1);
@@ -153,11 +154,12 @@
 }
 
 /*
- * A restarted daemon remembers nothing. It is ready only when it holds all
- * that the listing names; before, it would answer for services it lacks.
+ * Guards against a daemon that is ready too early. A restarted daemon holds
+ * nothing, and before it has everything in the listing it would answer for
+ * services it lacks.
  */
-static void test_head_is_reached_with_the_last_body(struct fixture *f,
-						    gconstpointer unused)
+static void test_head_advances_with_last_body(struct fixture *f,
+					      gconstpointer unused)
 {
 	struct config_version listing[] = {version_of("a", 4),
 					   version_of("b", 2)};
@@ -182,10 +184,10 @@
 	g_assert_cmpuint(f->behind, ==, 1);
 }
 
-/* The word of a peer on a version that is still on its way is kept until that is
- * here; that of one which holds an older version is as good. */
-static void test_word_of_peers_keeps_its_age(struct fixture *f,
-					     gconstpointer unused)
+/* Guards against a wrong age of the last confirmation. A peer's confirmation of
+ * a head that is not reached yet counts once it is reached; a confirmation of
+ * an older head counts at once. */
+static void test_told_age_of_peers_is_kept(struct fixture *f, gconstpointer unused)
 {
 	struct config_version listing[] = {version_of("a", 4)};
 
@@ -208,9 +210,10 @@
 }
 
 /*
- * A peer names a head that was never in force as far as the platform knows: its rows
- * were put back, or the peer was wrong. All that does not exist would be told to come
- * back, for ever. The platform's word counts if it was asked for after that.
+ * Guards against endless doubt after a peer names a head that the platform does
+ * not have, because its rows were rolled back or the peer was wrong. Every
+ * request without a rule would be told to come back for ever. An answer of the
+ * platform drops the head if the platform was asked after the peer named it.
  */
 static void test_false_head_is_dropped(struct fixture *f, gconstpointer unused)
 {
@@ -231,9 +234,10 @@
 	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_BEHIND);
 }
 
-/* A listing was noted, and its head is known of no other way. */
-static void test_listing_alone_is_reason_for_doubt(struct fixture *f,
-						   gconstpointer unused)
+/* Guards against a missed update when a listing alone shows it and no higher
+ * head was named. */
+static void test_listing_alone_raises_doubt(struct fixture *f,
+					    gconstpointer unused)
 {
 	struct config_version listing[] = {version_of("a", 4)};
 
@@ -247,16 +251,16 @@
 	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_BEHIND);
 }
 
-static void test_empty_platform_is_ready_too(struct fixture *f,
-					     gconstpointer unused)
+static void test_empty_platform_makes_ready(struct fixture *f,
+					    gconstpointer unused)
 {
 	(void)unused;
 	config_store_note_listing(f->store, 0, NULL, 0);
 	g_assert_true(config_store_is_ready(f->store));
 }
 
-static void test_file_holds_until_a_version(struct fixture *f,
-					    gconstpointer unused)
+static void test_file_is_replaced_by_a_version(struct fixture *f,
+					       gconstpointer unused)
 {
 	char *file = g_build_filename(g_getenv("COMFREYDOCK_SOURCE"), "docs",
 				      "operators", "lookup.sample.json", NULL);
@@ -284,14 +288,14 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	ADD("/store/never-back", test_versions_never_go_back);
+	ADD("/store/never-decrease", test_versions_never_decrease);
 	ADD("/store/in-flight", test_requests_keep_their_snapshot);
 	ADD("/store/bad-offers", test_bad_offers_change_nothing);
-	ADD("/store/head", test_head_is_reached_with_the_last_body);
-	ADD("/store/word", test_word_of_peers_keeps_its_age);
+	ADD("/store/head", test_head_advances_with_last_body);
+	ADD("/store/told-age", test_told_age_of_peers_is_kept);
 	ADD("/store/false-head", test_false_head_is_dropped);
-	ADD("/store/listing", test_listing_alone_is_reason_for_doubt);
-	ADD("/store/empty-platform", test_empty_platform_is_ready_too);
-	ADD("/store/file", test_file_holds_until_a_version);
+	ADD("/store/listing", test_listing_alone_raises_doubt);
+	ADD("/store/empty-platform", test_empty_platform_makes_ready);
+	ADD("/store/file", test_file_is_replaced_by_a_version);
 	return g_test_run();
 }
--- a/tests/test_follow.c
+++ b/tests/test_follow.c
@@ -19,7 +19,7 @@
 	void *data;
 };
 
-/* The store, as its client shows it: a reading and a watch may be open. */
+/* A fake platform client: one read and one watch may be open at a time. */
 struct platform {
 	struct open_call get;
 	struct open_call watch;
@@ -63,7 +63,7 @@
 	return store.get.handler || store.watch.handler;
 }
 
-/* Answers the reading, where one is open, else the watch. */
+/* Answers the open read, if there is one, else the watch. */
 static void answer(enum platform_status status, uint64_t version, char *value)
 {
 	struct platform_row row = {
@@ -94,7 +94,7 @@
 	}
 }
 
-/* A row's value is its version here; "x" can't be read. */
+/* The value of a row is its version in this test; "x" can't be parsed. */
 static bool read_row(const char *value, size_t size, uint64_t *version,
 		     char **body, const char **error, void *data)
 {
@@ -161,7 +161,8 @@
 	g_assert_cmpuint(held(), ==, 7);
 	run_ms(300);
 	g_assert_cmpuint(store.after, ==, 15);
-	/* Half a minute without news: watched on from there. */
+	/* After half a minute without a change the watch continues from
+	 * there. */
 	answer(PLATFORM_OK, 20, NULL);
 	run_ms(10);
 	g_assert_cmpuint(store.after, ==, 20);
@@ -169,10 +170,10 @@
 }
 
 /*
- * The store serves an older row after a newer one, as a copy that is behind may.
- * Put in force it would send callers to a service that was taken out.
+ * Guards against an older row from a replica of the store that lags behind. If
+ * it were adopted, callers would be sent to a service that was removed.
  */
-static void test_never_goes_back(void)
+static void test_older_row_is_ignored(void)
 {
 	begin();
 	answer(PLATFORM_OK, 12, (char *)"7");
@@ -182,8 +183,9 @@
 	finish();
 }
 
-/* The history was dropped while the watch was away: the row itself tells. */
-static void test_lost_history_is_read_anew(void)
+/* Guards against a stuck watch after the store dropped its history: the daemon
+ * must read the row itself. */
+static void test_lost_history_rereads_row(void)
 {
 	begin();
 	answer(PLATFORM_OK, 12, (char *)"2");
@@ -197,11 +199,11 @@
 }
 
 /*
- * The store is away. Daemons that asked again at once would keep it busy with
- * nothing else as it comes back; one that waited for long would leave its
- * callers without what has changed.
+ * Guards against wrong retry rates while the store is unavailable. Immediate
+ * retries of all daemons would overload it as it returns; long delays would
+ * keep callers on the old configuration.
  */
-static void test_outage_is_waited_out(void)
+static void test_outage_backs_off(void)
 {
 	unsigned int asked;
 
@@ -221,7 +223,8 @@
 	finish();
 }
 
-/* A row that can't be read changes nothing, and the watch goes on. */
+/* Guards against a row that can't be parsed: nothing changes, and the watch
+ * continues. */
 static void test_unreadable_row_changes_nothing(void)
 {
 	begin();
@@ -247,7 +250,8 @@
 	member_table_update(members, &member, 1);
 }
 
-/* In a large domain a few watch, and the others hear of it from them. */
+/* Guards against too many watches: in a large domain a few daemons watch, and
+ * the others hear of changes from them. */
 static void test_few_of_many_watch(void)
 {
 	begin();
@@ -259,7 +263,8 @@
 	finish();
 }
 
-/* Two hundred of a domain, so that this daemon does not watch, hold version 2. */
+/* Begins with version 2 in a domain of 200 others, so that this daemon does not
+ * watch. */
 static void begin_among_many(void)
 {
 	begin();
@@ -271,18 +276,19 @@
 }
 
 /*
- * A version is out, and the peers who hold it don't get it across: it is too large
- * for them, or they are busy, or something new is wrong. Callers here meet the old
- * routes although the store is at hand. The daemon reads it by itself, not at once,
- * as its peers mostly manage, and not together with all the others.
+ * Guards against a daemon that keeps old routes although the store is
+ * reachable. Peers that hold the new version fail to send it, because it is too
+ * large, they are busy or there is another fault. The daemon must read the row
+ * itself: not at once, since peers mostly succeed, and not at the same time as
+ * all others.
  */
-static void test_who_stays_behind_reads_alone(void)
+static void test_lagging_daemon_reads_row_itself(void)
 {
 	begin_among_many();
 	config_store_note_head(config, 9, "host-1");
-	run_ms(CONFIG_FOLLOW_BEHIND_US / US_PER_MS - 10);
+	run_ms(CONFIG_FOLLOW_PEER_GRACE_US / US_PER_MS - 10);
 	g_assert_false(is_asked());
-	run_ms(200 * CONFIG_FOLLOW_APART_US / US_PER_MS + 20);
+	run_ms(200 * CONFIG_FOLLOW_READ_SPACING_US / US_PER_MS + 20);
 	g_assert_true(is_asked());
 	g_assert_nonnull(store.get.handler);
 	answer(PLATFORM_UNAVAILABLE, 0, NULL);
@@ -296,21 +302,22 @@
 	finish();
 }
 
-/* The usual case: a peer gives it in time, and the store is not asked. */
-static void test_who_is_helped_asks_nobody(void)
+/* Guards against needless reads: if a peer sends the version in time, the store
+ * must not be read. */
+static void test_version_from_peer_avoids_read(void)
 {
 	struct config_version version = {.name = NAMESPACE, .version = 9, .at = 9};
 	char *body = g_strdup_printf(FILE_FORMAT, "9");
 
 	begin_among_many();
 	config_store_note_head(config, 9, "host-1");
-	/* Its parts take longer than most versions do. */
+	/* Its pieces take longer to arrive than those of most versions. */
 	for (int i = 0; i < 40; i++) {
 		run_ms(100);
-		config_store_note_part(config);
+		config_store_note_piece(config);
 	}
 	config_store_note_listing(config, 9, &version, 1);
-	config_store_take(config, &version, body);
+	config_store_offer_trusted(config, &version, body);
 	g_free(body);
 	g_assert_cmpuint(held(), ==, 9);
 	run_ms(10000);
@@ -320,10 +327,11 @@
 }
 
 /*
- * Versions follow each other faster than one of that size crosses the link: pieces
- * keep coming, and none is ever whole. Waiting for them has to end.
+ * Guards against an endless wait for pieces: if versions follow each other
+ * faster than one crosses the link, pieces keep arriving but no version is ever
+ * complete.
  */
-static void test_pieces_that_lead_nowhere(void)
+static void test_endless_pieces_do_not_prevent_read(void)
 {
 	uint64_t head = 9;
 
@@ -331,7 +339,7 @@
 	for (int i = 0; i < 600 && !is_asked(); i++) {
 		if (i % 10 == 0)
 			config_store_note_head(config, head++, "host-1");
-		config_store_note_part(config);
+		config_store_note_piece(config);
 		run_ms(100);
 		g_assert_true(i > 45 || !is_asked());
 	}
@@ -340,17 +348,18 @@
 }
 
 /*
- * One that watches: its watch was lost without a word and ends after half a minute.
- * Peers name a higher head and can't give it.
+ * Guards against a delay of half a minute: a watch is lost without an error and
+ * ends only after that time, while peers name a higher head but can't send the
+ * version.
  */
-static void test_watcher_whose_watch_is_lost(void)
+static void test_lost_watch_is_bypassed_by_read(void)
 {
 	begin();
 	answer(PLATFORM_OK, 12, (char *)"2");
 	run_ms(300);
 	g_assert_nonnull(store.watch.handler);
 	config_store_note_head(config, 9, "host-1");
-	run_ms(CONFIG_FOLLOW_BEHIND_US / US_PER_MS + 200);
+	run_ms(CONFIG_FOLLOW_PEER_GRACE_US / US_PER_MS + 200);
 	g_assert_nonnull(store.get.handler);
 	answer(PLATFORM_OK, 30, (char *)"9");
 	g_assert_cmpuint(held(), ==, 9);
@@ -360,8 +369,9 @@
 	finish();
 }
 
-/* Nobody gets the version, and all read by themselves. The store serves 100 reads a
- * second beside what it is there for, also in the minutes after the first. */
+/* Guards against an overload of the store when no daemon gets a version from
+ * peers and all read the row themselves: at most 100 reads a second, also in
+ * the minutes after the first read. */
 static void test_rate_of_reads(void)
 {
 	enum {
@@ -391,16 +401,18 @@
 	g_test_init(&argc, &argv, NULL);
 	log_init(LOG_FORMAT_NONE, "test");
 	g_test_add_func("/follow/watch", test_row_is_read_then_watched);
-	g_test_add_func("/follow/never-back", test_never_goes_back);
-	g_test_add_func("/follow/history", test_lost_history_is_read_anew);
-	g_test_add_func("/follow/outage", test_outage_is_waited_out);
+	g_test_add_func("/follow/older-row", test_older_row_is_ignored);
+	g_test_add_func("/follow/history", test_lost_history_rereads_row);
+	g_test_add_func("/follow/outage", test_outage_backs_off);
 	g_test_add_func("/follow/unreadable",
 			test_unreadable_row_changes_nothing);
 	g_test_add_func("/follow/few", test_few_of_many_watch);
-	g_test_add_func("/follow/alone", test_who_stays_behind_reads_alone);
-	g_test_add_func("/follow/helped", test_who_is_helped_asks_nobody);
-	g_test_add_func("/follow/nowhere", test_pieces_that_lead_nowhere);
-	g_test_add_func("/follow/lost-watch", test_watcher_whose_watch_is_lost);
+	g_test_add_func("/follow/own-read", test_lagging_daemon_reads_row_itself);
+	g_test_add_func("/follow/from-peer", test_version_from_peer_avoids_read);
+	g_test_add_func("/follow/endless-pieces",
+			test_endless_pieces_do_not_prevent_read);
+	g_test_add_func("/follow/lost-watch",
+			test_lost_watch_is_bypassed_by_read);
 	g_test_add_func("/follow/rate", test_rate_of_reads);
 	return g_test_run();
 }
--- a/tests/test_known_rules.c
+++ b/tests/test_known_rules.c
@@ -31,10 +31,10 @@
 }
 
 /*
- * A team changes one of many rules. A daemon that reads all of them again stops
- * for milliseconds, and every request in it waits as long.
+ * Guards against a pause of milliseconds for every request when a team changes
+ * one of many rules and the daemon parses all of them again.
  */
-static void test_rules_that_stay_are_taken_over(void)
+static void test_unchanged_rules_are_reused(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
 	struct config_namespace *next =
@@ -49,8 +49,9 @@
 	config_namespace_unref(next);
 }
 
-/* One letter of a rule changes: the one before must not answer for it. */
-static void test_a_changed_rule_is_read(void)
+/* Guards against a cached rule that is used although one letter of its text
+ * changed. */
+static void test_changed_rule_is_parsed(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
 	struct config_namespace *next =
@@ -64,24 +65,26 @@
 }
 
 /*
- * A rule that leaves its destination to the service means another group in
- * another service; taken over, a team's requests would go to the wrong upstreams.
+ * Guards against requests to the wrong upstreams. A rule without destinations
+ * uses the group of its service, so the same text in another service means
+ * another group.
  */
-static void test_a_rule_without_destinations_follows_its_service(void)
+static void test_rule_without_destinations_is_not_reused(void)
 {
 	struct config_namespace *first =
 		load(BODY(",\"group\":\"old\"", RULE("a", "/a", "")));
 	struct config_namespace *next =
 		load(BODY(",\"group\":\"new\"", RULE("a", "/a", "")));
 
-	g_assert_cmpstr(config_rule_draw(rule_of(first, 0), 0), ==, "old");
-	g_assert_cmpstr(config_rule_draw(rule_of(next, 0), 0), ==, "new");
+	g_assert_cmpstr(config_rule_select_group(rule_of(first, 0), 0), ==,
+			"old");
+	g_assert_cmpstr(config_rule_select_group(rule_of(next, 0), 0), ==, "new");
 	config_namespace_unref(first);
 	config_namespace_unref(next);
 }
 
-/* Two rules that are each right may not stand beside or behind one another;
- * that they are known must not let them pass. */
+/* Guards against cached rules that skip the checks between rules: two valid
+ * rules may have the same name, or one may shadow the other. */
 static void test_known_rules_are_checked_together(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
@@ -94,8 +97,9 @@
 	config_namespace_unref(wide);
 }
 
-/* What a body says in place of a rule must not pass for one that was read. */
-static void test_no_text_passes_for_a_known_rule(void)
+/* Guards against malformed text in place of a rule that passes for a cached
+ * rule. */
+static void test_malformed_items_are_not_taken_for_known_rules(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
 
@@ -121,8 +125,9 @@
 	config_namespace_unref(first);
 }
 
-/* A body that can't be cut, here for its comment, means the same. */
-static void test_whole_text_means_the_same(void)
+/* Guards against different results for a body that can't be cut, here because
+ * of its comment. */
+static void test_uncut_body_gives_the_same_rules(void)
 {
 	struct config_namespace *first = load(BODY("", TWO));
 	struct config_namespace *next = load(BODY("", TWO "/* }, */"));
@@ -136,15 +141,15 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/known_rules/taken-over",
-			test_rules_that_stay_are_taken_over);
-	g_test_add_func("/known_rules/changed", test_a_changed_rule_is_read);
+	g_test_add_func("/known_rules/reused", test_unchanged_rules_are_reused);
+	g_test_add_func("/known_rules/changed", test_changed_rule_is_parsed);
 	g_test_add_func("/known_rules/no-destination",
-			test_a_rule_without_destinations_follows_its_service);
-	g_test_add_func("/known_rules/together",
+			test_rule_without_destinations_is_not_reused);
+	g_test_add_func("/known_rules/shadowing",
 			test_known_rules_are_checked_together);
-	g_test_add_func("/known_rules/forged",
-			test_no_text_passes_for_a_known_rule);
-	g_test_add_func("/known_rules/whole", test_whole_text_means_the_same);
+	g_test_add_func("/known_rules/malformed",
+			test_malformed_items_are_not_taken_for_known_rules);
+	g_test_add_func("/known_rules/uncut",
+			test_uncut_body_gives_the_same_rules);
 	return g_test_run();
 }
--- a/tests/test_operator.c
+++ b/tests/test_operator.c
@@ -14,9 +14,9 @@
 #include "common/clock.h"
 #include "common/http_client.h"
 #include "common/jsonc.h"
-#include "sample.h"
+#include "sample_config.h"
 
-/* An owner whose running count the test sets. */
+/* A fake owner; the test sets its number of running requests. */
 struct owner {
 	struct owner_status status;
 	uint16_t port;
@@ -65,7 +65,7 @@
 	*status = owner->status;
 }
 
-/* One member and one group. */
+/* A fake member table with one group. */
 struct member_table {
 	struct member_list all;
 	GPtrArray *group;
@@ -233,7 +233,7 @@
 		g_error("expected \"%s\" in: %s", expected, f->answer.body->str);
 }
 
-static void pass_turns(struct fixture *f, int turns)
+static void run_loop_iterations(struct fixture *f, int turns)
 {
 	for (int i = 0; i < turns; i++) {
 		ev_run(f->daemon.loop, EVRUN_NOWAIT);
@@ -243,7 +243,7 @@
 
 static void offer_sample(struct fixture *f, uint64_t version)
 {
-	char *text = sample_read();
+	char *text = sample_config_read();
 	char sha256[65];
 
 	config_body_sha256(text, strlen(text), sha256);
@@ -253,9 +253,10 @@
 	g_free(text);
 }
 
-/* Whoever looks at an alert sees which configuration a daemon holds and how old
- * that is, and whether the retries of a service are used up. */
-static void test_metrics_tell_the_configuration(struct fixture *f,
+/* Guards against metrics that don't show which configuration a daemon holds,
+ * how old it is and whether the retry budget of a service is used up. An
+ * operator needs all three to handle an alert. */
+static void test_metrics_show_the_configuration(struct fixture *f,
 						gconstpointer unused)
 {
 	(void)unused;
@@ -270,15 +271,16 @@
 }
 
 /*
- * A host name was given up by one namespace and is applied with another, at a daemon
- * that has not got the first change yet. It told the operator that the name belongs
- * to the other namespace, which is so no more.
+ * Guards against a false conflict. One namespace gave up a host name and
+ * another takes it, but this daemon has not received the first change yet. It
+ * must not tell the operator that the name still belongs to the first
+ * namespace.
  */
-static void test_clash_with_what_may_be_old(struct fixture *f,
-					    gconstpointer unused)
+static void test_conflict_with_stale_configuration(struct fixture *f,
+						   gconstpointer unused)
 {
 	const char *path = "/v1/config/check";
-	char *sample = sample_read();
+	char *sample = sample_config_read();
 	GString *other = g_string_new(sample);
 
 	(void)unused;
@@ -308,7 +310,7 @@
 	call(f, "GET", "/v1/upstream/drain", NULL, 405, "wrong method");
 }
 
-static void test_a_request_is_cleared(struct fixture *f, gconstpointer data)
+static void test_quarantine_is_cleared(struct fixture *f, gconstpointer data)
 {
 	const char *path = "/v1/quarantine/clear?content=0000000000000abc";
 	int64_t now = clock_mono_us();
@@ -328,9 +330,9 @@
 }
 
 /*
- * An operator lists the hosts of a daemon that knows hundreds. In one answer all
- * of 22,000 would take more memory than a daemon may have and hold up its calls;
- * a page that left one out would hide a host from the operator.
+ * Guards against hosts that are missing from the pages of a listing. The
+ * listing has pages because one answer with 22,000 hosts would need more memory
+ * than a daemon may use and would delay its calls.
  */
 static void test_hosts_come_in_pages(struct fixture *f, gconstpointer unused)
 {
@@ -373,7 +375,8 @@
 	g_free(more);
 }
 
-/* Somebody else on the network finds the admin port. */
+/* Guards against use of the admin port by anyone on the network without a
+ * token. */
 static void test_token_is_needed(struct fixture *f, gconstpointer token)
 {
 	static const char *const wrong[] = {"", "s", "secreT", "secretsecret"};
@@ -408,8 +411,8 @@
 }
 
 /*
- * The upstream is told to end and asks first. If it were told "may stop" while
- * a request runs, that caller would be cut off in the middle of its answer.
+ * Guards against a broken answer: if the upstream were told "may stop" while a
+ * request runs, it would exit and break off that answer.
  */
 static void test_stop_waits_for_the_last_request(struct fixture *f,
 						 gconstpointer unused)
@@ -417,7 +420,7 @@
 	(void)unused;
 	f->owner.status.running = 1;
 	begin(f, "POST", "/v1/upstream/stop", "");
-	pass_turns(f, 30);
+	run_loop_iterations(f, 30);
 	g_assert_cmpint(f->owner.status.state, ==, OWNER_DRAINING);
 	g_assert_cmpuint(f->answers, ==, 0);
 	f->owner.status.running = 0;
@@ -427,16 +430,16 @@
 	g_assert_nonnull(strstr(f->answer.body->str, "may stop"));
 }
 
-/* The operator thinks better of it while the stop still waits. */
-static void test_resume_takes_the_stop_back(struct fixture *f,
-					    gconstpointer unused)
+/* Guards against a stop that stays in effect after the operator resumes the
+ * upstream. */
+static void test_resume_cancels_stop(struct fixture *f, gconstpointer unused)
 {
 	(void)unused;
 	f->owner.status.running = 1;
 	begin(f, "POST", "/v1/upstream/stop", "");
-	pass_turns(f, 30);
+	run_loop_iterations(f, 30);
 	begin(f, "POST", "/v1/upstream/resume", "");
-	pass_turns(f, 60);
+	run_loop_iterations(f, 60);
 	g_assert_cmpint(f->owner.status.state, ==, OWNER_UP);
 	f->owner.status.running = 0;
 	owner_settle(&f->owner);
@@ -491,11 +494,11 @@
 		.put_object = platform_put,
 		.wait = platform_wait,
 	};
-	char *sample = sample_read();
+	char *sample = sample_config_read();
 	const char *path = "/v1/config/apply?base=0&who=anna";
 
 	(void)unused;
-	call(f, "POST", path, sample, 503, "not set up");
+	call(f, "POST", path, sample, 503, "no platform is configured");
 	operator_api_set_platform(f->daemon.operator_api, &ops, f);
 	call(f, "POST", "/v1/config/check?file=f.json", sample, 200,
 	     "no upstream announces \\\"lookup-desk\\\"");
@@ -514,7 +517,8 @@
 	     "\"winner\":\"anna\"");
 	call(f, "GET", "/v1/config?namespace=spurningalina", NULL, 200,
 	     "\"who\":\"anna\"");
-	/* Asked of every daemon after an apply: the platform is left alone. */
+	/* This query goes to every daemon after an apply, so it must not read
+	 * the platform. */
 	call(f, "GET", "/v1/config?namespace=spurningalina&held=1", NULL, 200,
 	     "\"version\":1");
 	g_assert_null(strstr(f->answer.body->str, "platform_answered"));
@@ -530,14 +534,15 @@
 	g_test_init(&argc, &argv, NULL);
 	ADD("/operator/paths", NULL, test_paths);
 	ADD("/operator/configuration-age", NULL,
-	    test_metrics_tell_the_configuration);
-	ADD("/operator/clash", NULL, test_clash_with_what_may_be_old);
+	    test_metrics_show_the_configuration);
+	ADD("/operator/stale-conflict", NULL,
+	    test_conflict_with_stale_configuration);
 	ADD("/operator/hosts", NULL, test_hosts_come_in_pages);
-	ADD("/operator/quarantine", NULL, test_a_request_is_cleared);
+	ADD("/operator/quarantine", NULL, test_quarantine_is_cleared);
 	ADD("/operator/token", "secret", test_token_is_needed);
 	ADD("/operator/announce", NULL, test_upstream_announces_itself);
 	ADD("/operator/stop", NULL, test_stop_waits_for_the_last_request);
-	ADD("/operator/stop-resumed", NULL, test_resume_takes_the_stop_back);
+	ADD("/operator/stop-resumed", NULL, test_resume_cancels_stop);
 	ADD("/operator/apply", NULL, test_check_and_apply);
 	return g_test_run();
 }
