--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -284,9 +284,9 @@
 		  LOG_INT("after_us", attempt->head_us - attempt->sent_us));
 	fields_init(&fields);
 	for (size_t i = 0; i < answer->n_headers; i++)
-		fields_add_passed(&fields, call->entry->daemon->headers,
-				  answer->headers[i]->name,
-				  answer->headers[i]->value);
+		fields_add_forwarded(&fields, call->entry->daemon->headers,
+				     answer->headers[i]->name,
+				     answer->headers[i]->value);
 	outcome_add_fields(&fields, call->entry->daemon->headers, "run", NULL,
 			   call->trace);
 	call->sink->handle_head(call->sink_data, answer->status, &fields,
--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -152,8 +152,9 @@
 
 	fields_init(&call->fields);
 	for (size_t i = 0; i < fields->count; i++)
-		fields_add_passed(&call->fields, headers, fields->items[i]->name,
-				  fields->items[i]->value);
+		fields_add_forwarded(&call->fields, headers,
+				     fields->items[i]->name,
+				     fields->items[i]->value);
 	if (headers->caller_service)
 		fields_add(&call->fields, headers->caller_service,
 			   daemon->settings->service);
--- a/comfreydockd/config/spread_peers.c
+++ b/comfreydockd/config/spread_peers.c
@@ -92,10 +92,10 @@
 	peers->daemon = daemon;
 	peers->ops = (struct config_spread_ops){ask, publish, peers};
 	peers->spread = config_spread_create(&options, clock_mono_us());
-	peers_on_frame(daemon->peers, CFD__FRAME__KIND_CONFIG_QUERY,
-		       handle_query, peers);
-	peers_on_frame(daemon->peers, CFD__FRAME__KIND_CONFIG_BODY,
-		       handle_answer, peers);
+	peers_set_frame_handler(daemon->peers, CFD__FRAME__KIND_CONFIG_QUERY,
+				handle_query, peers);
+	peers_set_frame_handler(daemon->peers, CFD__FRAME__KIND_CONFIG_BODY,
+				handle_answer, peers);
 	ev_timer_init(&peers->tick, handle_tick, 0.0,
 		      (double)CONFIG_SPREAD_TICK_US / US_PER_S);
 	peers->tick.data = peers;
--- a/comfreydockd/on_platform.c
+++ b/comfreydockd/on_platform.c
@@ -35,14 +35,14 @@
 {
 	const struct on_platform *on = data;
 
-	return owner_take_report(on->daemon->owner, report);
+	return owner_handle_report(on->daemon->owner, report);
 }
 
 static void take_leave(const char *instance, void *data)
 {
 	const struct on_platform *on = data;
 
-	owner_take_leave(on->daemon->owner, instance);
+	owner_handle_leave(on->daemon->owner, instance);
 }
 
 static bool read_manifest(const char *value, size_t size, uint64_t *version,
--- a/comfreydockd/operator/gather.c
+++ b/comfreydockd/operator/gather.c
@@ -178,10 +178,10 @@
 	LIST_INIT(&gatherer->gathers);
 	if (!daemon->peers)
 		return gatherer;
-	peers_on_frame(daemon->peers, CFD__FRAME__KIND_TIMELINE_QUERY,
-		       handle_query, gatherer);
-	peers_on_frame(daemon->peers, CFD__FRAME__KIND_TIMELINE_REPORT,
-		       handle_report, gatherer);
+	peers_set_frame_handler(daemon->peers, CFD__FRAME__KIND_TIMELINE_QUERY,
+				handle_query, gatherer);
+	peers_set_frame_handler(daemon->peers, CFD__FRAME__KIND_TIMELINE_REPORT,
+				handle_report, gatherer);
 	return gatherer;
 }
 
--- a/comfreydockd/peer/fields.c
+++ b/comfreydockd/peer/fields.c
@@ -15,7 +15,7 @@
 #define NAME(text) {text, sizeof(text) - 1}
 /* clang-format on */
 
-static const struct name not_passed[] = {
+static const struct name not_forwarded[] = {
 	NAME("Connection"),
 	NAME("Content-Length"), /* the frames tell the length */
 	NAME("Expect"),
@@ -72,9 +72,9 @@
 }
 
 /* Lengths first: nearly every field of every call is compared with each name. */
-static bool is_ours(const struct headers *headers, const char *name)
+static bool is_own_header(const struct headers *headers, const char *name)
 {
-	const char *const ours[] = {
+	const char *const own_headers[] = {
 		headers->trace,
 		headers->deadline_ms,
 		headers->depth,
@@ -82,8 +82,8 @@
 		headers->expected_instance,
 	};
 
-	for (size_t i = 0; i < G_N_ELEMENTS(ours); i++) {
-		if (ours[i] && strcasecmp(name, ours[i]) == 0)
+	for (size_t i = 0; i < G_N_ELEMENTS(own_headers); i++) {
+		if (own_headers[i] && strcasecmp(name, own_headers[i]) == 0)
 			return true;
 	}
 	return false;
@@ -93,16 +93,16 @@
 {
 	size_t length = strlen(name);
 
-	for (size_t i = 0; i < G_N_ELEMENTS(not_passed); i++) {
-		if (not_passed[i].length == length &&
-		    strcasecmp(name, not_passed[i].text) == 0)
+	for (size_t i = 0; i < G_N_ELEMENTS(not_forwarded); i++) {
+		if (not_forwarded[i].length == length &&
+		    strcasecmp(name, not_forwarded[i].text) == 0)
 			return true;
 	}
-	return is_ours(headers, name);
+	return is_own_header(headers, name);
 }
 
-void fields_add_passed(struct fields *fields, const struct headers *headers,
-		       const char *name, const char *value)
+void fields_add_forwarded(struct fields *fields, const struct headers *headers,
+			  const char *name, const char *value)
 {
 	if (!field_is_hop_by_hop(headers, name))
 		fields_add(fields, name, value);
--- a/comfreydockd/peer/hello.c
+++ b/comfreydockd/peer/hello.c
@@ -9,8 +9,8 @@
 void peer_send_hello(struct peer *peer, bool with_proof)
 {
 	const struct settings *settings = peer->peers->daemon->settings;
-	struct greeting_key key = {settings->peer_key, settings->peer_key_size};
-	uint8_t proof[GREETING_PROOF_BYTES];
+	struct handshake_key key = {settings->peer_key, settings->peer_key_size};
+	uint8_t proof[HANDSHAKE_PROOF_BYTES];
 	Cfd__Hello hello = CFD__HELLO__INIT;
 	Cfd__Frame frame = CFD__FRAME__INIT;
 
@@ -18,13 +18,13 @@
 	hello.host = settings->host;
 	hello.incarnation = peer->peers->daemon->incarnation;
 	hello.nonce.data = peer->our_nonce;
-	hello.nonce.len = GREETING_NONCE_BYTES;
+	hello.nonce.len = HANDSHAKE_NONCE_BYTES;
 	if (with_proof) {
-		greeting_prove(&key, peer->outgoing ? "entry" : "owner",
-			       settings->host, peer->their_nonce,
-			       peer->our_nonce, proof);
+		handshake_make_proof(&key, peer->outgoing ? "entry" : "owner",
+				     settings->host, peer->their_nonce,
+				     peer->our_nonce, proof);
 		hello.proof.data = proof;
-		hello.proof.len = GREETING_PROOF_BYTES;
+		hello.proof.len = HANDSHAKE_PROOF_BYTES;
 	}
 	frame.kind_case = CFD__FRAME__KIND_HELLO;
 	frame.hello = &hello;
@@ -39,18 +39,19 @@
 	link_fail(peer->link, why);
 }
 
-static bool peer_proof_is_good(struct peer *peer, const Cfd__Hello *hello)
+static bool peer_proof_is_valid(struct peer *peer, const Cfd__Hello *hello)
 {
 	const struct settings *settings = peer->peers->daemon->settings;
-	struct greeting_key key = {settings->peer_key, settings->peer_key_size};
-	uint8_t proof[GREETING_PROOF_BYTES];
+	struct handshake_key key = {settings->peer_key, settings->peer_key_size};
+	uint8_t proof[HANDSHAKE_PROOF_BYTES];
 
-	if (hello->proof.len != GREETING_PROOF_BYTES)
+	if (hello->proof.len != HANDSHAKE_PROOF_BYTES)
 		return false;
-	greeting_prove(&key, peer->outgoing ? "owner" : "entry", hello->host,
-		       peer->our_nonce, peer->their_nonce, proof);
-	return greeting_proofs_match(proof, hello->proof.data,
-				     GREETING_PROOF_BYTES);
+	handshake_make_proof(&key, peer->outgoing ? "owner" : "entry",
+			     hello->host, peer->our_nonce, peer->their_nonce,
+			     proof);
+	return handshake_proofs_match(proof, hello->proof.data,
+				      HANDSHAKE_PROOF_BYTES);
 }
 
 static void peer_release_held(struct peer *peer)
@@ -83,26 +84,26 @@
 }
 
 /* First word of the entry: who it is, and its nonce. */
-static void peer_take_first_hello(struct peer *peer, const Cfd__Hello *hello)
+static void peer_handle_initial_hello(struct peer *peer, const Cfd__Hello *hello)
 {
-	if (hello->nonce.len != GREETING_NONCE_BYTES) {
+	if (hello->nonce.len != HANDSHAKE_NONCE_BYTES) {
 		peer_refuse(peer, "greeting without a nonce");
 		return;
 	}
 	g_strlcpy(peer->host, hello->host, sizeof(peer->host));
 	peer->incarnation = hello->incarnation;
-	memcpy(peer->their_nonce, hello->nonce.data, GREETING_NONCE_BYTES);
+	memcpy(peer->their_nonce, hello->nonce.data, HANDSHAKE_NONCE_BYTES);
 	peer_send_hello(peer, true);
 }
 
-static void peer_take_owner_hello(struct peer *peer, const Cfd__Hello *hello)
+static void peer_handle_owner_hello(struct peer *peer, const Cfd__Hello *hello)
 {
-	if (hello->nonce.len != GREETING_NONCE_BYTES) {
+	if (hello->nonce.len != HANDSHAKE_NONCE_BYTES) {
 		peer_refuse(peer, "greeting without a nonce");
 		return;
 	}
-	memcpy(peer->their_nonce, hello->nonce.data, GREETING_NONCE_BYTES);
-	if (!peer_proof_is_good(peer, hello)) {
+	memcpy(peer->their_nonce, hello->nonce.data, HANDSHAKE_NONCE_BYTES);
+	if (!peer_proof_is_valid(peer, hello)) {
 		peer_refuse(peer, "wrong key");
 		return;
 	}
@@ -115,22 +116,22 @@
 	peer_become_ready(peer);
 }
 
-void peer_take_hello(struct peer *peer, const Cfd__Hello *hello)
+void peer_handle_hello(struct peer *peer, const Cfd__Hello *hello)
 {
 	if (hello->version != PEERS_PROTOCOL_VERSION) {
 		peer_refuse(peer, "another protocol version");
 		return;
 	}
 	if (peer->outgoing) {
-		peer_take_owner_hello(peer, hello);
+		peer_handle_owner_hello(peer, hello);
 		return;
 	}
 	if (!peer->host[0]) {
-		peer_take_first_hello(peer, hello);
+		peer_handle_initial_hello(peer, hello);
 		return;
 	}
 	if (strcmp(hello->host, peer->host) != 0 ||
-	    !peer_proof_is_good(peer, hello)) {
+	    !peer_proof_is_valid(peer, hello)) {
 		peer_refuse(peer, "wrong key");
 		return;
 	}
--- a/comfreydockd/peer/link.c
+++ b/comfreydockd/peer/link.c
@@ -15,7 +15,7 @@
 
 /* An empty buffer that was larger is given back: of a thousand links, most are
  * silent at any moment, and each would keep the room of its largest frame. */
-#define KEPT_BYTES 2048
+#define BUFFER_KEEP_BYTES 2048
 
 struct link {
 	LIST_ENTRY(link) link;
@@ -26,11 +26,11 @@
 	struct link *other; /* the memory link's far end */
 	ev_io reader;
 	ev_io writer;
-	ev_timer closer; /* also: input for a memory link */
+	ev_timer close_timer; /* also: input for a memory link */
 	GByteArray *in;
 	GByteArray *out;
-	guint in_most; /* since the buffer was allocated */
-	guint out_most;
+	guint in_peak; /* since the buffer was allocated */
+	guint out_peak;
 	size_t out_start;
 	uint64_t queued; /* bytes ever sent by our side */
 	uint64_t handed; /* of them, given to the kernel or the far end */
@@ -51,17 +51,17 @@
 
 static void buffer_trim(GByteArray **buffer, guint *most)
 {
-	if (*most <= KEPT_BYTES)
+	if (*most <= BUFFER_KEEP_BYTES)
 		return;
 	g_byte_array_unref(*buffer);
 	*buffer = g_byte_array_new();
 	*most = 0;
 }
 
-static void link_take_bytes(struct link *link, const uint8_t *bytes, guint size)
+static void link_append_input(struct link *link, const uint8_t *bytes, guint size)
 {
 	g_byte_array_append(link->in, bytes, size);
-	link->in_most = MAX(link->in_most, link->in->len);
+	link->in_peak = MAX(link->in_peak, link->in->len);
 }
 
 void link_fail(struct link *link, const char *error)
@@ -72,12 +72,12 @@
 	g_strlcpy(link->error, error, sizeof(link->error));
 	ev_io_stop(link->group->loop, &link->reader);
 	ev_io_stop(link->group->loop, &link->writer);
-	ev_timer_stop(link->group->loop, &link->closer);
-	ev_timer_set(&link->closer, 0.0, 0.0);
-	ev_timer_start(link->group->loop, &link->closer);
+	ev_timer_stop(link->group->loop, &link->close_timer);
+	ev_timer_set(&link->close_timer, 0.0, 0.0);
+	ev_timer_start(link->group->loop, &link->close_timer);
 }
 
-static bool link_take_frame(struct link *link, const uint8_t *data, size_t size)
+static bool link_handle_frame(struct link *link, const uint8_t *data, size_t size)
 {
 	Cfd__Frame *frame = cfd__frame__unpack(NULL, size, data);
 
@@ -122,7 +122,7 @@
 		if (link->in->len - at - LENGTH_BYTES < size)
 			break;
 		at += LENGTH_BYTES + size;
-		if (!link_take_frame(link, link->in->data + at - size, size))
+		if (!link_handle_frame(link, link->in->data + at - size, size))
 			break;
 	}
 	link->dispatching = false;
@@ -133,7 +133,7 @@
 	if (at > 0)
 		g_byte_array_remove_range(link->in, 0, (guint)at);
 	if (link->in->len == 0)
-		buffer_trim(&link->in, &link->in_most);
+		buffer_trim(&link->in, &link->in_peak);
 	return true;
 }
 
@@ -143,7 +143,7 @@
 	ssize_t got = recv(link->fd, chunk, READ_CHUNK_BYTES, MSG_DONTWAIT);
 
 	if (got > 0)
-		link_take_bytes(link, chunk, (guint)got);
+		link_append_input(link, chunk, (guint)got);
 	return got;
 }
 
@@ -182,7 +182,7 @@
 	if (link->out_start == link->out->len) {
 		g_byte_array_set_size(link->out, 0);
 		link->out_start = 0;
-		buffer_trim(&link->out, &link->out_most);
+		buffer_trim(&link->out, &link->out_peak);
 	} else if (link->out_start > READ_TURN_BYTES) {
 		g_byte_array_remove_range(link->out, 0, (guint)link->out_start);
 		link->out_start = 0;
@@ -218,7 +218,7 @@
 }
 
 /* The far end's owner is called from the loop, never from link_send(). */
-static void link_pass(struct link *link)
+static void link_deliver_to_other(struct link *link)
 {
 	size_t left = link->out->len - link->out_start;
 	struct link *other = link->other;
@@ -227,12 +227,12 @@
 		link_fail(link, "closed by the peer");
 		return;
 	}
-	link_take_bytes(other, link->out->data + link->out_start, (guint)left);
+	link_append_input(other, link->out->data + link->out_start, (guint)left);
 	link_drop_written(link, left);
 	link_parse(other);
 }
 
-static void link_clean(struct link *link)
+static void link_unmark_dirty(struct link *link)
 {
 	if (!link->dirty)
 		return;
@@ -245,15 +245,15 @@
 	struct link *link;
 
 	while ((link = LIST_FIRST(&group->dirty))) {
-		link_clean(link);
+		link_unmark_dirty(link);
 		if (link->failed)
 			continue;
 		if (link->fd < 0)
-			link_pass(link);
+			link_deliver_to_other(link);
 		else
 			link_write(link);
 	}
-	ev_timer_stop(group->loop, &group->soon);
+	ev_timer_stop(group->loop, &group->flush_timer);
 }
 
 static void handle_flush(struct ev_loop *loop, ev_prepare *prepare, int events)
@@ -263,7 +263,7 @@
 	link_group_flush(prepare->data);
 }
 
-static void handle_soon(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_flush_timer(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	(void)loop;
 	(void)events;
@@ -277,16 +277,16 @@
 	LIST_INIT(&group->dirty);
 	LIST_INIT(&group->all);
 	ev_prepare_init(&group->flush, handle_flush);
-	ev_timer_init(&group->soon, handle_soon, 0.0, 0.0);
+	ev_timer_init(&group->flush_timer, handle_flush_timer, 0.0, 0.0);
 	group->flush.data = group;
-	group->soon.data = group;
+	group->flush_timer.data = group;
 	ev_prepare_start(loop, &group->flush);
 }
 
 void link_group_finish(struct link_group *group)
 {
 	ev_prepare_stop(group->loop, &group->flush);
-	ev_timer_stop(group->loop, &group->soon);
+	ev_timer_stop(group->loop, &group->flush_timer);
 	g_free(group->chunk);
 }
 
@@ -303,7 +303,7 @@
 	}
 }
 
-static void handle_closer(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_close_timer(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct link *link = timer->data;
 
@@ -324,10 +324,10 @@
 	link->out = g_byte_array_new();
 	ev_io_init(&link->reader, handle_readable, fd, EV_READ);
 	ev_io_init(&link->writer, handle_writable, fd, EV_WRITE);
-	ev_timer_init(&link->closer, handle_closer, 0.0, 0.0);
+	ev_timer_init(&link->close_timer, handle_close_timer, 0.0, 0.0);
 	link->reader.data = link;
 	link->writer.data = link;
-	link->closer.data = link;
+	link->close_timer.data = link;
 	LIST_INSERT_HEAD(&group->all, link, link);
 	return link;
 }
@@ -360,8 +360,8 @@
 		return;
 	ev_io_stop(link->group->loop, &link->reader);
 	ev_io_stop(link->group->loop, &link->writer);
-	ev_timer_stop(link->group->loop, &link->closer);
-	link_clean(link);
+	ev_timer_stop(link->group->loop, &link->close_timer);
+	link_unmark_dirty(link);
 	LIST_REMOVE(link, link);
 	if (link->other) {
 		link->other->other = NULL;
@@ -386,7 +386,7 @@
 	link->dirty = true;
 	LIST_INSERT_HEAD(&link->group->dirty, link, dirty_link);
 	/* Keeps the loop from waiting if its prepare step is over already. */
-	ev_timer_start(link->group->loop, &link->group->soon);
+	ev_timer_start(link->group->loop, &link->group->flush_timer);
 }
 
 uint64_t link_send(struct link *link, const Cfd__Frame *frame)
@@ -399,7 +399,7 @@
 	if (link->failed)
 		return position;
 	g_byte_array_set_size(link->out, at + LENGTH_BYTES + (guint)size);
-	link->out_most = MAX(link->out_most, link->out->len);
+	link->out_peak = MAX(link->out_peak, link->out->len);
 	memcpy(link->out->data + at, &length, LENGTH_BYTES);
 	cfd__frame__pack(frame, link->out->data + at + LENGTH_BYTES);
 	link->queued += LENGTH_BYTES + size;
--- a/comfreydockd/peer/peers.c
+++ b/comfreydockd/peer/peers.c
@@ -15,7 +15,7 @@
 #define SWEEP_S 1.0
 
 /* RETURN VALUE: false if nobody asked for frames of this kind. */
-static bool peer_hand_over(struct peer *peer, const Cfd__Frame *frame)
+static bool peer_call_frame_handler(struct peer *peer, const Cfd__Frame *frame)
 {
 	const struct peers_handler *handler =
 		&peer->peers->handlers[frame->kind_case % PEERS_KINDS];
@@ -35,13 +35,13 @@
 	peer->last_heard_us = peer->last_used_us;
 	if (peer->state == PEER_READY &&
 	    frame->kind_case != CFD__FRAME__KIND_HELLO) {
-		if (!peer_hand_over(peer, frame))
+		if (!peer_call_frame_handler(peer, frame))
 			peer->role->handle_frame(peer, frame, peer->role->data);
 		return;
 	}
-	if (peer->state == PEER_GREETING &&
+	if (peer->state == PEER_HANDSHAKING &&
 	    frame->kind_case == CFD__FRAME__KIND_HELLO) {
-		peer_take_hello(peer, frame->hello);
+		peer_handle_hello(peer, frame->hello);
 		return;
 	}
 	peer_refuse(peer, "frame out of order");
@@ -78,8 +78,8 @@
 	peer_free(peer);
 }
 
-static void handle_greeting_timeout(struct ev_loop *loop, ev_timer *timer,
-				    int events)
+static void handle_handshake_timeout(struct ev_loop *loop, ev_timer *timer,
+				     int events)
 {
 	struct peer *peer = timer->data;
 
@@ -98,8 +98,8 @@
 	peer->held = g_ptr_array_new_with_free_func(
 		(GDestroyNotify)g_byte_array_unref);
 	peer->last_used_us = clock_mono_us();
-	greeting_make_nonce(peer->our_nonce);
-	ev_timer_init(&peer->timeout, handle_greeting_timeout,
+	handshake_make_nonce(peer->our_nonce);
+	ev_timer_init(&peer->timeout, handle_handshake_timeout,
 		      PEERS_CONNECT_TIMEOUT_S, 0.0);
 	peer->timeout.data = peer;
 	LIST_INSERT_HEAD(&peers->all, peer, link_all);
@@ -227,10 +227,10 @@
 	peers->owner = *role;
 }
 
-void peers_on_frame(struct peers *peers, Cfd__Frame__KindCase kind,
-		    void (*handle)(struct peer *peer, const Cfd__Frame *frame,
-				   void *data),
-		    void *data)
+void peers_set_frame_handler(struct peers *peers, Cfd__Frame__KindCase kind,
+			     void (*handle)(struct peer *peer,
+					    const Cfd__Frame *frame, void *data),
+			     void *data)
 {
 	peers->handlers[kind].handle = handle;
 	peers->handlers[kind].data = data;
@@ -366,7 +366,7 @@
 	return peers->count;
 }
 
-void peers_tell_entries(struct peers *peers, const Cfd__Frame *frame)
+void peers_notify_entries(struct peers *peers, const Cfd__Frame *frame)
 {
 	struct peer *peer;
 
--- a/comfreydockd/upstream/answer.c
+++ b/comfreydockd/upstream/answer.c
@@ -20,7 +20,7 @@
 }
 
 /* 408, 421, 429 and 503 tell a caller that nothing has run. */
-static bool is_promise(unsigned int status)
+static bool status_implies_not_run(unsigned int status)
 {
 	return status == 408 || status == STATUS_MISDIRECTED || status == 429 ||
 	       status == 503;
@@ -34,16 +34,16 @@
 	return given && strcmp(given, trace) == 0;
 }
 
-static bool is_coded(const struct fields *fields)
+static bool has_content_coding(const struct fields *fields)
 {
 	const char *coding = fields_find(fields, "Content-Encoding");
 
 	return coding && strcmp(coding, "identity") != 0;
 }
 
-enum answer_verdict answer_judge(const struct headers *headers,
-				 const char *trace, unsigned int status,
-				 const struct fields *fields)
+enum answer_verdict answer_classify(const struct headers *headers,
+				    const char *trace, unsigned int status,
+				    const struct fields *fields)
 {
 	bool has_signature;
 
@@ -56,10 +56,10 @@
 		return ANSWER_NOT_RUN;
 	if (status == STATUS_MISDIRECTED)
 		return ANSWER_OTHER_INSTANCE;
-	if (is_promise(status))
+	if (status_implies_not_run(status))
 		return ANSWER_UNCLEAR;
 	has_signature = fields_find(fields, headers->signature);
-	if (!has_trace(headers, trace, fields) || is_coded(fields) ||
+	if (!has_trace(headers, trace, fields) || has_content_coding(fields) ||
 	    (!has_signature && status < 400))
 		return ANSWER_STRANGE;
 	return ANSWER_GOOD;
--- a/comfreydockd/upstream/attempts.c
+++ b/comfreydockd/upstream/attempts.c
@@ -24,7 +24,7 @@
 {
 	if (attempt->peer)
 		LIST_REMOVE(attempt, link);
-	owner_forget_held(attempt->owner, attempt);
+	owner_remove_held(attempt->owner, attempt);
 	run_destroy(attempt->run);
 	if (attempt->body)
 		g_byte_array_unref(attempt->body);
@@ -115,14 +115,14 @@
 	return false;
 }
 
-static enum answer_verdict attempt_judge(const struct owner_attempt *attempt,
-					 unsigned int status,
-					 const struct fields *fields)
+static enum answer_verdict attempt_classify(const struct owner_attempt *attempt,
+					    unsigned int status,
+					    const struct fields *fields)
 {
 	if (status_is_shed(attempt, status))
 		return ANSWER_NOT_RUN;
-	return answer_judge(owner_daemon(attempt->owner)->headers,
-			    attempt->request->trace, status, fields);
+	return answer_classify(owner_daemon(attempt->owner)->headers,
+			       attempt->request->trace, status, fields);
 }
 
 static bool handle_head(void *data, unsigned int status,
@@ -138,7 +138,7 @@
 	latency_note_us(&latencies.owner_upstream,
 			attempt->head_us - attempt->started_us);
 	owner_note_answer(attempt->owner, fields);
-	attempt->verdict = attempt_judge(attempt, status, fields);
+	attempt->verdict = attempt_classify(attempt, status, fields);
 	if (attempt->verdict != ANSWER_GOOD)
 		return false;
 	if (!attempt->peer)
@@ -169,7 +169,7 @@
 	attempt_send_body(attempt, bytes, size, false, false);
 }
 
-static void handle_taken(void *data, size_t size)
+static void handle_body_consumed(void *data, size_t size)
 {
 	struct owner_attempt *attempt = data;
 	Cfd__Window window = CFD__WINDOW__INIT;
@@ -191,8 +191,8 @@
 	attempt_owner_step(&attempt->state, OWNER_FINISH);
 	attempt_note(attempt, EV_OWNER_DONE, LOG_INT("status", attempt->status),
 		     LOG_INT("took_us", clock_mono_us() - attempt->started_us));
-	owner_note_over(attempt->owner, attempt,
-			failed ? LIMIT_OUTCOME_FAILED : LIMIT_OUTCOME_OK);
+	owner_note_finished(attempt->owner, attempt,
+			    failed ? LIMIT_OUTCOME_FAILED : LIMIT_OUTCOME_OK);
 	owner_note_run(attempt->owner, true);
 	attempt_send_body(attempt, NULL, 0, true, false);
 	attempt_destroy(attempt);
@@ -206,7 +206,7 @@
 	Cfd__Reason reason = CFD__REASON__REASON_CONNECT;
 
 	attempt_owner_step(&attempt->state, OWNER_NEVER_BEGAN);
-	owner_note_over(owner, attempt, LIMIT_OUTCOME_OVERLOAD);
+	owner_note_finished(owner, attempt, LIMIT_OUTCOME_OVERLOAD);
 	if (attempt->verdict == ANSWER_NOT_RUN) {
 		reason = CFD__REASON__REASON_SHED;
 	} else if (attempt->verdict == ANSWER_OTHER_INSTANCE) {
@@ -225,7 +225,7 @@
 	counters.owner_broken++;
 	attempt_note(attempt, EV_OWNER_BROKEN, LOG_STR("why", why),
 		     LOG_INT("took_us", clock_mono_us() - attempt->started_us));
-	owner_note_over(attempt->owner, attempt, LIMIT_OUTCOME_CANCELLED);
+	owner_note_finished(attempt->owner, attempt, LIMIT_OUTCOME_CANCELLED);
 	if (has_head)
 		attempt_send_body(attempt, NULL, 0, false, true);
 	else
@@ -262,7 +262,7 @@
 		attempt_finish_strange(attempt);
 	} else {
 		owner_note_broken(owner, attempt);
-		attempt_finish_broken(attempt, result == RUN_CUT,
+		attempt_finish_broken(attempt, result == RUN_TRUNCATED,
 				      "the upstream broke off");
 	}
 	owner_note_run(owner, false);
@@ -273,7 +273,8 @@
 	/* Nothing was written yet: the certain answer is the better one. */
 	if (!run_has_begun(attempt->run)) {
 		attempt_owner_step(&attempt->state, OWNER_NEVER_BEGAN);
-		owner_note_over(attempt->owner, attempt, LIMIT_OUTCOME_CANCELLED);
+		owner_note_finished(attempt->owner, attempt,
+				    LIMIT_OUTCOME_CANCELLED);
 		attempt_refuse(attempt, CFD__REASON__REASON_CANCELLED, 0);
 		return;
 	}
@@ -296,7 +297,7 @@
 	if (attempt->peer)
 		LIST_REMOVE(attempt, link);
 	attempt->peer = NULL;
-	attempt_take_window(attempt, INT32_MAX);
+	attempt_add_credit(attempt, INT32_MAX);
 }
 
 static void add_number_field(struct fields *fields, const char *name,
@@ -334,7 +335,7 @@
 	static const struct run_callbacks callbacks = {
 		.handle_head = handle_head,
 		.handle_body = handle_body,
-		.handle_taken = handle_taken,
+		.handle_body_consumed = handle_body_consumed,
 		.handle_done = handle_done,
 	};
 	const Cfd__Attempt *request = attempt->request;
@@ -351,7 +352,7 @@
 
 	attempt_owner_step(&attempt->state, OWNER_START);
 	attempt->started_us = now;
-	attempt->busy = owner_running(attempt->owner);
+	attempt->busy_slots = owner_running(attempt->owner);
 	attempt->pace_percent = owner_pace_percent(attempt->owner);
 	attempt->credit += request->answer_window ? request->answer_window :
 						    ATTEMPT_ANSWER_WINDOW;
@@ -372,7 +373,7 @@
 			     attempt->body->len, attempt->body_ends);
 }
 
-void attempt_take_body(struct owner_attempt *attempt, const Cfd__Body *body)
+void attempt_add_body(struct owner_attempt *attempt, const Cfd__Body *body)
 {
 	attempt->body_ends |= body->ends;
 	if (attempt->run) {
@@ -386,7 +387,7 @@
 			    (guint)body->data.len);
 }
 
-void attempt_take_window(struct owner_attempt *attempt, uint32_t bytes)
+void attempt_add_credit(struct owner_attempt *attempt, uint32_t bytes)
 {
 	attempt->credit += bytes;
 	if (attempt->credit > 0)
--- a/comfreydockd/upstream/crash.c
+++ b/comfreydockd/upstream/crash.c
@@ -17,7 +17,7 @@
  * kernel was slow to close its socket. */
 static const int64_t check_after_ms[] = {20, 250};
 
-static void crash_forget(struct owner *owner)
+static void crash_clear(struct owner *owner)
 {
 	for (unsigned int i = 0; i < owner->crash.count; i++)
 		quarantine_end_trial(owner->daemon->quarantine,
@@ -31,7 +31,7 @@
 	struct crash_watch *watch = &owner->crash;
 
 	if (watch->checks >= G_N_ELEMENTS(check_after_ms)) {
-		crash_forget(owner);
+		crash_clear(owner);
 		return;
 	}
 	timer_restart_us(owner->daemon->loop, &watch->check,
@@ -69,7 +69,7 @@
 	struct crash_run *run;
 
 	if (now - watch->broken_us > CRASH_SPREAD_MS * US_PER_MS)
-		crash_forget(owner);
+		crash_clear(owner);
 	watch->broken_us = now;
 	if (watch->count == 0) {
 		watch->checks = 0;
@@ -93,7 +93,8 @@
 	return true;
 }
 
-static const char *mark_run(struct owner *owner, unsigned int at, uint64_t crash)
+static const char *mark_crashed_run(struct owner *owner, unsigned int at,
+				    uint64_t crash)
 {
 	const struct crash_watch *watch = &owner->crash;
 
@@ -108,10 +109,11 @@
 	return "spared";
 }
 
-static void take_run(struct owner *owner, unsigned int at, uint64_t crash)
+static void record_crashed_run(struct owner *owner, unsigned int at,
+			       uint64_t crash)
 {
 	const struct crash_run *run = &owner->crash.runs[at];
-	const char *outcome = mark_run(owner, at, crash);
+	const char *outcome = mark_crashed_run(owner, at, crash);
 	char content[KEY_TEXT_SIZE];
 
 	timeline_note(
@@ -139,12 +141,12 @@
 			  LOG_INT("runs", watch->count),
 			  LOG_INT("age_us", age_us));
 		for (unsigned int i = 0; i < watch->count; i++)
-			take_run(owner, i, crash);
+			record_crashed_run(owner, i, crash);
 	}
-	crash_forget(owner);
+	crash_clear(owner);
 }
 
-static bool is_kept(const struct crash_watch *watch, uint64_t content)
+static bool is_watched(const struct crash_watch *watch, uint64_t content)
 {
 	for (unsigned int i = 0; i < watch->count; i++) {
 		if (watch->runs[i].content == content)
@@ -153,8 +155,8 @@
 	return false;
 }
 
-void crash_note_over(struct owner *owner, const struct owner_attempt *attempt,
-		     bool is_served)
+void crash_note_finished(struct owner *owner,
+			 const struct owner_attempt *attempt, bool is_served)
 {
 	struct quarantine *quarantine = owner->daemon->quarantine;
 	uint64_t content = attempt->request->content_key;
@@ -163,7 +165,7 @@
 		return;
 	if (is_served)
 		quarantine_note_answer(quarantine, content, clock_mono_us());
-	else if (attempt->is_trial && !is_kept(&owner->crash, content))
+	else if (attempt->is_trial && !is_watched(&owner->crash, content))
 		quarantine_end_trial(quarantine, content);
 }
 
@@ -189,7 +191,7 @@
 		       (uint32_t)(MAX(left_us, 0) / US_PER_MS));
 }
 
-bool crash_may_wait(struct owner *owner, struct owner_attempt *attempt)
+bool crash_may_queue(struct owner *owner, struct owner_attempt *attempt)
 {
 	struct quarantine_answer answer = judge(owner, attempt);
 
--- a/comfreydockd/upstream/frames.c
+++ b/comfreydockd/upstream/frames.c
@@ -6,8 +6,8 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-static void owner_take_attempt(struct owner *owner, struct peer *peer,
-			       Cfd__Frame *frame)
+static void owner_handle_attempt(struct owner *owner, struct peer *peer,
+				 Cfd__Frame *frame)
 {
 	struct owner_peer *state = peer_role_data(peer);
 	struct owner_attempt *attempt = g_new0(struct owner_attempt, 1);
@@ -47,7 +47,7 @@
 			       OWNER_RETRY_AFTER_MS);
 		return;
 	}
-	if (crash_may_wait(owner, attempt))
+	if (crash_may_queue(owner, attempt))
 		gate_offer(owner, attempt);
 }
 
@@ -101,19 +101,19 @@
 	peer_send(peer, &frame);
 }
 
-static void owner_take_frame(struct owner *owner, struct peer *peer,
-			     Cfd__Frame *frame)
+static void owner_handle_frame(struct owner *owner, struct peer *peer,
+			       Cfd__Frame *frame)
 {
 	struct owner_attempt *attempt;
 
 	switch (frame->kind_case) {
 	case CFD__FRAME__KIND_ATTEMPT:
-		owner_take_attempt(owner, peer, frame);
+		owner_handle_attempt(owner, peer, frame);
 		break;
 	case CFD__FRAME__KIND_BODY:
 		attempt = owner_find(peer, frame->body->seq);
 		if (attempt)
-			attempt_take_body(attempt, frame->body);
+			attempt_add_body(attempt, frame->body);
 		break;
 	case CFD__FRAME__KIND_CANCEL:
 		attempt = owner_find(peer, frame->cancel->seq);
@@ -124,7 +124,7 @@
 	case CFD__FRAME__KIND_WINDOW:
 		attempt = owner_find(peer, frame->window->seq);
 		if (attempt)
-			attempt_take_window(attempt, frame->window->bytes);
+			attempt_add_credit(attempt, frame->window->bytes);
 		break;
 	case CFD__FRAME__KIND_LOAD_QUERY:
 		attempt = owner_find(peer, frame->load_query->seq);
@@ -145,7 +145,7 @@
 		LIST_INIT(&state->attempts);
 		peer_set_role_data(peer, state);
 	}
-	owner_take_frame(data, peer, frame);
+	owner_handle_frame(data, peer, frame);
 }
 
 /* What waits is dropped: its caller will be told "unknown" or has another
--- a/comfreydockd/upstream/gate.c
+++ b/comfreydockd/upstream/gate.c
@@ -51,9 +51,9 @@
 	TAILQ_INSERT_TAIL(&owner->held, attempt, held_link);
 }
 
-static enum pace_verdict gate_judge(const struct owner *owner,
-				    const struct owner_attempt *attempt,
-				    int64_t now)
+static enum pace_verdict gate_evaluate(const struct owner *owner,
+				       const struct owner_attempt *attempt,
+				       int64_t now)
 {
 	struct pace_item item = {
 		.may_turn_back = !attempt->item.may_queue,
@@ -71,7 +71,7 @@
 static void gate_refuse(struct owner *owner, struct owner_attempt *attempt,
 			Cfd__Reason reason)
 {
-	owner_forget_held(owner, attempt);
+	owner_remove_held(owner, attempt);
 	attempt_owner_step(&attempt->state, OWNER_REFUSE);
 	attempt_refuse(attempt, reason, owner_retry_after_ms(owner));
 }
@@ -80,7 +80,7 @@
  * refused and freed. */
 static bool gate_decide(struct owner *owner, struct owner_attempt *attempt)
 {
-	switch (gate_judge(owner, attempt, clock_mono_us())) {
+	switch (gate_evaluate(owner, attempt, clock_mono_us())) {
 	case PACE_TURN_BACK:
 		counters.gate_turned_back++;
 		gate_refuse(owner, attempt, CFD__REASON__REASON_SLOW);
@@ -101,7 +101,7 @@
 {
 	if (!gate_decide(owner, attempt))
 		return;
-	owner_forget_held(owner, attempt);
+	owner_remove_held(owner, attempt);
 	owner_offer(owner, attempt);
 }
 
@@ -143,7 +143,7 @@
 
 /* Entries that have sent work here learn at once where a spell begins or ends;
  * else they would find out one request at a time. */
-static void gate_tell_entries(struct owner *owner)
+static void gate_notify_entries(struct owner *owner)
 {
 	Cfd__Load load = CFD__LOAD__INIT;
 	Cfd__LoadReport report = CFD__LOAD_REPORT__INIT;
@@ -153,7 +153,7 @@
 	report.load = &load;
 	frame.kind_case = CFD__FRAME__KIND_LOAD_REPORT;
 	frame.load_report = &report;
-	peers_tell_entries(owner->daemon->peers, &frame);
+	peers_notify_entries(owner->daemon->peers, &frame);
 }
 
 void gate_note_load(struct owner *owner, const struct answer_load *load)
@@ -171,7 +171,7 @@
 	}
 	if (has_turned) {
 		counters.gate_turns++;
-		gate_tell_entries(owner);
+		gate_notify_entries(owner);
 	}
 }
 
@@ -182,7 +182,7 @@
 	log_event(EV_OWNER_BREAKER, LOG_INT("open", owner->breaker.is_open),
 		  LOG_INT("streak", owner->breaker.streak),
 		  LOG_INT("running", owner->running));
-	gate_tell_entries(owner);
+	gate_notify_entries(owner);
 }
 
 static void handle_gauge(const struct answer_load *load, void *data)
@@ -227,7 +227,7 @@
 	struct owner_attempt *attempt;
 
 	while ((attempt = TAILQ_FIRST(&owner->held))) {
-		owner_forget_held(owner, attempt);
+		owner_remove_held(owner, attempt);
 		attempt_destroy(attempt);
 	}
 	ev_timer_stop(owner->daemon->loop, &owner->gate_timer);
--- a/comfreydockd/upstream/gauge.c
+++ b/comfreydockd/upstream/gauge.c
@@ -10,7 +10,7 @@
 #include "common/http_client.h"
 
 /* Questions that may come at once, as parts of a second's. */
-#define BURST_PARTS 4
+#define BURST_DIVISOR 4
 
 struct gauge {
 	struct daemon *daemon;
@@ -51,14 +51,15 @@
 	double more = (double)(now - gauge->refilled_us) / US_PER_S * per_s;
 
 	gauge->refilled_us = now;
-	gauge->tokens = MIN(gauge->tokens + more, per_s / BURST_PARTS);
+	gauge->tokens = MIN(gauge->tokens + more, per_s / BURST_DIVISOR);
 	if (gauge->tokens < 1.0)
 		return false;
 	gauge->tokens -= 1.0;
 	return true;
 }
 
-static bool is_meant(const struct gauge *gauge, const struct http_answer *answer)
+static bool is_expected_instance(const struct gauge *gauge,
+				 const struct http_answer *answer)
 {
 	const char *name = gauge->daemon->headers->instance;
 	const char *instance = name ? http_answer_header(answer, name) : NULL;
@@ -75,7 +76,7 @@
 	struct answer_load load;
 
 	gauge->pending = NULL;
-	if (answer->result == CURLE_OK && is_meant(gauge, answer))
+	if (answer->result == CURLE_OK && is_expected_instance(gauge, answer))
 		text = http_answer_header(answer, name);
 	if (text && answer_parse_load(text, &load)) {
 		gauge->handler(&load, gauge->data);
--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -93,11 +93,11 @@
 	return queue_retry_after_ms(&owner->queue, &slots);
 }
 
-/* Starting waits for the end of the turn, see handle_turn_end(). */
-void owner_wake(struct owner *owner)
+/* Starting waits for the end of the turn, see handle_loop_prepare(). */
+void owner_schedule_dispatch(struct owner *owner)
 {
-	owner->turn_is_due = true;
-	ev_timer_start(owner->daemon->loop, &owner->wake);
+	owner->dispatch_is_due = true;
+	ev_timer_start(owner->daemon->loop, &owner->dispatch_timer);
 }
 
 static void owner_report_idle(struct owner *owner)
@@ -111,8 +111,8 @@
 	handle_idle(owner->idle_data);
 }
 
-void owner_note_over(struct owner *owner, struct owner_attempt *attempt,
-		     enum limit_outcome outcome)
+void owner_note_finished(struct owner *owner, struct owner_attempt *attempt,
+			 enum limit_outcome outcome)
 {
 	int64_t now = clock_mono_us();
 	int64_t first_us = attempt->head_us ? attempt->head_us : now;
@@ -127,17 +127,17 @@
 	}
 	if (outcome == LIMIT_OUTCOME_OK) {
 		speed_note_answer(&owner->speed, usual_us);
-		knee_note(&owner->knee, attempt->item.class, attempt->busy,
+		knee_note(&owner->knee, attempt->item.class, attempt->busy_slots,
 			  owner->announced.slots, usual_us, now);
 	} else if (outcome == LIMIT_OUTCOME_FAILED) {
 		speed_note_error(&owner->speed);
 	}
-	crash_note_over(owner, attempt, outcome == LIMIT_OUTCOME_OK);
+	crash_note_finished(owner, attempt, outcome == LIMIT_OUTCOME_OK);
 	if (first_us > attempt->item.deadline_us)
 		counters.owner_late++;
 	TAILQ_REMOVE(&owner->runs, attempt, running_link);
 	owner->running--;
-	owner_wake(owner);
+	owner_schedule_dispatch(owner);
 }
 
 static void owner_refuse_item(struct owner *owner, struct queue_item *item,
@@ -149,7 +149,7 @@
 	attempt_refuse(attempt, reason_of(verdict), owner_retry_after_ms(owner));
 }
 
-static void owner_start_waiting(struct owner *owner)
+static void owner_start_queued(struct owner *owner)
 {
 	enum queue_verdict verdict;
 	struct queue_item *item;
@@ -190,18 +190,18 @@
 	int64_t at = queue_next_stale_us(&owner->queue);
 	int64_t wait_us;
 
-	ev_timer_stop(owner->daemon->loop, &owner->stale);
+	ev_timer_stop(owner->daemon->loop, &owner->stale_timer);
 	if (at == INT64_MAX)
 		return;
 	wait_us = MAX(at - clock_mono_us(), 0);
-	timer_restart_us(owner->daemon->loop, &owner->stale,
+	timer_restart_us(owner->daemon->loop, &owner->stale_timer,
 			 wait_us + STALE_SLACK_US);
 }
 
-static void owner_turn(struct owner *owner)
+static void owner_dispatch(struct owner *owner)
 {
 	owner_refuse_stale(owner);
-	owner_start_waiting(owner);
+	owner_start_queued(owner);
 	owner_set_stale_timer(owner);
 	owner_report_idle(owner);
 }
@@ -213,36 +213,38 @@
  * callers who gave up; started in the order of arrival, the old work would
  * take the slots from callers who still wait, and a call that could have been
  * told "not run" would run. One would notice a burst of late runs after each
- * pause. After a pause everything readable is read first, for THAW_US.
+ * pause. After a pause everything readable is read first, for POST_FREEZE_READ_US.
  */
-static void handle_turn_end(struct ev_loop *loop, ev_prepare *prepare, int events)
+static void handle_loop_prepare(struct ev_loop *loop, ev_prepare *prepare,
+				int events)
 {
 	struct owner *owner = prepare->data;
 	int64_t now = clock_mono_us();
 
 	(void)events;
-	if (!owner->turn_is_due)
+	if (!owner->dispatch_is_due)
 		return;
 	owner_notice_freeze(owner, now);
-	if (now < owner->thawed_us) {
+	if (now < owner->no_start_before_us) {
 		peers_drain_input(owner->daemon->peers);
-		timer_restart_us(loop, &owner->wake, owner->thawed_us - now);
+		timer_restart_us(loop, &owner->dispatch_timer,
+				 owner->no_start_before_us - now);
 		return;
 	}
-	owner->turn_is_due = false;
-	ev_timer_stop(loop, &owner->wake);
-	owner_turn(owner);
+	owner->dispatch_is_due = false;
+	ev_timer_stop(loop, &owner->dispatch_timer);
+	owner_dispatch(owner);
 	http_client_begin(owner->daemon->http);
 }
 
-/* Of both timers: keeps the loop from waiting before handle_turn_end(). */
-static void handle_due(struct ev_loop *loop, ev_timer *timer, int events)
+/* Of both timers: keeps the loop from waiting before handle_loop_prepare(). */
+static void handle_dispatch_due(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct owner *owner = timer->data;
 
 	(void)loop;
 	(void)events;
-	owner->turn_is_due = true;
+	owner->dispatch_is_due = true;
 }
 
 bool owner_has_group(const struct owner *owner, const char *group)
@@ -268,7 +270,7 @@
 		return;
 	}
 	attempt_owner_step(&attempt->state, OWNER_QUEUE);
-	owner_wake(owner);
+	owner_schedule_dispatch(owner);
 }
 
 struct owner *owner_create(struct daemon *daemon)
@@ -288,20 +290,20 @@
 	queue_init(&owner->queue, &options);
 	limit_init(&owner->limit, owner_limit_policy(owner), 1, clock_mono_us());
 	owner->probe = probe_create(daemon, owner_note_reachable, owner);
-	ev_timer_init(&owner->wake, handle_due, 0.0, 0.0);
-	ev_prepare_init(&owner->turn_end, handle_turn_end);
+	ev_timer_init(&owner->dispatch_timer, handle_dispatch_due, 0.0, 0.0);
+	ev_prepare_init(&owner->loop_prepare, handle_loop_prepare);
 	/* Before the frames are written: refusals go out in the same turn. */
-	ev_set_priority(&owner->turn_end, EV_MAXPRI);
-	ev_timer_init(&owner->stale, handle_due, 0.0, 0.0);
+	ev_set_priority(&owner->loop_prepare, EV_MAXPRI);
+	ev_timer_init(&owner->stale_timer, handle_dispatch_due, 0.0, 0.0);
 	owner_init_sweep(owner);
 	gate_init(owner);
 	crash_init(owner);
 	report_check_init(owner);
-	owner->turn_end.data = owner;
-	owner->wake.data = owner;
-	owner->stale.data = owner;
-	ev_prepare_start(daemon->loop, &owner->turn_end);
-	ev_timer_start(daemon->loop, &owner->sweep);
+	owner->loop_prepare.data = owner;
+	owner->dispatch_timer.data = owner;
+	owner->stale_timer.data = owner;
+	ev_prepare_start(daemon->loop, &owner->loop_prepare);
+	ev_timer_start(daemon->loop, &owner->sweep_timer);
 	owner_fill_role(owner, &role);
 	peers_set_owner(daemon->peers, &role);
 	return owner;
@@ -314,10 +316,10 @@
 
 	if (!owner)
 		return;
-	ev_timer_stop(owner->daemon->loop, &owner->wake);
-	ev_prepare_stop(owner->daemon->loop, &owner->turn_end);
-	ev_timer_stop(owner->daemon->loop, &owner->stale);
-	ev_timer_stop(owner->daemon->loop, &owner->sweep);
+	ev_timer_stop(owner->daemon->loop, &owner->dispatch_timer);
+	ev_prepare_stop(owner->daemon->loop, &owner->loop_prepare);
+	ev_timer_stop(owner->daemon->loop, &owner->stale_timer);
+	ev_timer_stop(owner->daemon->loop, &owner->sweep_timer);
 	crash_finish(owner);
 	gate_finish(owner);
 	while ((item = queue_take_any(&owner->queue)))
@@ -361,7 +363,7 @@
 	gate_review(owner);
 }
 
-void owner_forget_held(struct owner *owner, struct owner_attempt *attempt)
+void owner_remove_held(struct owner *owner, struct owner_attempt *attempt)
 {
 	if (!attempt->is_held)
 		return;
--- a/comfreydockd/upstream/owner_state.c
+++ b/comfreydockd/upstream/owner_state.c
@@ -13,7 +13,7 @@
 		owner->handle_state(owner, owner->state_data);
 }
 
-static void owner_refuse_waiting(struct owner *owner, Cfd__Reason reason)
+static void owner_refuse_all(struct owner *owner, Cfd__Reason reason)
 {
 	struct queue_item *item;
 
@@ -35,7 +35,7 @@
 		crash_confirm(owner, "unreachable");
 	if (!reachable && owner->state == OWNER_UP) {
 		owner->state = OWNER_NO_UPSTREAM;
-		owner_refuse_waiting(owner, CFD__REASON__REASON_NO_UPSTREAM);
+		owner_refuse_all(owner, CFD__REASON__REASON_NO_UPSTREAM);
 	} else if (reachable && owner->state == OWNER_NO_UPSTREAM) {
 		owner->state = OWNER_UP;
 		warm_begin(&owner->warm, owner->announced.warm_ms,
@@ -124,7 +124,7 @@
 	log_event(EV_OWNER_ANNOUNCED, LOG_STR("address", copy.address),
 		  LOG_INT("port", copy.port), LOG_INT("slots", copy.slots));
 	owner_publish(owner);
-	owner_wake(owner);
+	owner_schedule_dispatch(owner);
 }
 
 void owner_drain(struct owner *owner)
@@ -146,9 +146,9 @@
 	owner->state = OWNER_DRAINING;
 	log_event(EV_OWNER_DRAINING, LOG_INT("running", owner->running),
 		  LOG_INT("queued", queue_length(&owner->queue)));
-	owner_refuse_waiting(owner, CFD__REASON__REASON_DRAINING);
+	owner_refuse_all(owner, CFD__REASON__REASON_DRAINING);
 	owner_publish(owner);
-	owner_wake(owner);
+	owner_schedule_dispatch(owner);
 }
 
 void owner_resume(struct owner *owner)
@@ -166,15 +166,15 @@
 {
 	log_event(EV_OWNER_OTHER_INSTANCE,
 		  LOG_STR("expected", owner->history.instance));
-	owner_lose_upstream(owner);
+	owner_set_no_upstream(owner);
 }
 
-void owner_lose_upstream(struct owner *owner)
+void owner_set_no_upstream(struct owner *owner)
 {
 	if (owner->state != OWNER_UP)
 		return;
 	owner->state = OWNER_NO_UPSTREAM;
-	owner_refuse_waiting(owner, CFD__REASON__REASON_NO_UPSTREAM);
+	owner_refuse_all(owner, CFD__REASON__REASON_NO_UPSTREAM);
 	owner_publish(owner);
 }
 
--- a/comfreydockd/upstream/probe.c
+++ b/comfreydockd/upstream/probe.c
@@ -20,7 +20,7 @@
 #define TIMEOUT_MS 1000
 /* How soon a restarted upstream is found; a refused connect on loopback costs
  * some ten microseconds. */
-#define KNOCK_S 0.25
+#define CONNECT_RETRY_S 0.25
 
 struct probe {
 	struct daemon *daemon;
@@ -30,7 +30,7 @@
 	const struct owner_announcement *announced; /* the owner's; NULL: none */
 	char *path; /* NULL: the upstream is never asked */
 	ev_timer timer;
-	ev_timer knock; /* runs while nobody listens */
+	ev_timer connect_timer; /* runs while nobody listens */
 	struct http_pending *pending;
 	int64_t asked_us;
 	unsigned int refusals; /* in a row */
@@ -58,10 +58,10 @@
 		return;
 	probe->is_unreachable = !reachable;
 	if (reachable) {
-		ev_timer_stop(probe->daemon->loop, &probe->knock);
+		ev_timer_stop(probe->daemon->loop, &probe->connect_timer);
 		log_event(EV_PROBE_REACHABLE);
 	} else {
-		ev_timer_again(probe->daemon->loop, &probe->knock);
+		ev_timer_again(probe->daemon->loop, &probe->connect_timer);
 		log_event(EV_PROBE_UNREACHABLE,
 			  LOG_INT("refusals", probe->refusals));
 	}
@@ -85,7 +85,7 @@
 	probe_schedule(probe);
 }
 
-static void probe_ask(struct probe *probe)
+static void probe_send(struct probe *probe)
 {
 	const struct owner_announcement *announced = probe->announced;
 	char *url =
@@ -110,7 +110,7 @@
 	(void)loop;
 	(void)events;
 	if (measure_try_begin(&probe->measure, clock_mono_us()) == MEASURE_BEGIN)
-		probe_ask(probe);
+		probe_send(probe);
 	else
 		probe_schedule(probe);
 }
@@ -127,7 +127,7 @@
 }
 
 /* On loopback a connect is over when the call returns. */
-static bool somebody_listens(const struct owner_announcement *announced)
+static bool upstream_is_listening(const struct owner_announcement *announced)
 {
 	struct pollfd poller = {.events = POLLOUT};
 	int error = 0;
@@ -143,16 +143,16 @@
 
 bool probe_is_listening(const struct probe *probe)
 {
-	return !probe->announced || somebody_listens(probe->announced);
+	return !probe->announced || upstream_is_listening(probe->announced);
 }
 
-static void handle_knock(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_connect_timer(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct probe *probe = timer->data;
 
 	(void)loop;
 	(void)events;
-	if (somebody_listens(probe->announced))
+	if (upstream_is_listening(probe->announced))
 		probe_note_reachable(probe, true);
 }
 
@@ -167,9 +167,10 @@
 	probe->data = data;
 	measure_init(&probe->measure, 1, 0, clock_mono_us());
 	ev_init(&probe->timer, handle_timer);
-	ev_timer_init(&probe->knock, handle_knock, 0.0, KNOCK_S);
+	ev_timer_init(&probe->connect_timer, handle_connect_timer, 0.0,
+		      CONNECT_RETRY_S);
 	probe->timer.data = probe;
-	probe->knock.data = probe;
+	probe->connect_timer.data = probe;
 	return probe;
 }
 
@@ -178,20 +179,21 @@
 	if (!probe)
 		return;
 	ev_timer_stop(probe->daemon->loop, &probe->timer);
-	ev_timer_stop(probe->daemon->loop, &probe->knock);
+	ev_timer_stop(probe->daemon->loop, &probe->connect_timer);
 	if (probe->pending)
 		http_client_cancel(probe->pending);
 	g_free(probe->path);
 	g_free(probe);
 }
 
-struct probe_rule {
+struct probe_settings {
 	uint32_t permille;
 	const char *path;
 	bool known;
 };
 
-static void take_group(const struct config_group *group, struct probe_rule *rule)
+static void merge_group_settings(const struct config_group *group,
+				 struct probe_settings *rule)
 {
 	rule->permille = rule->known ? MIN(rule->permille,
 					   group->measure_budget_permille) :
@@ -201,7 +203,7 @@
 		rule->path = group->health_path;
 }
 
-static void find_rule(const struct probe *probe, struct probe_rule *rule)
+static void find_settings(const struct probe *probe, struct probe_settings *rule)
 {
 	const struct config_snapshot *snapshot =
 		config_store_current(probe->daemon->config);
@@ -211,17 +213,17 @@
 			config_snapshot_group(snapshot, *name);
 
 		if (group)
-			take_group(group, rule);
+			merge_group_settings(group, rule);
 	}
 }
 
 void probe_configure(struct probe *probe)
 {
-	struct probe_rule rule = {0};
+	struct probe_settings rule = {0};
 
 	if (!probe->announced)
 		return;
-	find_rule(probe, &rule);
+	find_settings(probe, &rule);
 	g_free(probe->path);
 	probe->path = g_strdup(rule.path);
 	measure_set_budget(&probe->measure, probe->announced->slots,
@@ -235,7 +237,7 @@
 	probe->announced = announced;
 	probe->refusals = 0;
 	probe->is_unreachable = false;
-	ev_timer_stop(probe->daemon->loop, &probe->knock);
+	ev_timer_stop(probe->daemon->loop, &probe->connect_timer);
 	probe_configure(probe);
 }
 
--- a/comfreydockd/upstream/report.c
+++ b/comfreydockd/upstream/report.c
@@ -54,24 +54,24 @@
 	return !is_past(history, report->instance);
 }
 
-static void lifetime_begin(struct report_history *history,
-			   const struct report *report)
+static void history_begin_start(struct report_history *history,
+				const struct report *report)
 {
 	if (history->instance[0])
 		note_past(history);
 	g_strlcpy(history->instance, report->instance, sizeof(history->instance));
 	history->born_ms = report->born_ms;
 	history->sequence = report->sequence;
-	history->left = false;
+	history->has_left = false;
 }
 
-enum report_verdict report_judge(struct report_history *history,
-				 const struct report *report)
+enum report_verdict report_classify(struct report_history *history,
+				    const struct report *report)
 {
 	bool is_first = !history->instance[0];
 
 	if (!is_first && is_same_start(history, report)) {
-		if (history->left)
+		if (history->has_left)
 			return REPORT_GONE;
 		if (report->sequence <= history->sequence)
 			return REPORT_LATE;
@@ -80,7 +80,7 @@
 	}
 	if (!is_first && !is_later_start(history, report))
 		return REPORT_LATE;
-	lifetime_begin(history, report);
+	history_begin_start(history, report);
 	return REPORT_NEW_START;
 }
 
@@ -88,11 +88,12 @@
 {
 	if (strcmp(history->instance, instance) != 0)
 		return false;
-	history->left = true;
+	history->has_left = true;
 	return true;
 }
 
-static bool is_beside(const struct owner *owner, const struct report *report)
+static bool is_configured_upstream(const struct owner *owner,
+				   const struct report *report)
 {
 	const struct settings_address *own = &owner->daemon->settings->upstream;
 
@@ -144,7 +145,7 @@
 				       NULL;
 
 	owner->check.pending = NULL;
-	if (!owner->check.is_open || owner->history.left)
+	if (!owner->check.is_open || owner->history.has_left)
 		return;
 	if (answer->status / 100 == 2 && instance &&
 	    strcmp(instance, owner->history.instance) == 0) {
@@ -201,7 +202,7 @@
 
 void report_check_again(struct owner *owner)
 {
-	if (owner->check.is_open && !owner->history.left)
+	if (owner->check.is_open && !owner->history.has_left)
 		ask_health(owner);
 }
 
@@ -216,8 +217,8 @@
 	check->warm_ms = report->warm_ms;
 }
 
-static void take_ready(struct owner *owner, const struct report *report,
-		       bool is_new_start)
+static void handle_ready_report(struct owner *owner,
+				const struct report *report, bool is_new_start)
 {
 	struct report_check *check = &owner->check;
 
@@ -226,7 +227,7 @@
 		report_check_finish(check);
 		check->is_open = true;
 		/* Nothing of what was announced before holds any more. */
-		owner_lose_upstream(owner);
+		owner_set_no_upstream(owner);
 	}
 	check_fill(check, report);
 	if (!check->is_open) {
@@ -241,13 +242,13 @@
 		ask_health(owner);
 }
 
-enum report_verdict owner_take_report(struct owner *owner,
-				      const struct report *report)
+enum report_verdict owner_handle_report(struct owner *owner,
+					const struct report *report)
 {
 	enum report_verdict verdict = REPORT_FOREIGN;
 
-	if (is_beside(owner, report))
-		verdict = report_judge(&owner->history, report);
+	if (is_configured_upstream(owner, report))
+		verdict = report_classify(&owner->history, report);
 	if (verdict != REPORT_NEWS)
 		log_event(EV_OWNER_REPORT, LOG_STR("instance", report->instance),
 			  LOG_STR("group", report->group),
@@ -262,7 +263,7 @@
 		owner->check.is_open = false;
 		owner_drain_upstream(owner);
 	} else {
-		take_ready(owner, report, verdict == REPORT_NEW_START);
+		handle_ready_report(owner, report, verdict == REPORT_NEW_START);
 	}
 	return verdict;
 }
@@ -271,7 +272,7 @@
  * One that leaves without having drained before goes on serving for a while;
  * what runs there goes on, and nothing new is sent.
  */
-bool owner_take_leave(struct owner *owner, const char *instance)
+bool owner_handle_leave(struct owner *owner, const char *instance)
 {
 	bool counts = report_note_leave(&owner->history, instance);
 
--- a/comfreydockd/upstream/run.c
+++ b/comfreydockd/upstream/run.c
@@ -67,7 +67,7 @@
 	g_free(pool);
 }
 
-static CURL *pool_take(struct run_pool *pool)
+static CURL *pool_acquire(struct run_pool *pool)
 {
 	if (pool->idle->len > 0)
 		return g_ptr_array_steal_index_fast(pool->idle,
@@ -75,7 +75,7 @@
 	return curl_easy_init();
 }
 
-static void pool_give(struct run_pool *pool, CURL *easy)
+static void pool_release(struct run_pool *pool, CURL *easy)
 {
 	if (pool->idle->len >= POOL_MAX_IDLE) {
 		curl_easy_cleanup(easy);
@@ -98,11 +98,11 @@
 		return 0;
 	memcpy(out, run->body->data, taken);
 	g_byte_array_remove_range(run->body, 0, (guint)taken);
-	run->callbacks.handle_taken(run->data, taken);
+	run->callbacks.handle_body_consumed(run->data, taken);
 	return taken;
 }
 
-static void run_take_status_line(struct run *run, const char *line)
+static void run_parse_status_line(struct run *run, const char *line)
 {
 	/* "HTTP/1.1 200 OK"; an interim answer (1xx) starts over. */
 	fields_finish(&run->answer_fields);
@@ -131,10 +131,10 @@
 	if (strcasecmp(name, headers->trace) == 0)
 		fields_add(&run->answer_fields, name, value);
 	else
-		fields_add_passed(&run->answer_fields, headers, name, value);
+		fields_add_forwarded(&run->answer_fields, headers, name, value);
 }
 
-static void run_take_field(struct run *run, char *line)
+static void run_parse_field(struct run *run, char *line)
 {
 	char *colon = strchr(line, ':');
 
@@ -150,7 +150,7 @@
 	run_add_field(run, line, colon + 1);
 }
 
-static size_t run_take_head_end(struct run *run, size_t size)
+static size_t run_finish_head(struct run *run, size_t size)
 {
 	if (run->status < 200)
 		return size;
@@ -173,11 +173,11 @@
 	line = g_strndup(bytes, total);
 	g_strchomp(line);
 	if (strncmp(line, "HTTP/", 5) == 0)
-		run_take_status_line(run, line);
+		run_parse_status_line(run, line);
 	else if (*line)
-		run_take_field(run, line);
+		run_parse_field(run, line);
 	else
-		total = run_take_head_end(run, total);
+		total = run_finish_head(run, total);
 	g_free(line);
 	return total;
 }
@@ -196,13 +196,13 @@
 	return total;
 }
 
-static enum run_result run_judge(const struct run *run, CURLcode result)
+static enum run_result run_classify(const struct run *run, CURLcode result)
 {
 	if (!run_has_begun(run))
 		return RUN_NOT_BEGUN;
 	if (result == CURLE_OK && run->has_head)
 		return RUN_WHOLE;
-	return run->has_head ? RUN_CUT : RUN_BROKEN;
+	return run->has_head ? RUN_TRUNCATED : RUN_BROKEN;
 }
 
 static void handle_done(struct http_transfer *transfer, CURLcode result)
@@ -210,7 +210,7 @@
 	struct run *run = transfer->data;
 
 	run->running = false;
-	run->callbacks.handle_done(run->data, run_judge(run, result));
+	run->callbacks.handle_done(run->data, run_classify(run, result));
 }
 
 static void append_field(struct run *run, const char *name, const char *value)
@@ -302,7 +302,7 @@
 	run->answer_length = -1;
 	run->body = g_byte_array_new();
 	fields_init(&run->answer_fields);
-	run->transfer.easy = pool_take(pool);
+	run->transfer.easy = pool_acquire(pool);
 	run->transfer.handle_done = handle_done;
 	run->transfer.data = run;
 	run->transfer.send_once = true;
@@ -320,7 +320,7 @@
 		return;
 	if (run->running)
 		http_client_stop(run->pool->client, &run->transfer);
-	pool_give(run->pool, run->transfer.easy);
+	pool_release(run->pool, run->transfer.easy);
 	curl_slist_free_all(run->request_fields);
 	fields_finish(&run->answer_fields);
 	g_byte_array_unref(run->body);
--- a/comfreydockd/upstream/sweep.c
+++ b/comfreydockd/upstream/sweep.c
@@ -15,23 +15,24 @@
 /* After it nothing is started for so long: what entries sent while this daemon
  * stood still, cancels and ends of connections above all, lies partly in their
  * own send buffers and flows only now. */
-#define THAW_US (50 * US_PER_MS)
+#define POST_FREEZE_READ_US (50 * US_PER_MS)
 
 static void owner_mark_sweep(struct owner *owner, int64_t now)
 {
-	owner->swept_us = now;
-	freeze_mark(&owner->swept);
+	owner->last_sweep_us = now;
+	freeze_mark(&owner->last_sweep);
 }
 
 /* The sweep is due each SWEEP_S: the time since the last one tells. */
 void owner_notice_freeze(struct owner *owner, int64_t now)
 {
-	if (now - owner->swept_us <= FREEZE_US)
+	if (now - owner->last_sweep_us <= FREEZE_US)
 		return;
 	counters.owner_freezes++;
-	freeze_log(EV_OWNER_FROZEN, now - owner->swept_us, &owner->swept);
+	freeze_log(EV_OWNER_FROZEN, now - owner->last_sweep_us,
+		   &owner->last_sweep);
 	owner_mark_sweep(owner, now);
-	owner->thawed_us = now + THAW_US;
+	owner->no_start_before_us = now + POST_FREEZE_READ_US;
 }
 
 static void owner_sweep_runs(struct owner *owner, int64_t now)
@@ -64,12 +65,12 @@
 	owner_sweep_runs(owner, now);
 	/* A warming upstream gains slots by time alone. */
 	if (queue_length(&owner->queue))
-		owner_wake(owner);
+		owner_schedule_dispatch(owner);
 }
 
 void owner_init_sweep(struct owner *owner)
 {
 	owner_mark_sweep(owner, clock_mono_us());
-	ev_timer_init(&owner->sweep, handle_sweep, SWEEP_S, SWEEP_S);
-	owner->sweep.data = owner;
+	ev_timer_init(&owner->sweep_timer, handle_sweep, SWEEP_S, SWEEP_S);
+	owner->sweep_timer.data = owner;
 }
--- a/include/comfreydockd/peer/fields.h
+++ b/include/comfreydockd/peer/fields.h
@@ -34,8 +34,8 @@
 void fields_add(struct fields *fields, const char *name, const char *value);
 
 /* The same, but for fields that must not be passed on. */
-void fields_add_passed(struct fields *fields, const struct headers *headers,
-		       const char *name, const char *value);
+void fields_add_forwarded(struct fields *fields, const struct headers *headers,
+			  const char *name, const char *value);
 
 /* RETURN VALUE: the first value of the name, whatever its case, or NULL. */
 const char *fields_find(const struct fields *fields, const char *name);
--- a/include/comfreydockd/peer/link.h
+++ b/include/comfreydockd/peer/link.h
@@ -44,7 +44,7 @@
 	struct ev_loop *loop;
 	uint8_t *chunk; /* what one link has just read */
 	ev_prepare flush;
-	ev_timer soon;
+	ev_timer flush_timer;
 	LIST_HEAD(, link) dirty;
 	LIST_HEAD(, link) all;
 };
--- a/include/comfreydockd/peer/peers.h
+++ b/include/comfreydockd/peer/peers.h
@@ -53,10 +53,10 @@
 
 /* Frames of this kind go to the handler, whichever side sent them, and not to
  * the roles: questions between daemons that are no calls. */
-void peers_on_frame(struct peers *peers, Cfd__Frame__KindCase kind,
-		    void (*handle)(struct peer *peer, const Cfd__Frame *frame,
-				   void *data),
-		    void *data);
+void peers_set_frame_handler(struct peers *peers, Cfd__Frame__KindCase kind,
+			     void (*handle)(struct peer *peer,
+					    const Cfd__Frame *frame, void *data),
+			     void *data);
 
 uint16_t peers_port(const struct peers *peers);
 
@@ -68,7 +68,7 @@
 void peers_note_dead(struct peers *peers, const char *host);
 
 /* Sends a frame to all entries whose connections are open here. */
-void peers_tell_entries(struct peers *peers, const Cfd__Frame *frame);
+void peers_notify_entries(struct peers *peers, const Cfd__Frame *frame);
 
 /* Reads all that has arrived on any connection, without waiting. */
 void peers_drain_input(struct peers *peers);
--- a/include/comfreydockd/peer/peers_internal.h
+++ b/include/comfreydockd/peer/peers_internal.h
@@ -5,7 +5,7 @@
 #ifndef COMFREYDOCKD_PEER_PEERS_INTERNAL_H
 #define COMFREYDOCKD_PEER_PEERS_INTERNAL_H
 
-#include "comfreydockd/peer/greeting.h"
+#include "comfreydockd/peer/handshake.h"
 #include "comfreydockd/peer/link.h"
 #include "comfreydockd/peer/peers.h"
 
@@ -18,7 +18,7 @@
 };
 
 enum peer_state {
-	PEER_GREETING,
+	PEER_HANDSHAKING,
 	PEER_READY,
 };
 
@@ -32,8 +32,8 @@
 	ev_timer timeout; /* of the greeting */
 	char host[MEMBER_HOST_MAX];
 	uint64_t incarnation;
-	uint8_t our_nonce[GREETING_NONCE_BYTES];
-	uint8_t their_nonce[GREETING_NONCE_BYTES];
+	uint8_t our_nonce[HANDSHAKE_NONCE_BYTES];
+	uint8_t their_nonce[HANDSHAKE_NONCE_BYTES];
 	GPtrArray *held; /* of GByteArray: frames that wait for the greeting */
 	uint64_t held_bytes;
 	uint64_t base; /* of positions in the link's stream */
@@ -61,7 +61,7 @@
 /* hello.c: the greeting, up to PEER_READY or the end of the link */
 
 void peer_send_hello(struct peer *peer, bool with_proof);
-void peer_take_hello(struct peer *peer, const Cfd__Hello *hello);
+void peer_handle_hello(struct peer *peer, const Cfd__Hello *hello);
 void peer_refuse(struct peer *peer, const char *why);
 
 #endif
--- a/include/comfreydockd/upstream/answer.h
+++ b/include/comfreydockd/upstream/answer.h
@@ -34,9 +34,9 @@
 	uint32_t percent; /* of the usual time that work takes now */
 };
 
-enum answer_verdict answer_judge(const struct headers *headers,
-				 const char *trace, unsigned int status,
-				 const struct fields *fields);
+enum answer_verdict answer_classify(const struct headers *headers,
+				    const char *trace, unsigned int status,
+				    const struct fields *fields);
 
 const char *answer_verdict_name(enum answer_verdict verdict);
 
--- a/include/comfreydockd/upstream/attempts.h
+++ b/include/comfreydockd/upstream/attempts.h
@@ -40,7 +40,7 @@
 	struct run *run;
 	int64_t arrived_us;
 	int64_t started_us;
-	uint32_t busy; /* slots at the start, with its own */
+	uint32_t busy_slots; /* slots at the start, with its own */
 	int64_t head_us; /* when the answer began; 0: not yet */
 	int64_t stalled_since_us; /* no credit since; 0: has credit */
 	int64_t credit;
@@ -64,8 +64,8 @@
 /* Starts the attempt on the upstream. */
 void attempt_start(struct owner_attempt *attempt);
 
-void attempt_take_body(struct owner_attempt *attempt, const Cfd__Body *body);
-void attempt_take_window(struct owner_attempt *attempt, uint32_t bytes);
+void attempt_add_body(struct owner_attempt *attempt, const Cfd__Body *body);
+void attempt_add_credit(struct owner_attempt *attempt, uint32_t bytes);
 
 /* Breaks a running attempt off: its upstream is told by the closed
  * connection. Says Failed and destroys the attempt. */
@@ -76,8 +76,8 @@
 void attempt_give_up(struct owner_attempt *attempt);
 
 /* Called by attempts.c when a running attempt is over, before it is freed. */
-void owner_note_over(struct owner *owner, struct owner_attempt *attempt,
-		     enum limit_outcome outcome);
+void owner_note_finished(struct owner *owner, struct owner_attempt *attempt,
+			 enum limit_outcome outcome);
 
 /* The head of an answer, of whatever request. */
 void owner_note_answer(struct owner *owner, const struct fields *fields);
@@ -89,7 +89,7 @@
 const char *owner_instance(const struct owner *owner);
 
 /* Takes the attempt out of what is held at the gate, if it is there. */
-void owner_forget_held(struct owner *owner, struct owner_attempt *attempt);
+void owner_remove_held(struct owner *owner, struct owner_attempt *attempt);
 
 /* RETURN VALUE: the host's pace as last told; 0: never. */
 uint32_t owner_pace_percent(const struct owner *owner);
--- a/include/comfreydockd/upstream/crash.h
+++ b/include/comfreydockd/upstream/crash.h
@@ -57,15 +57,15 @@
 
 /* A run has ended; is_served: by a whole answer that tells of no failure. An
  * upstream that fails all requests has perhaps begun to run none. */
-void crash_note_over(struct owner *owner, const struct owner_attempt *attempt,
-		     bool is_served);
+void crash_note_finished(struct owner *owner,
+			 const struct owner_attempt *attempt, bool is_served);
 
 /*
  * An attempt arrives, and its turn comes.
  *
  * RETURN VALUE: false where its request is held: it was refused and freed.
  */
-bool crash_may_wait(struct owner *owner, struct owner_attempt *attempt);
+bool crash_may_queue(struct owner *owner, struct owner_attempt *attempt);
 bool crash_may_start(struct owner *owner, struct owner_attempt *attempt);
 
 #endif
--- a/include/comfreydockd/upstream/owner_internal.h
+++ b/include/comfreydockd/upstream/owner_internal.h
@@ -54,14 +54,14 @@
 	struct crash_watch crash;
 	uint32_t running;
 	TAILQ_HEAD(, owner_attempt) runs;
-	ev_prepare turn_end; /* starts what may start, after all input was read */
-	bool turn_is_due;
-	ev_timer wake;
-	ev_timer stale;
-	ev_timer sweep;
-	int64_t swept_us;
-	struct freeze_mark swept;
-	int64_t thawed_us; /* nothing starts before, see handle_turn_end() */
+	ev_prepare loop_prepare; /* starts what may start, after all input was read */
+	bool dispatch_is_due;
+	ev_timer dispatch_timer;
+	ev_timer stale_timer;
+	ev_timer sweep_timer;
+	int64_t last_sweep_us;
+	struct freeze_mark last_sweep;
+	int64_t no_start_before_us; /* nothing starts before, see handle_loop_prepare() */
 	void (*handle_idle)(void *data);
 	void *idle_data;
 	void (*handle_state)(struct owner *owner, void *data);
@@ -75,10 +75,10 @@
 bool owner_has_group(const struct owner *owner, const char *group);
 
 /* No upstream is known to be there until the next announcement. */
-void owner_lose_upstream(struct owner *owner);
+void owner_set_no_upstream(struct owner *owner);
 
 /* Has what may start be started at the end of the loop's turn. */
-void owner_wake(struct owner *owner);
+void owner_schedule_dispatch(struct owner *owner);
 
 static inline struct owner_attempt *owner_attempt_of(struct queue_item *item)
 {
--- a/include/comfreydockd/upstream/report.h
+++ b/include/comfreydockd/upstream/report.h
@@ -17,7 +17,7 @@
  *	followed is over.
  *
  *	What could hold of the upstream, but for the order, is decided by
- *	report_judge(), which is pure.
+ *	report_classify(), which is pure.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_REPORT_H
 #define COMFREYDOCKD_UPSTREAM_REPORT_H
@@ -50,7 +50,7 @@
 	char instance[REPORT_INSTANCE_MAX];
 	int64_t born_ms;
 	uint64_t sequence;
-	bool left;
+	bool has_left;
 	/* Ids that others have followed, the latest ones. */
 	char past[REPORT_PAST_MAX][REPORT_INSTANCE_MAX];
 	unsigned int past_count; /* ever */
@@ -65,8 +65,8 @@
 };
 
 /* Notes the report as the last one where it is news. */
-enum report_verdict report_judge(struct report_history *history,
-				 const struct report *report);
+enum report_verdict report_classify(struct report_history *history,
+				    const struct report *report);
 
 /* RETURN VALUE: false if it isn't the start that counts that leaves. */
 bool report_note_leave(struct report_history *history, const char *instance);
@@ -109,8 +109,8 @@
 void report_check_again(struct owner *owner);
 
 /* The owner's side: takes a report or a good-bye, and acts on it. */
-enum report_verdict owner_take_report(struct owner *owner,
-				      const struct report *report);
-bool owner_take_leave(struct owner *owner, const char *instance);
+enum report_verdict owner_handle_report(struct owner *owner,
+					const struct report *report);
+bool owner_handle_leave(struct owner *owner, const char *instance);
 
 #endif
--- a/include/comfreydockd/upstream/run.h
+++ b/include/comfreydockd/upstream/run.h
@@ -30,7 +30,7 @@
 	RUN_WHOLE, /* the answer ended as it should */
 	RUN_NOT_BEGUN, /* no byte of the request was written */
 	RUN_BROKEN, /* begun, and no head of an answer came */
-	RUN_CUT, /* the answer broke off after its head */
+	RUN_TRUNCATED, /* the answer broke off after its head */
 };
 
 struct run_callbacks {
@@ -40,7 +40,7 @@
 			    const struct fields *fields, int64_t length);
 	void (*handle_body)(void *data, const void *bytes, size_t size);
 	/* So much of the request's body was read by the upstream. */
-	void (*handle_taken)(void *data, size_t size);
+	void (*handle_body_consumed)(void *data, size_t size);
 	/* The run is destroyed by its owner after this, or in it. */
 	void (*handle_done)(void *data, enum run_result result);
 };
--- a/tests/test_answer.c
+++ b/tests/test_answer.c
@@ -10,7 +10,7 @@
 #define NOT_RUN "X-Comfreydock-Not-Executed"
 
 /* The arguments are names and values, ended by NULL. */
-static enum answer_verdict judge(unsigned int status, ...)
+static enum answer_verdict classify(unsigned int status, ...)
 {
 	enum answer_verdict verdict;
 	struct fields fields;
@@ -22,20 +22,20 @@
 	while ((name = va_arg(args, const char *)))
 		fields_add(&fields, name, va_arg(args, const char *));
 	va_end(args);
-	verdict = answer_judge(&platform_headers, TRACE, status, &fields);
+	verdict = answer_classify(&platform_headers, TRACE, status, &fields);
 	fields_finish(&fields);
 	return verdict;
 }
 
-static void test_own_answers_pass(void)
+static void test_answers_to_this_request_pass(void)
 {
-	g_assert_cmpint(judge(200, ID, TRACE, SIGNED, "3e1b", NULL), ==,
+	g_assert_cmpint(classify(200, ID, TRACE, SIGNED, "3e1b", NULL), ==,
 			ANSWER_GOOD);
 	/* A failure of the upstream is its answer, too. */
-	g_assert_cmpint(judge(500, ID, TRACE, SIGNED, "3e1b", NULL), ==,
+	g_assert_cmpint(classify(500, ID, TRACE, SIGNED, "3e1b", NULL), ==,
 			ANSWER_GOOD);
-	g_assert_cmpint(judge(504, ID, TRACE, NULL), ==, ANSWER_GOOD);
-	g_assert_cmpint(judge(404, ID, TRACE, NULL), ==, ANSWER_GOOD);
+	g_assert_cmpint(classify(504, ID, TRACE, NULL), ==, ANSWER_GOOD);
+	g_assert_cmpint(classify(404, ID, TRACE, NULL), ==, ANSWER_GOOD);
 }
 
 /*
@@ -43,27 +43,27 @@
  * stands where the answer to the next request is due, and its caller would get
  * somebody else's listing.
  */
-static void test_others_answers_reach_nobody(void)
+static void test_answers_to_other_requests_are_rejected(void)
 {
-	g_assert_cmpint(judge(200, ID, "another", SIGNED, "3e1b", NULL), ==,
+	g_assert_cmpint(classify(200, ID, "another", SIGNED, "3e1b", NULL), ==,
 			ANSWER_STRANGE);
-	g_assert_cmpint(judge(503, ID, "another", NOT_RUN, "1", NULL), ==,
+	g_assert_cmpint(classify(503, ID, "another", NOT_RUN, "1", NULL), ==,
 			ANSWER_STRANGE);
-	g_assert_cmpint(judge(200, SIGNED, "3e1b", NULL), ==, ANSWER_STRANGE);
-	g_assert_cmpint(judge(200, ID, TRACE, NULL), ==, ANSWER_STRANGE);
-	g_assert_cmpint(judge(200, NULL), ==, ANSWER_STRANGE);
-	g_assert_cmpint(judge(200, ID, TRACE, SIGNED, "3e1b",
-			      "Content-Encoding", "gzip", NULL),
+	g_assert_cmpint(classify(200, SIGNED, "3e1b", NULL), ==, ANSWER_STRANGE);
+	g_assert_cmpint(classify(200, ID, TRACE, NULL), ==, ANSWER_STRANGE);
+	g_assert_cmpint(classify(200, NULL), ==, ANSWER_STRANGE);
+	g_assert_cmpint(classify(200, ID, TRACE, SIGNED, "3e1b",
+				 "Content-Encoding", "gzip", NULL),
 			==, ANSWER_STRANGE);
 }
 
 /* Nothing was run, by the upstream's own word. */
-static void test_refusals_of_the_upstream(void)
+static void test_upstream_says_not_run(void)
 {
-	g_assert_cmpint(judge(503, ID, TRACE, NOT_RUN, "1", NULL), ==,
+	g_assert_cmpint(classify(503, ID, TRACE, NOT_RUN, "1", NULL), ==,
 			ANSWER_NOT_RUN);
-	g_assert_cmpint(judge(400, NOT_RUN, "1", NULL), ==, ANSWER_NOT_RUN);
-	g_assert_cmpint(judge(421, "X-Comfreydock-Instance-Id", "i-02", NULL),
+	g_assert_cmpint(classify(400, NOT_RUN, "1", NULL), ==, ANSWER_NOT_RUN);
+	g_assert_cmpint(classify(421, "X-Comfreydock-Instance-Id", "i-02", NULL),
 			==, ANSWER_OTHER_INSTANCE);
 }
 
@@ -71,28 +71,28 @@
  * A proxy before the upstream, or a fault in it, says 503 of a booking that was
  * made. Passed on, the caller would take it for "not run" and book again.
  */
-static void test_promises_without_the_word_are_not_passed_on(void)
+static void test_not_run_statuses_without_the_header_are_unclear(void)
 {
 	static const unsigned int statuses[] = {408, 429, 503};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(statuses); i++)
 		g_assert_cmpint(
-			judge(statuses[i], ID, TRACE, SIGNED, "3e1b", NULL), ==,
-			ANSWER_UNCLEAR);
+			classify(statuses[i], ID, TRACE, SIGNED, "3e1b", NULL),
+			==, ANSWER_UNCLEAR);
 }
 
 /* comfreydock's own headers name no signature: answers are as they are. */
-static void test_own_headers_ask_for_nothing(void)
+static void test_without_signature_header_all_answers_pass(void)
 {
 	struct fields fields;
 
 	fields_init(&fields);
-	g_assert_cmpint(answer_judge(&headers_own, TRACE, 503, &fields), ==,
+	g_assert_cmpint(answer_classify(&headers_own, TRACE, 503, &fields), ==,
 			ANSWER_GOOD);
 	fields_finish(&fields);
 }
 
-static void test_load_is_read_or_left(void)
+static void test_load_is_parsed_or_rejected(void)
 {
 	static const char *const bad[] = {
 		"",	     "3",     "3,0",
@@ -117,12 +117,15 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/answer/own", test_own_answers_pass);
-	g_test_add_func("/answer/others", test_others_answers_reach_nobody);
-	g_test_add_func("/answer/refusals", test_refusals_of_the_upstream);
-	g_test_add_func("/answer/promises",
-			test_promises_without_the_word_are_not_passed_on);
-	g_test_add_func("/answer/own-headers", test_own_headers_ask_for_nothing);
-	g_test_add_func("/answer/load", test_load_is_read_or_left);
+	g_test_add_func("/answer/this-request",
+			test_answers_to_this_request_pass);
+	g_test_add_func("/answer/other-request",
+			test_answers_to_other_requests_are_rejected);
+	g_test_add_func("/answer/not-run", test_upstream_says_not_run);
+	g_test_add_func("/answer/unconfirmed-not-run",
+			test_not_run_statuses_without_the_header_are_unclear);
+	g_test_add_func("/answer/no-signature-header",
+			test_without_signature_header_all_answers_pass);
+	g_test_add_func("/answer/load", test_load_is_parsed_or_rejected);
 	return g_test_run();
 }
--- a/tests/test_attempt.c
+++ b/tests/test_attempt.c
@@ -22,13 +22,12 @@
 };
 
 /* One attempt, both halves of it and the connection between them. */
-struct
-try {
+struct sim {
 	enum attempt_entry_state entry;
 	enum attempt_owner_state owner;
-	bool owner_knows;
-	bool left; /* bytes were handed to the kernel */
-	bool cut;
+	bool owner_received;
+	bool was_sent; /* bytes were handed to the kernel */
+	bool disconnected;
 	struct pipe to_owner;
 	struct pipe to_entry;
 	unsigned int runs;
@@ -36,7 +35,7 @@
 
 struct caller {
 	bool idempotent;
-	struct try tries[ATTEMPTS];
+	struct sim sims[ATTEMPTS];
 	unsigned int count;
 	bool gave_up;
 };
@@ -57,37 +56,37 @@
 	return first;
 }
 
-static void owner_do(struct try *try, enum attempt_owner_event event)
+static void owner_apply(struct sim *sim, enum attempt_owner_event event)
 {
-	if (!attempt_owner_step(&try->owner, event))
+	if (!attempt_owner_step(&sim->owner, event))
 		return;
 	if (event == OWNER_START)
-		try->runs++;
+		sim->runs++;
 	if (event == OWNER_NEVER_BEGAN) /* certain, so not a run after all */
-		try->runs--;
-	if (try->owner == OWNER_ATTEMPT_NOT_RUN)
-		pipe_put(&try->to_entry, MSG_NOT_RUN);
+		sim->runs--;
+	if (sim->owner == OWNER_ATTEMPT_NOT_RUN)
+		pipe_put(&sim->to_entry, MSG_NOT_RUN);
 	if (event == OWNER_FINISH) {
-		pipe_put(&try->to_entry, MSG_ANSWER);
-		pipe_put(&try->to_entry, MSG_END);
+		pipe_put(&sim->to_entry, MSG_ANSWER);
+		pipe_put(&sim->to_entry, MSG_END);
 	}
 	if (event == OWNER_BREAK)
-		pipe_put(&try->to_entry, MSG_FAILED);
+		pipe_put(&sim->to_entry, MSG_FAILED);
 }
 
-static void owner_take(struct try *try)
+static void owner_receive(struct sim *sim)
 {
-	enum message message = pipe_take(&try->to_owner);
+	enum message message = pipe_take(&sim->to_owner);
 
-	if (message == MSG_ATTEMPT && !try->owner_knows) {
-		try->owner_knows = true;
-		owner_do(try, OWNER_QUEUE);
-	} else if (message == MSG_CANCEL && try->owner_knows) {
-		owner_do(try, OWNER_REFUSE);
+	if (message == MSG_ATTEMPT && !sim->owner_received) {
+		sim->owner_received = true;
+		owner_apply(sim, OWNER_QUEUE);
+	} else if (message == MSG_CANCEL && sim->owner_received) {
+		owner_apply(sim, OWNER_REFUSE);
 	}
 }
 
-static void entry_take(struct try *try)
+static void entry_receive(struct sim *sim)
 {
 	static const enum attempt_entry_event events[] = {
 		[MSG_NOT_RUN] = ENTRY_GET_NOT_RUN,
@@ -96,64 +95,64 @@
 		[MSG_FAILED] = ENTRY_GET_FAILED,
 	};
 
-	attempt_entry_step(&try->entry, events[pipe_take(&try->to_entry)]);
+	attempt_entry_step(&sim->entry, events[pipe_take(&sim->to_entry)]);
 }
 
-static void send_next(struct caller *caller)
+static void send_attempt(struct caller *caller)
 {
-	struct try *try = &caller->tries[caller->count++];
+	struct sim *sim = &caller->sims[caller->count++];
 
-	try->entry = ENTRY_PICKED;
-	attempt_entry_step(&try->entry, ENTRY_SEND);
+	sim->entry = ENTRY_PICKED;
+	attempt_entry_step(&sim->entry, ENTRY_SEND);
 }
 
-static void cut(struct try *try)
+static void disconnect(struct sim *sim)
 {
-	try->cut = true;
-	try->to_owner.count = 0;
-	try->to_entry.count = 0;
-	attempt_entry_step(&try->entry, try->left ? ENTRY_LINK_LOST :
-						    ENTRY_LINK_LOST_UNSENT);
-	if (try->owner_knows)
-		owner_do(try, OWNER_REFUSE);
+	sim->disconnected = true;
+	sim->to_owner.count = 0;
+	sim->to_entry.count = 0;
+	attempt_entry_step(&sim->entry, sim->was_sent ? ENTRY_LINK_LOST :
+							ENTRY_LINK_LOST_UNSENT);
+	if (sim->owner_received)
+		owner_apply(sim, OWNER_REFUSE);
 }
 
 /* Anything may happen to one attempt, in any order and more than once. */
-static void disturb(struct try *try)
+static void apply_random_event(struct sim *sim)
 {
 	switch (g_test_rand_int_range(0, 10)) {
 	case 0: /* the kernel takes the frame */
-		if (!try->left && !try->cut) {
-			try->left = true;
-			pipe_put(&try->to_owner, MSG_ATTEMPT);
+		if (!sim->was_sent && !sim->disconnected) {
+			sim->was_sent = true;
+			pipe_put(&sim->to_owner, MSG_ATTEMPT);
 		}
 		break;
 	case 1: /* a cancel: before, behind or without its attempt */
-		pipe_put(&try->to_owner, MSG_CANCEL);
+		pipe_put(&sim->to_owner, MSG_CANCEL);
 		break;
 	case 2:
 	case 3:
-		if (try->to_owner.count)
-			owner_take(try);
+		if (sim->to_owner.count)
+			owner_receive(sim);
 		break;
 	case 4:
 	case 5:
-		if (try->to_entry.count)
-			entry_take(try);
+		if (sim->to_entry.count)
+			entry_receive(sim);
 		break;
 	case 6:
-		if (try->owner_knows)
-			owner_do(try, g_test_rand_int_range(0, OWNER_EVENTS));
+		if (sim->owner_received)
+			owner_apply(sim, g_test_rand_int_range(0, OWNER_EVENTS));
 		break;
 	case 7: /* an answer that comes twice */
-		if (try->to_entry.count)
-			pipe_put(&try->to_entry, try->to_entry.items[0]);
+		if (sim->to_entry.count)
+			pipe_put(&sim->to_entry, sim->to_entry.items[0]);
 		break;
 	case 8:
-		cut(try);
+		disconnect(sim);
 		break;
 	default: /* the deadline passes at the entry */
-		attempt_entry_step(&try->entry, ENTRY_GIVE_UP);
+		attempt_entry_step(&sim->entry, ENTRY_GIVE_UP);
 		break;
 	}
 }
@@ -163,23 +162,23 @@
 	unsigned int runs = 0;
 
 	for (unsigned int i = 0; i < caller->count; i++)
-		runs += caller->tries[i].runs;
+		runs += caller->sims[i].runs;
 	return runs;
 }
 
 static void check(const struct caller *caller)
 {
-	const struct try *last = &caller->tries[caller->count - 1];
+	const struct sim *last = &caller->sims[caller->count - 1];
 	bool none_ran = true;
 
 	if (!caller->idempotent)
 		g_assert_cmpuint(count_runs(caller), <=, 1);
 	for (unsigned int i = 0; i < caller->count; i++) {
-		const struct try *try = &caller->tries[i];
+		const struct sim *sim = &caller->sims[i];
 
-		if (try->entry == ENTRY_NOT_RUN)
-			g_assert_cmpuint(try->runs, ==, 0);
-		none_ran &= try->entry == ENTRY_NOT_RUN;
+		if (sim->entry == ENTRY_NOT_RUN)
+			g_assert_cmpuint(sim->runs, ==, 0);
+		none_ran &= sim->entry == ENTRY_NOT_RUN;
 	}
 	if (none_ran)
 		g_assert_cmpuint(count_runs(caller), ==, 0);
@@ -193,30 +192,30 @@
  * A user would notice a booking made twice, or one that was called "not run"
  * and was made all the same.
  */
-static void test_any_order_runs_at_most_once(void)
+static void test_random_order_runs_at_most_once(void)
 {
 	for (unsigned int round = 0; round < ROUNDS; round++) {
 		struct caller caller = {
 			.idempotent = g_test_rand_bit(),
 		};
 
-		send_next(&caller);
+		send_attempt(&caller);
 		for (unsigned int step = 0; step < STEPS; step++) {
-			struct try *last = &caller.tries[caller.count - 1];
+			struct sim *last = &caller.sims[caller.count - 1];
 			int which = g_test_rand_int_range(0, (int)caller.count);
 
-			disturb(&caller.tries[which]);
+			apply_random_event(&caller.sims[which]);
 			check(&caller);
 			if (attempt_allows_another(last->entry,
 						   caller.idempotent) &&
 			    caller.count < ATTEMPTS)
-				send_next(&caller);
+				send_attempt(&caller);
 		}
 	}
 }
 
 /* What "not run" rests on, cell by cell. */
-static void test_no_way_back_from_a_run(void)
+static void test_running_becomes_not_run_only_if_never_begun(void)
 {
 	for (int event = 0; event < OWNER_EVENTS; event++) {
 		enum attempt_owner_state state = OWNER_ATTEMPT_RUNNING;
@@ -230,7 +229,7 @@
 	}
 }
 
-static void test_only_not_run_allows_another(void)
+static void test_only_not_run_allows_another_attempt(void)
 {
 	for (int state = 0; state < ENTRY_STATES; state++) {
 		bool may = attempt_allows_another(state, false);
@@ -245,9 +244,11 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/attempt/any-order", test_any_order_runs_at_most_once);
-	g_test_add_func("/attempt/no-way-back", test_no_way_back_from_a_run);
+	g_test_add_func("/attempt/random-order",
+			test_random_order_runs_at_most_once);
+	g_test_add_func("/attempt/running-to-not-run",
+			test_running_becomes_not_run_only_if_never_begun);
 	g_test_add_func("/attempt/allows-another",
-			test_only_not_run_allows_another);
+			test_only_not_run_allows_another_attempt);
 	return g_test_run();
 }
--- a/tests/test_attempt_model.c
+++ b/tests/test_attempt_model.c
@@ -9,7 +9,7 @@
  * pause needs no event of its own: it is any order in which one side's frames
  * wait while the other side goes on.
  */
-#define TRIES 2
+#define ATTEMPTS 2
 #define TO_OWNER 2
 #define TO_ENTRY 3
 #define STATES_MAX 4000000
@@ -24,21 +24,20 @@
 	MSG_FAILED,
 };
 
-enum told {
-	TOLD_NOTHING,
-	TOLD_NOT_RUN,
-	TOLD_UNKNOWN,
-	TOLD_RUN,
+enum reported {
+	REPORTED_NOTHING,
+	REPORTED_NOT_RUN,
+	REPORTED_UNKNOWN,
+	REPORTED_RUN,
 };
 
-struct
-try {
-	unsigned char is_made;
+struct sim {
+	unsigned char exists;
 	unsigned char entry;
 	unsigned char owner;
-	unsigned char owner_knows;
-	unsigned char left; /* bytes were handed to the kernel */
-	unsigned char cut;
+	unsigned char owner_received;
+	unsigned char was_sent; /* bytes were handed to the kernel */
+	unsigned char disconnected;
 	unsigned char runs;
 	unsigned char cancelled;
 	unsigned char to_owner[TO_OWNER];
@@ -48,8 +47,8 @@
 /* Compared and hashed as bytes: no padding between the members. */
 struct state {
 	unsigned char idempotent;
-	unsigned char told;
-	struct try tries[TRIES];
+	unsigned char reported;
+	struct sim sims[ATTEMPTS];
 };
 
 struct search {
@@ -91,98 +90,98 @@
 	return first;
 }
 
-static bool entry_step(struct try *try, enum attempt_entry_event event)
+static bool entry_step(struct sim *sim, enum attempt_entry_event event)
 {
-	enum attempt_entry_state state = try->entry;
+	enum attempt_entry_state state = sim->entry;
 	bool steps = attempt_entry_step(&state, event);
 
-	try->entry = state;
+	sim->entry = state;
 	return steps;
 }
 
-static void say(struct try *try, enum message message)
+static void send_to_entry(struct sim *sim, enum message message)
 {
-	if (!try->cut)
-		put(try->to_entry, TO_ENTRY, message);
+	if (!sim->disconnected)
+		put(sim->to_entry, TO_ENTRY, message);
 }
 
-static bool owner_step(struct try *try, enum attempt_owner_event event)
+static bool owner_step(struct sim *sim, enum attempt_owner_event event)
 {
-	enum attempt_owner_state state = try->owner;
+	enum attempt_owner_state state = sim->owner;
 
-	if (!try->owner_knows || !attempt_owner_step(&state, event))
+	if (!sim->owner_received || !attempt_owner_step(&state, event))
 		return false;
-	try->owner = state;
+	sim->owner = state;
 	if (event == OWNER_START)
-		try->runs++;
+		sim->runs++;
 	if (event == OWNER_NEVER_BEGAN)
-		try->runs--;
+		sim->runs--;
 	if (state == OWNER_ATTEMPT_NOT_RUN)
-		say(try, MSG_NOT_RUN);
+		send_to_entry(sim, MSG_NOT_RUN);
 	if (event == OWNER_BREAK)
-		say(try, MSG_FAILED);
+		send_to_entry(sim, MSG_FAILED);
 	if (event == OWNER_FINISH) {
-		say(try, MSG_ANSWER);
-		say(try, MSG_END);
+		send_to_entry(sim, MSG_ANSWER);
+		send_to_entry(sim, MSG_END);
 	}
 	return true;
 }
 
-static void make_try(struct state *state, size_t index)
+static void start_attempt(struct state *state, size_t index)
 {
-	struct try *try = &state->tries[index];
+	struct sim *sim = &state->sims[index];
 
-	try->is_made = 1;
-	try->entry = ENTRY_PICKED;
-	entry_step(try, ENTRY_SEND);
+	sim->exists = 1;
+	sim->entry = ENTRY_PICKED;
+	entry_step(sim, ENTRY_SEND);
 }
 
 /* What the daemon does after an attempt is over: another one, or a last word. */
-static void go_on(struct state *state, size_t index)
+static void continue_call(struct state *state, size_t index)
 {
-	const struct try *try = &state->tries[index];
-	bool last = index + 1 == TRIES;
+	const struct sim *sim = &state->sims[index];
+	bool last = index + 1 == ATTEMPTS;
 
-	if (state->told || !attempt_entry_is_over(try->entry))
+	if (state->reported || !attempt_entry_is_over(sim->entry))
 		return;
-	if (try->entry == ENTRY_DONE) {
-		state->told = TOLD_RUN;
+	if (sim->entry == ENTRY_DONE) {
+		state->reported = REPORTED_RUN;
 		return;
 	}
-	if (!last && !state->tries[index + 1].is_made &&
-	    attempt_allows_another(try->entry, state->idempotent)) {
-		make_try(state, index + 1);
+	if (!last && !state->sims[index + 1].exists &&
+	    attempt_allows_another(sim->entry, state->idempotent)) {
+		start_attempt(state, index + 1);
 		return;
 	}
-	if (!last && state->tries[index + 1].is_made)
+	if (!last && state->sims[index + 1].exists)
 		return;
-	state->told = TOLD_NOT_RUN;
+	state->reported = REPORTED_NOT_RUN;
 	for (size_t i = 0; i <= index; i++) {
-		if (state->tries[i].entry != ENTRY_NOT_RUN)
-			state->told = TOLD_UNKNOWN;
+		if (state->sims[i].entry != ENTRY_NOT_RUN)
+			state->reported = REPORTED_UNKNOWN;
 	}
 }
 
-static bool deliver_to_owner(struct try *try)
+static bool deliver_to_owner(struct sim *sim)
 {
-	enum message message = take(try->to_owner, TO_OWNER);
+	enum message message = take(sim->to_owner, TO_OWNER);
 
 	if (message == MSG_ATTEMPT) {
-		try->owner_knows = 1;
-		try->owner = OWNER_ATTEMPT_RECEIVED;
-		return owner_step(try, OWNER_QUEUE);
+		sim->owner_received = 1;
+		sim->owner = OWNER_ATTEMPT_RECEIVED;
+		return owner_step(sim, OWNER_QUEUE);
 	}
 	if (message != MSG_CANCEL)
 		return false;
 	/* A run goes on unheard; what waits is refused. */
-	if (try->owner_knows && try->owner == OWNER_ATTEMPT_RUNNING)
-		say(try, MSG_FAILED);
+	if (sim->owner_received && sim->owner == OWNER_ATTEMPT_RUNNING)
+		send_to_entry(sim, MSG_FAILED);
 	else
-		owner_step(try, OWNER_REFUSE);
+		owner_step(sim, OWNER_REFUSE);
 	return true;
 }
 
-static bool deliver_to_entry(struct try *try)
+static bool deliver_to_entry(struct sim *sim)
 {
 	static const enum attempt_entry_event events[] = {
 		[MSG_NOT_RUN] = ENTRY_GET_NOT_RUN,
@@ -190,74 +189,74 @@
 		[MSG_END] = ENTRY_GET_END,
 		[MSG_FAILED] = ENTRY_GET_FAILED,
 	};
-	enum message message = take(try->to_entry, TO_ENTRY);
+	enum message message = take(sim->to_entry, TO_ENTRY);
 
 	if (message == NO_MESSAGE)
 		return false;
-	entry_step(try, events[message]);
+	entry_step(sim, events[message]);
 	return true;
 }
 
-static bool hand_over(struct try *try)
+static bool hand_over(struct sim *sim)
 {
-	if (!try->is_made || try->left || try->cut)
+	if (!sim->exists || sim->was_sent || sim->disconnected)
 		return false;
-	try->left = 1;
-	put(try->to_owner, TO_OWNER, MSG_ATTEMPT);
+	sim->was_sent = 1;
+	put(sim->to_owner, TO_OWNER, MSG_ATTEMPT);
 	return true;
 }
 
-static bool cancel(struct try *try)
+static bool cancel(struct sim *sim)
 {
-	if (!try->left || try->cut || try->cancelled)
+	if (!sim->was_sent || sim->disconnected || sim->cancelled)
 		return false;
-	try->cancelled = 1;
-	put(try->to_owner, TO_OWNER, MSG_CANCEL);
+	sim->cancelled = 1;
+	put(sim->to_owner, TO_OWNER, MSG_CANCEL);
 	return true;
 }
 
-static bool cut(struct try *try)
+static bool disconnect(struct sim *sim)
 {
-	if (!try->is_made || try->cut)
+	if (!sim->exists || sim->disconnected)
 		return false;
-	entry_step(try, try->left ? ENTRY_LINK_LOST : ENTRY_LINK_LOST_UNSENT);
-	try->cut = 1;
-	memset(try->to_owner, 0, sizeof(try->to_owner));
-	memset(try->to_entry, 0, sizeof(try->to_entry));
-	owner_step(try, OWNER_REFUSE);
+	entry_step(sim, sim->was_sent ? ENTRY_LINK_LOST : ENTRY_LINK_LOST_UNSENT);
+	sim->disconnected = 1;
+	memset(sim->to_owner, 0, sizeof(sim->to_owner));
+	memset(sim->to_entry, 0, sizeof(sim->to_entry));
+	owner_step(sim, OWNER_REFUSE);
 	return true;
 }
 
-/* RETURN VALUE: false if this event can't happen to the attempt now. */
-static bool happen(struct try *try, int event)
+/* RETURN VALUE: false if this event can't apply_event to the attempt now. */
+static bool apply_event(struct sim *sim, int event)
 {
 	switch (event) {
 	case 0:
-		return hand_over(try);
+		return hand_over(sim);
 	case 1:
-		return cancel(try);
+		return cancel(sim);
 	case 2:
-		return deliver_to_owner(try);
+		return deliver_to_owner(sim);
 	case 3:
-		return deliver_to_entry(try);
+		return deliver_to_entry(sim);
 	case 4:
-		return cut(try);
+		return disconnect(sim);
 	case 5:
-		return try->is_made && entry_step(try, ENTRY_GIVE_UP);
+		return sim->exists && entry_step(sim, ENTRY_GIVE_UP);
 	case 6:
-		return owner_step(try, OWNER_START);
+		return owner_step(sim, OWNER_START);
 	case 7:
-		return owner_step(try, OWNER_REFUSE);
+		return owner_step(sim, OWNER_REFUSE);
 	case 8:
-		return owner_step(try, OWNER_FINISH);
+		return owner_step(sim, OWNER_FINISH);
 	case 9:
-		return owner_step(try, OWNER_BREAK);
+		return owner_step(sim, OWNER_BREAK);
 	case 10:
-		return owner_step(try, OWNER_HOLD);
+		return owner_step(sim, OWNER_HOLD);
 	case 11:
-		return try->owner_knows && owner_step(try, OWNER_QUEUE);
+		return sim->owner_received && owner_step(sim, OWNER_QUEUE);
 	default:
-		return owner_step(try, OWNER_NEVER_BEGAN);
+		return owner_step(sim, OWNER_NEVER_BEGAN);
 	}
 }
 
@@ -267,19 +266,19 @@
 {
 	unsigned int runs = 0;
 
-	for (size_t i = 0; i < TRIES; i++) {
-		const struct try *try = &state->tries[i];
+	for (size_t i = 0; i < ATTEMPTS; i++) {
+		const struct sim *sim = &state->sims[i];
 
-		runs += try->runs;
-		g_assert_cmpuint(try->runs, <=, 1);
-		if (try->is_made && try->entry == ENTRY_NOT_RUN)
-			g_assert_cmpuint(try->runs, ==, 0);
+		runs += sim->runs;
+		g_assert_cmpuint(sim->runs, <=, 1);
+		if (sim->exists && sim->entry == ENTRY_NOT_RUN)
+			g_assert_cmpuint(sim->runs, ==, 0);
 	}
 	if (!state->idempotent)
 		g_assert_cmpuint(runs, <=, 1);
-	if (state->told == TOLD_NOT_RUN)
+	if (state->reported == REPORTED_NOT_RUN)
 		g_assert_cmpuint(runs, ==, 0);
-	if (state->told == TOLD_RUN)
+	if (state->reported == REPORTED_RUN)
 		g_assert_cmpuint(runs, >=, 1);
 }
 
@@ -307,16 +306,16 @@
 	const struct state *state;
 	guint count;
 
-	make_try(&first, 0);
+	start_attempt(&first, 0);
 	visit(&search, &first);
 	while ((state = g_queue_pop_head(search.open))) {
-		for (int event = 0; event < EVENTS * TRIES; event++) {
+		for (int event = 0; event < EVENTS * ATTEMPTS; event++) {
 			struct state next = *state;
 			size_t index = (size_t)event / EVENTS;
 
-			if (!happen(&next.tries[index], event % EVENTS))
+			if (!apply_event(&next.sims[index], event % EVENTS))
 				continue;
-			go_on(&next, index);
+			continue_call(&next, index);
 			visit(&search, &next);
 		}
 	}
@@ -328,7 +327,7 @@
 
 /*
  * A booking whose first attempt is refused goes to another upstream, while
- * anything at all happens to either. A customer who is charged twice, or told
+ * anything at all happens to either. A customer who is charged twice, or reported
  * "not run" about a booking that stands, would be one of these states.
  */
 static void test_every_reachable_state_of_a_booking(void)
--- a/tests/test_mutations.c
+++ b/tests/test_mutations.c
@@ -126,8 +126,8 @@
 	struct swim_ops ops;
 };
 
-static void keep_packet(const char *address, uint16_t port, const uint8_t *body,
-			size_t size, void *data)
+static void record_packet(const char *address, uint16_t port,
+			  const uint8_t *body, size_t size, void *data)
 {
 	struct gossip_net *net = data;
 	GByteArray *bytes = g_byte_array_new();
@@ -159,7 +159,7 @@
 	net->sent = g_ptr_array_new_with_free_func(
 		(GDestroyNotify)g_byte_array_unref);
 	net->table = member_table_create();
-	net->ops = (struct swim_ops){.send = keep_packet,
+	net->ops = (struct swim_ops){.send = record_packet,
 				     .handle_config_head = ignore_head,
 				     .data = net};
 	options.table = net->table;
@@ -220,7 +220,7 @@
 	(*(unsigned int *)data)++;
 }
 
-static void note_closed(struct link *link, const char *error, void *data)
+static void ignore_closed(struct link *link, const char *error, void *data)
 {
 	(void)link;
 	(void)error;
@@ -255,7 +255,7 @@
 {
 	struct ev_loop *loop = ev_loop_new(0);
 	unsigned int frames = 0;
-	struct link_callbacks callbacks = {count_frame, note_closed, &frames};
+	struct link_callbacks callbacks = {count_frame, ignore_closed, &frames};
 	struct link_group group;
 	uint8_t sample[512];
 	size_t size = pack_attempt(sample);
--- a/tests/test_operator.c
+++ b/tests/test_operator.c
@@ -107,10 +107,10 @@
 	return "";
 }
 
-void peers_on_frame(struct peers *peers, Cfd__Frame__KindCase kind,
-		    void (*handle)(struct peer *peer, const Cfd__Frame *frame,
-				   void *data),
-		    void *data)
+void peers_set_frame_handler(struct peers *peers, Cfd__Frame__KindCase kind,
+			     void (*handle)(struct peer *peer,
+					    const Cfd__Frame *frame, void *data),
+			     void *data)
 {
 	(void)peers;
 	(void)kind;
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -113,7 +113,7 @@
 	return peer_send(peer, &frame);
 }
 
-static void test_frames_held_for_the_greeting_keep_their_order(void)
+static void test_frames_sent_before_the_handshake_keep_their_order(void)
 {
 	struct end a, b;
 	struct member member;
@@ -172,7 +172,7 @@
 	end_finish(&b);
 }
 
-static void test_own_owner_is_reached_through_memory(void)
+static void test_connection_to_self_uses_memory(void)
 {
 	struct end a;
 	struct member member;
@@ -196,7 +196,7 @@
  * certainly not run, and the operator sees the refusal counted, instead of a
  * stranger's frames being run as bookings.
  */
-static void test_another_key_is_refused(void)
+static void test_wrong_key_is_refused(void)
 {
 	uint64_t before = counters.peer_handshakes_failed;
 	struct end a, b;
@@ -271,7 +271,7 @@
  * A port scanner, a web browser or a daemon of another version connects to
  * the peer port. It must be closed without taking memory or time.
  */
-static void test_strangers_are_closed(void)
+static void test_unauthenticated_connections_are_closed(void)
 {
 	static const char http[] = "GET / HTTP/1.1\r\n\r\n";
 	static const char huge[] = "\x00\x0f\xff\xff";
@@ -334,7 +334,7 @@
  * on its way there would end as "unknown" and a clerk would have to look it up.
  * A host that is dead in truth gives no frame, and its connection goes.
  */
-static void test_a_dead_host_that_talks_is_kept(void)
+static void test_connection_of_a_dead_member_that_sends_is_kept(void)
 {
 	struct end a, b;
 	struct member member;
@@ -370,16 +370,16 @@
 	loop = ev_loop_new(0);
 	g_test_add_func("/peers/in-use",
 			test_a_connection_with_an_attempt_out_is_not_idle);
-	g_test_add_func("/peers/held",
-			test_frames_held_for_the_greeting_keep_their_order);
-	g_test_add_func("/peers/memory",
-			test_own_owner_is_reached_through_memory);
-	g_test_add_func("/peers/another-key", test_another_key_is_refused);
-	g_test_add_func("/peers/strangers", test_strangers_are_closed);
+	g_test_add_func("/peers/before-handshake",
+			test_frames_sent_before_the_handshake_keep_their_order);
+	g_test_add_func("/peers/memory", test_connection_to_self_uses_memory);
+	g_test_add_func("/peers/wrong-key", test_wrong_key_is_refused);
+	g_test_add_func("/peers/unauthenticated",
+			test_unauthenticated_connections_are_closed);
 	g_test_add_func("/peers/connection-refused",
 			test_a_refused_connection_sent_nothing);
-	g_test_add_func("/peers/dead-but-talking",
-			test_a_dead_host_that_talks_is_kept);
+	g_test_add_func("/peers/dead-but-sending",
+			test_connection_of_a_dead_member_that_sends_is_kept);
 	status = g_test_run();
 	ev_loop_destroy(loop);
 	return status;
--- a/tests/test_probe.c
+++ b/tests/test_probe.c
@@ -110,7 +110,7 @@
  * The upstream crashes while calls pass. Its daemon lives on and would look
  * idle to all entries: each call would try it first and lose a round trip.
  */
-static void test_refused_requests_tell_too(void)
+static void test_refused_requests_count_as_refused_probes(void)
 {
 	struct daemon daemon = {.loop = loop};
 	struct owner_announcement announced = {
@@ -146,7 +146,7 @@
  * slot: 1 ms a second. At 6 ms a probe, one in 6 s is within it. More would
  * take capacity from bookings.
  */
-static void test_the_budget_holds(void)
+static void test_probes_stay_within_the_budget(void)
 {
 	struct daemon daemon = {.loop = loop};
 	char *groups[] = {(char *)"s", NULL};
@@ -185,8 +185,8 @@
 	g_test_add_func("/probe/dead-upstream",
 			test_a_dead_upstream_is_found_without_traffic);
 	g_test_add_func("/probe/refused-requests",
-			test_refused_requests_tell_too);
-	g_test_add_func("/probe/budget", test_the_budget_holds);
+			test_refused_requests_count_as_refused_probes);
+	g_test_add_func("/probe/budget", test_probes_stay_within_the_budget);
 	status = g_test_run();
 	ev_loop_destroy(loop);
 	return status;
--- a/tests/test_report.c
+++ b/tests/test_report.c
@@ -4,9 +4,9 @@
 
 #include "comfreydockd/upstream/report.h"
 
-static enum report_verdict tell(struct report_history *history,
-				const char *instance, int64_t born_ms,
-				uint64_t sequence)
+static enum report_verdict submit(struct report_history *history,
+				  const char *instance, int64_t born_ms,
+				  uint64_t sequence)
 {
 	struct report report = {
 		.instance = instance,
@@ -14,16 +14,16 @@
 		.sequence = sequence,
 	};
 
-	return report_judge(history, &report);
+	return report_classify(history, &report);
 }
 
 static void test_reports_in_order_are_news(void)
 {
 	struct report_history history = {0};
 
-	g_assert_cmpint(tell(&history, "i-1", 0, 4), ==, REPORT_NEW_START);
-	g_assert_cmpint(tell(&history, "i-1", 0, 5), ==, REPORT_NEWS);
-	g_assert_cmpint(tell(&history, "i-1", 0, 9), ==, REPORT_NEWS);
+	g_assert_cmpint(submit(&history, "i-1", 0, 4), ==, REPORT_NEW_START);
+	g_assert_cmpint(submit(&history, "i-1", 0, 5), ==, REPORT_NEWS);
+	g_assert_cmpint(submit(&history, "i-1", 0, 9), ==, REPORT_NEWS);
 }
 
 /*
@@ -34,50 +34,50 @@
 {
 	struct report_history history = {0};
 
-	tell(&history, "i-1", 0, 9);
-	g_assert_cmpint(tell(&history, "i-1", 0, 8), ==, REPORT_LATE);
-	g_assert_cmpint(tell(&history, "i-1", 0, 9), ==, REPORT_LATE);
-	g_assert_cmpint(tell(&history, "i-1", 0, 10), ==, REPORT_NEWS);
+	submit(&history, "i-1", 0, 9);
+	g_assert_cmpint(submit(&history, "i-1", 0, 8), ==, REPORT_LATE);
+	g_assert_cmpint(submit(&history, "i-1", 0, 9), ==, REPORT_LATE);
+	g_assert_cmpint(submit(&history, "i-1", 0, 10), ==, REPORT_NEWS);
 }
 
 /* Who has said good-bye stays away, however late its reports come. */
-static void test_one_that_left_is_gone(void)
+static void test_report_after_leave_is_gone(void)
 {
 	struct report_history history = {0};
 
-	tell(&history, "i-1", 0, 9);
+	submit(&history, "i-1", 0, 9);
 	g_assert_false(report_note_leave(&history, "i-2"));
 	g_assert_true(report_note_leave(&history, "i-1"));
-	g_assert_cmpint(tell(&history, "i-1", 0, 10), ==, REPORT_GONE);
-	g_assert_cmpint(tell(&history, "i-2", 0, 1), ==, REPORT_NEW_START);
-	g_assert_cmpint(tell(&history, "i-1", 0, 11), ==, REPORT_LATE);
+	g_assert_cmpint(submit(&history, "i-1", 0, 10), ==, REPORT_GONE);
+	g_assert_cmpint(submit(&history, "i-2", 0, 1), ==, REPORT_NEW_START);
+	g_assert_cmpint(submit(&history, "i-1", 0, 11), ==, REPORT_LATE);
 }
 
 /*
  * An upstream crashes behind a cut and another takes its address. The report
  * that the cut held up arrives after the new one's.
  */
-static void test_earlier_starts_report_is_late(void)
+static void test_report_of_earlier_start_is_late(void)
 {
 	struct report_history history = {0};
 
-	tell(&history, "i-1", 0, 7);
-	g_assert_cmpint(tell(&history, "i-2", 0, 1), ==, REPORT_NEW_START);
-	g_assert_cmpint(tell(&history, "i-1", 0, 8), ==, REPORT_LATE);
-	g_assert_cmpint(tell(&history, "i-2", 0, 2), ==, REPORT_NEWS);
+	submit(&history, "i-1", 0, 7);
+	g_assert_cmpint(submit(&history, "i-2", 0, 1), ==, REPORT_NEW_START);
+	g_assert_cmpint(submit(&history, "i-1", 0, 8), ==, REPORT_LATE);
+	g_assert_cmpint(submit(&history, "i-2", 0, 2), ==, REPORT_NEWS);
 }
 
 /* The same id starts anew: its numbers begin again, its time of start tells. */
-static void test_same_id_starts_again(void)
+static void test_same_id_with_later_start_is_new_start(void)
 {
 	struct report_history history = {0};
 
-	tell(&history, "i-1", 1000, 50);
-	g_assert_cmpint(tell(&history, "i-1", 2000, 1), ==, REPORT_NEW_START);
-	g_assert_cmpint(tell(&history, "i-1", 1000, 51), ==, REPORT_LATE);
-	g_assert_cmpint(tell(&history, "i-1", 2000, 2), ==, REPORT_NEWS);
+	submit(&history, "i-1", 1000, 50);
+	g_assert_cmpint(submit(&history, "i-1", 2000, 1), ==, REPORT_NEW_START);
+	g_assert_cmpint(submit(&history, "i-1", 1000, 51), ==, REPORT_LATE);
+	g_assert_cmpint(submit(&history, "i-1", 2000, 2), ==, REPORT_NEWS);
 	report_note_leave(&history, "i-1");
-	g_assert_cmpint(tell(&history, "i-1", 3000, 1), ==, REPORT_NEW_START);
+	g_assert_cmpint(submit(&history, "i-1", 3000, 1), ==, REPORT_NEW_START);
 }
 
 /*
@@ -85,7 +85,7 @@
  * order, the start that counts never goes back, and the number of its last
  * report never does.
  */
-static void test_any_order_never_goes_back(void)
+static void test_random_order_never_goes_back(void)
 {
 	for (int round = 0; round < 2000; round++) {
 		struct report_history history = {0};
@@ -98,7 +98,7 @@
 			char id[16];
 
 			snprintf(id, sizeof(id), "i-%d", (int)start / 2);
-			tell(&history, id, start, number);
+			submit(&history, id, start, number);
 			g_assert_cmpint(history.born_ms, >=, born);
 			if (history.born_ms == born)
 				g_assert_cmpuint(history.sequence, >=, sequence);
@@ -113,10 +113,12 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/report/order", test_reports_in_order_are_news);
 	g_test_add_func("/report/late", test_late_report_changes_nothing);
-	g_test_add_func("/report/left", test_one_that_left_is_gone);
+	g_test_add_func("/report/left", test_report_after_leave_is_gone);
 	g_test_add_func("/report/earlier-start",
-			test_earlier_starts_report_is_late);
-	g_test_add_func("/report/same-id", test_same_id_starts_again);
-	g_test_add_func("/report/any-order", test_any_order_never_goes_back);
+			test_report_of_earlier_start_is_late);
+	g_test_add_func("/report/same-id",
+			test_same_id_with_later_start_is_new_start);
+	g_test_add_func("/report/random-order",
+			test_random_order_never_goes_back);
 	return g_test_run();
 }
--- a/tests/test_run.c
+++ b/tests/test_run.c
@@ -99,7 +99,7 @@
 	g_string_append_len(((struct outcome *)data)->body, bytes, (gssize)size);
 }
 
-static void handle_taken(void *data, size_t size)
+static void handle_body_consumed(void *data, size_t size)
 {
 	(void)data;
 	(void)size;
@@ -117,7 +117,7 @@
 static const struct run_callbacks callbacks = {
 	.handle_head = handle_head,
 	.handle_body = handle_body,
-	.handle_taken = handle_taken,
+	.handle_body_consumed = handle_body_consumed,
 	.handle_done = handle_done,
 };
 
@@ -175,7 +175,6 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/run/never-twice",
-			test_a_broken_connection_is_not_retried);
+	g_test_add_func("/run/no-retry", test_a_broken_connection_is_not_retried);
 	return g_test_run();
 }
