--- a/comfreydockd/peer/link.c
+++ b/comfreydockd/peer/link.c
@@ -33,7 +33,7 @@
 	guint out_peak;
 	size_t out_start;
 	uint64_t queued; /* bytes ever sent by our side */
-	uint64_t handed; /* of them, given to the kernel or the far end */
+	uint64_t handed_over; /* of them, given to the kernel or the far end */
 	bool dirty;
 	bool trusted;
 	bool failed;
@@ -49,13 +49,13 @@
 	g_free(link);
 }
 
-static void buffer_trim(GByteArray **buffer, guint *most)
+static void buffer_trim(GByteArray **buffer, guint *peak)
 {
-	if (*most <= BUFFER_KEEP_BYTES)
+	if (*peak <= BUFFER_KEEP_BYTES)
 		return;
 	g_byte_array_unref(*buffer);
 	*buffer = g_byte_array_new();
-	*most = 0;
+	*peak = 0;
 }
 
 static void link_append_input(struct link *link, const uint8_t *bytes, guint size)
@@ -148,7 +148,7 @@
 }
 
 /* What came before the end of the stream or an error still counts. */
-static void link_read(struct link *link, size_t most)
+static void link_read(struct link *link, size_t max_bytes)
 {
 	const char *error = NULL;
 	size_t total = 0;
@@ -161,7 +161,7 @@
 		else if (got < 0 && errno != EAGAIN && errno != EINTR)
 			error = g_strerror(errno);
 		total += (size_t)MAX(got, 0);
-	} while (got == READ_CHUNK_BYTES && total < most);
+	} while (got == READ_CHUNK_BYTES && total < max_bytes);
 	if (total > 0 && !link_parse(link))
 		return;
 	if (error)
@@ -175,9 +175,9 @@
 	link_read(io->data, READ_TURN_BYTES);
 }
 
-static void link_drop_written(struct link *link, size_t size)
+static void link_discard_written(struct link *link, size_t size)
 {
-	link->handed += size;
+	link->handed_over += size;
 	link->out_start += size;
 	if (link->out_start == link->out->len) {
 		g_byte_array_set_size(link->out, 0);
@@ -203,7 +203,7 @@
 		return;
 	}
 	if (sent > 0)
-		link_drop_written(link, (size_t)sent);
+		link_discard_written(link, (size_t)sent);
 	if (link->out->len > link->out_start)
 		ev_io_start(link->group->loop, &link->writer);
 	else
@@ -228,7 +228,7 @@
 		return;
 	}
 	link_append_input(other, link->out->data + link->out_start, (guint)left);
-	link_drop_written(link, left);
+	link_discard_written(link, left);
 	link_parse(other);
 }
 
@@ -410,5 +410,5 @@
 
 bool link_has_handed_over(const struct link *link, uint64_t position)
 {
-	return link->handed > position;
+	return link->handed_over > position;
 }
--- a/comfreydockd/upstream/crash.c
+++ b/comfreydockd/upstream/crash.c
@@ -15,7 +15,7 @@
 
 /* When it is asked whether the upstream still listens: at once, and where the
  * kernel was slow to close its socket. */
-static const int64_t check_after_ms[] = {20, 250};
+static const int64_t check_delays_ms[] = {20, 250};
 
 static void crash_clear(struct owner *owner)
 {
@@ -30,12 +30,12 @@
 {
 	struct crash_watch *watch = &owner->crash;
 
-	if (watch->checks >= G_N_ELEMENTS(check_after_ms)) {
+	if (watch->checks >= G_N_ELEMENTS(check_delays_ms)) {
 		crash_clear(owner);
 		return;
 	}
 	timer_restart_us(owner->daemon->loop, &watch->check,
-			 check_after_ms[watch->checks] * US_PER_MS);
+			 check_delays_ms[watch->checks] * US_PER_MS);
 }
 
 static void handle_check(struct ev_loop *loop, ev_timer *timer, int events)
@@ -68,7 +68,7 @@
 	int64_t now = clock_mono_us();
 	struct crash_run *run;
 
-	if (now - watch->broken_us > CRASH_SPREAD_MS * US_PER_MS)
+	if (now - watch->broken_us > CRASH_WINDOW_MS * US_PER_MS)
 		crash_clear(owner);
 	watch->broken_us = now;
 	if (watch->count == 0) {
@@ -169,8 +169,8 @@
 		quarantine_end_trial(quarantine, content);
 }
 
-static struct quarantine_answer judge(const struct owner *owner,
-				      const struct owner_attempt *attempt)
+static struct quarantine_answer
+evaluate_quarantine(const struct owner *owner, const struct owner_attempt *attempt)
 {
 	const char *host = owner->daemon->settings->host;
 	struct quarantine_answer answer =
@@ -183,7 +183,7 @@
 	return answer;
 }
 
-static void refuse(struct owner_attempt *attempt, int64_t left_us)
+static void refuse_quarantined(struct owner_attempt *attempt, int64_t left_us)
 {
 	counters.quarantine_refused++;
 	attempt_owner_step(&attempt->state, OWNER_REFUSE);
@@ -193,11 +193,11 @@
 
 bool crash_may_queue(struct owner *owner, struct owner_attempt *attempt)
 {
-	struct quarantine_answer answer = judge(owner, attempt);
+	struct quarantine_answer answer = evaluate_quarantine(owner, attempt);
 
 	if (answer.verdict != QUARANTINE_HELD)
 		return true;
-	refuse(attempt, answer.left_us);
+	refuse_quarantined(attempt, answer.left_us);
 	return false;
 }
 
@@ -216,10 +216,10 @@
 
 bool crash_may_start(struct owner *owner, struct owner_attempt *attempt)
 {
-	struct quarantine_answer answer = judge(owner, attempt);
+	struct quarantine_answer answer = evaluate_quarantine(owner, attempt);
 
 	if (answer.verdict == QUARANTINE_HELD) {
-		refuse(attempt, answer.left_us);
+		refuse_quarantined(attempt, answer.left_us);
 		return false;
 	}
 	if (answer.verdict == QUARANTINE_TRIAL)
--- a/comfreydockd/upstream/gate.c
+++ b/comfreydockd/upstream/gate.c
@@ -8,8 +8,8 @@
 
 /* How soon the end of a slow spell is noticed: a tenth of the time that spells
  * last while something waits for it, else half as often, for the others. */
-#define ASK_HELD_S 0.02
-#define ASK_SLOW_S 0.04
+#define ASK_INTERVAL_HELD_S 0.02
+#define ASK_INTERVAL_SLOW_S 0.04
 
 static bool gate_ask(struct owner *owner)
 {
@@ -38,7 +38,8 @@
 	ev_timer_stop(loop, &owner->gate_timer);
 	if (!is_held && !pace_is_slow(&owner->pace))
 		return;
-	ev_timer_set(&owner->gate_timer, is_held ? ASK_HELD_S : ASK_SLOW_S, 0.0);
+	ev_timer_set(&owner->gate_timer,
+		     is_held ? ASK_INTERVAL_HELD_S : ASK_INTERVAL_SLOW_S, 0.0);
 	ev_timer_start(loop, &owner->gate_timer);
 }
 
--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -115,12 +115,12 @@
 			 enum limit_outcome outcome)
 {
 	int64_t now = clock_mono_us();
-	int64_t first_us = attempt->head_us ? attempt->head_us : now;
+	int64_t first_byte_us = attempt->head_us ? attempt->head_us : now;
 	int64_t usual_us =
 		pace_usual_us(attempt->pace_percent, now - attempt->started_us);
 
-	limit_note_done(&owner->limit, first_us - attempt->started_us, outcome,
-			owner->running, now);
+	limit_note_done(&owner->limit, first_byte_us - attempt->started_us,
+			outcome, owner->running, now);
 	if (outcome == LIMIT_OUTCOME_OK || outcome == LIMIT_OUTCOME_FAILED) {
 		queue_note_done(&owner->queue, attempt->item.class, usual_us);
 		probe_note_traffic(owner->probe);
@@ -133,7 +133,7 @@
 		speed_note_error(&owner->speed);
 	}
 	crash_note_finished(owner, attempt, outcome == LIMIT_OUTCOME_OK);
-	if (first_us > attempt->item.deadline_us)
+	if (first_byte_us > attempt->item.deadline_us)
 		counters.owner_late++;
 	TAILQ_REMOVE(&owner->runs, attempt, running_link);
 	owner->running--;
--- a/comfreydockd/upstream/owner_state.c
+++ b/comfreydockd/upstream/owner_state.c
@@ -181,7 +181,7 @@
 void owner_note_config(struct owner *owner)
 {
 	probe_configure(owner->probe);
-	report_check_again(owner);
+	report_check_retry(owner);
 }
 
 void owner_when_changed(struct owner *owner,
--- a/comfreydockd/upstream/report.c
+++ b/comfreydockd/upstream/report.c
@@ -190,17 +190,17 @@
 
 	(void)events;
 	ev_timer_stop(loop, timer);
-	report_check_again(owner);
+	report_check_retry(owner);
 }
 
 void report_check_init(struct owner *owner)
 {
 	ev_timer_init(&owner->check_timer, handle_check_timer, 0.0,
-		      REPORT_CHECK_AGAIN_S);
+		      REPORT_CHECK_RETRY_S);
 	owner->check_timer.data = owner;
 }
 
-void report_check_again(struct owner *owner)
+void report_check_retry(struct owner *owner)
 {
 	if (owner->check.is_open && !owner->history.has_left)
 		ask_health(owner);
--- a/include/comfreydockd/upstream/crash.h
+++ b/include/comfreydockd/upstream/crash.h
@@ -4,7 +4,7 @@
  *
  * DESCRIPTION
  *	Internal to upstream/. Runs that the upstream broke off within
- *	CRASH_SPREAD_MS of each other are kept until it is known whether the
+ *	CRASH_WINDOW_MS of each other are kept until it is known whether the
  *	upstream itself has ended: nobody listens at its address any more, or
  *	another start has followed. One that still listens has only dropped
  *	connections, and what was kept is forgotten.
@@ -28,7 +28,7 @@
 struct owner_attempt;
 
 #define CRASH_RUNS_MAX 32
-#define CRASH_SPREAD_MS 200
+#define CRASH_WINDOW_MS 200
 #define CRASH_CONFIRM_MS 10000 /* a later start tells nothing of these runs */
 
 struct crash_run {
--- a/include/comfreydockd/upstream/report.h
+++ b/include/comfreydockd/upstream/report.h
@@ -83,7 +83,7 @@
  */
 #define REPORT_CONFIRMING 3 /* reports of one start */
 #define REPORT_CHECK_TIMEOUT_MS 200 /* a health answer on the same host */
-#define REPORT_CHECK_AGAIN_S 0.25 /* a start takes longer than that */
+#define REPORT_CHECK_RETRY_S 0.25 /* a start takes longer than that */
 
 struct http_pending;
 
@@ -106,7 +106,7 @@
 void report_check_init(struct owner *owner);
 
 /* Asks now, as where the health path has just become known. */
-void report_check_again(struct owner *owner);
+void report_check_retry(struct owner *owner);
 
 /* The owner's side: takes a report or a good-bye, and acts on it. */
 enum report_verdict owner_handle_report(struct owner *owner,
