--- a/comfreydockd/upstream/answer.c
+++ b/comfreydockd/upstream/answer.c
@@ -19,7 +19,7 @@
 	return verdict_names[verdict];
 }
 
-/* 408, 421, 429 and 503 tell a caller that nothing has run. */
+/* 408, 421, 429 and 503 tell a caller that the request was not run. */
 static bool status_implies_not_run(unsigned int status)
 {
 	return status == 408 || status == STATUS_MISDIRECTED || status == 429 ||
--- a/comfreydockd/upstream/attempts.c
+++ b/comfreydockd/upstream/attempts.c
@@ -10,7 +10,8 @@
 #include "common/log.h"
 #include "common/tally.h"
 
-/* Into the time line and the log, with the attempt's number and entry. */
+/* Writes an event to the time line and the log, with the attempt's sequence
+ * number and its entry. */
 #define attempt_note(attempt, event, ...)                                  \
 	timeline_note(&owner_daemon((attempt)->owner)->timeline,           \
 		      (attempt)->request->trace, event,                    \
@@ -198,7 +199,8 @@
 	attempt_destroy(attempt);
 }
 
-/* Nothing was written to the upstream, or it says itself that it ran nothing. */
+/* Nothing was written to the upstream, or the upstream itself states that it
+ * did not run the request. */
 static void attempt_finish_not_begun(struct owner_attempt *attempt)
 {
 	struct owner *owner = attempt->owner;
@@ -233,7 +235,8 @@
 	attempt_destroy(attempt);
 }
 
-/* The run has ended its connection: what else is on it belongs to nobody. */
+/* Rejects an answer that can't be attributed to this request. The run has
+ * already closed the connection, so later bytes on it reach no caller. */
 static void attempt_finish_strange(struct owner_attempt *attempt)
 {
 	log_event(EV_OWNER_STRANGE_ANSWER,
@@ -263,14 +266,15 @@
 	} else {
 		owner_note_broken(owner, attempt);
 		attempt_finish_broken(attempt, result == RUN_TRUNCATED,
-				      "the upstream broke off");
+				      "upstream did not complete its answer");
 	}
 	owner_note_run(owner, false);
 }
 
 void attempt_break(struct owner_attempt *attempt, const char *why)
 {
-	/* Nothing was written yet: the certain answer is the better one. */
+	/* Nothing was written yet, so "not run" is certain and tells the entry
+	 * more than "failed". */
 	if (!run_has_begun(attempt->run)) {
 		attempt_owner_step(&attempt->state, OWNER_NEVER_BEGAN);
 		owner_note_finished(attempt->owner, attempt,
@@ -283,17 +287,17 @@
 
 void attempt_give_up(struct owner_attempt *attempt)
 {
-	/* A request of which the rest never came is broken off as well: ended
-	 * here, its part would look like the whole, and the upstream would book
-	 * what nobody asked for. */
+	/* A request whose body is incomplete is aborted as well: if its body
+	 * were ended here, the upstream would take the part for the whole and
+	 * book something that nobody asked for. */
 	if (attempt->request->idempotent || !run_has_begun(attempt->run) ||
 	    !attempt->body_ends) {
 		attempt_break(attempt, "cancelled");
 		return;
 	}
-	/* Half a booking is worse than one that nobody waits for: it goes on to
-	 * its end, and what is left of its answer is thrown away. */
-	attempt_send_failed(attempt, "cancelled while it ran");
+	/* A half-finished booking is worse than one that nobody waits for: it
+	 * runs to its end, and the rest of its answer is discarded. */
+	attempt_send_failed(attempt, "cancelled while running");
 	if (attempt->peer)
 		LIST_REMOVE(attempt, link);
 	attempt->peer = NULL;
@@ -309,7 +313,8 @@
 	fields_add(fields, name, text);
 }
 
-/* What the upstream passes on with the calls that it makes itself. */
+/* Builds the header fields for the upstream. It copies trace, depth and
+ * deadline into the calls that it makes itself. */
 static void attempt_fill_fields(const struct owner_attempt *attempt,
 				struct fields *fields, int64_t remaining_us)
 {
--- a/comfreydockd/upstream/crash.c
+++ b/comfreydockd/upstream/crash.c
@@ -13,8 +13,9 @@
 #include "common/log.h"
 #include "common/timer.h"
 
-/* When it is asked whether the upstream still listens: at once, and where the
- * kernel was slow to close its socket. */
+/* Delays before each check whether the upstream still listens. The first check
+ * is almost immediate, the second is for a kernel that was slow to close the
+ * upstream's socket. */
 static const int64_t check_delays_ms[] = {20, 250};
 
 static void crash_clear(struct owner *owner)
@@ -83,7 +84,7 @@
 	run->started_us = attempt->started_us;
 }
 
-/* Once for each request, however often it ran there. */
+/* A request that ran several times at the upstream is marked only once. */
 static bool is_first(const struct crash_watch *watch, unsigned int at)
 {
 	for (unsigned int i = 0; i < at; i++) {
--- a/comfreydockd/upstream/frames.c
+++ b/comfreydockd/upstream/frames.c
@@ -76,8 +76,10 @@
 	attempt_refuse(attempt, CFD__REASON__REASON_CANCELLED, 0);
 }
 
-/* A caller grows impatient. What waits its turn, or was started late, is not
- * stuck; what has run for so long and gives no head may be. */
+/* Tells an entry whether its attempt may be stuck, so that it can hedge. An
+ * attempt that is queued, or that started late, isn't stuck. One that has run
+ * for longer than the time left to its deadline, without an answer's head, may
+ * be. */
 static bool attempt_is_overdue(const struct owner_attempt *attempt)
 {
 	return attempt->state == OWNER_ATTEMPT_RUNNING && !attempt->head_us &&
@@ -148,8 +150,8 @@
 	owner_handle_frame(data, peer, frame);
 }
 
-/* What waits is dropped: its caller will be told "unknown" or has another
- * attempt out. */
+/* Drops the attempts that wait here. Their entries tell the callers "unknown"
+ * or have sent another attempt. */
 static void handle_lost(struct peer *peer, const char *error, void *data)
 {
 	struct owner *owner = data;
--- a/comfreydockd/upstream/gate.c
+++ b/comfreydockd/upstream/gate.c
@@ -6,8 +6,10 @@
 #include "common/counters.h"
 #include "common/log.h"
 
-/* How soon the end of a slow spell is noticed: a tenth of the time that spells
- * last while something waits for it, else half as often, for the others. */
+/* Intervals at which the gate polls the load during a slow spell. While an
+ * attempt is held, the interval is a tenth of the time that spells last.
+ * Otherwise only the entries wait for the end, and the gate polls half as
+ * often. */
 #define ASK_INTERVAL_HELD_S 0.02
 #define ASK_INTERVAL_SLOW_S 0.04
 
@@ -77,7 +79,7 @@
 	attempt_refuse(attempt, reason, owner_retry_after_ms(owner));
 }
 
-/* RETURN VALUE: true to go on with the attempt; else it is held here, or was
+/* RETURN VALUE: true if the attempt may go on. Otherwise it is held, or was
  * refused and freed. */
 static bool gate_decide(struct owner *owner, struct owner_attempt *attempt)
 {
@@ -142,8 +144,8 @@
 	gate_arm(owner);
 }
 
-/* Entries that have sent work here learn at once where a spell begins or ends;
- * else they would find out one request at a time. */
+/* Tells all entries that are connected to this owner that a slow spell began or
+ * ended. Otherwise each would find out one request at a time. */
 static void gate_notify_entries(struct owner *owner)
 {
 	Cfd__Load load = CFD__LOAD__INIT;
@@ -167,7 +169,7 @@
 		owner->load_at_us = now;
 		has_turned = pace_note(&owner->pace, load->percent, now);
 	} else if (owner->pace.percent) {
-		/* Nothing better is to be had. */
+		/* The upstream didn't answer: go on with the last pace. */
 		owner->pace.at_us = now;
 	}
 	if (has_turned) {
@@ -200,7 +202,8 @@
 
 	(void)loop;
 	(void)events;
-	/* The answer brings the review; without one, time alone does. */
+	/* The answer to the query triggers the review. If no query could be
+	 * sent, review now, as the elapsed time alone may change the result. */
 	if (!gate_ask(owner))
 		gate_review(owner);
 	else
--- a/comfreydockd/upstream/gauge.c
+++ b/comfreydockd/upstream/gauge.c
@@ -9,7 +9,7 @@
 #include "common/counters.h"
 #include "common/http_client.h"
 
-/* Questions that may come at once, as parts of a second's. */
+/* The bucket holds the tokens of one second, divided by this. */
 #define BURST_DIVISOR 4
 
 struct gauge {
--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -17,8 +17,8 @@
 #include "common/log.h"
 #include "common/timer.h"
 
-/* A timer that fires a little before an item is stale would find none and be set
- * again at once; an assumption. */
+/* A timer that fires slightly before an item is stale would find none and be
+ * set again at once. */
 #define STALE_SLACK_US 500
 
 static Cfd__Reason reason_of(enum queue_verdict verdict)
@@ -47,9 +47,10 @@
 		.limit = limit,
 	};
 
-	/* One that tells its slots and its load takes them all from the start,
-	 * more slowly: held back by its own daemon, too, it would refuse nine
-	 * in ten where all upstreams have just been started together. */
+	/* An upstream that reports its load uses all its slots from the start
+	 * and is only slower while it warms up. If its daemon limited the slots
+	 * as well, nine in ten attempts would be refused when all upstreams
+	 * have just been started together. */
 	if (owner->daemon->headers->load)
 		slots.limit = knee_slots(&owner->knee, limit);
 	else
@@ -66,7 +67,8 @@
 	load->queued = queue_length(&owner->queue);
 	load->pace_percent = owner->pace.percent;
 	load->limit = owner->state == OWNER_UP ? slots.limit : 0;
-	/* Shown as full but for a trial, so that entries try others first. */
+	/* With an open breaker the owner reports itself as full, so that
+	 * entries try others first; one slot stays free for a trial. */
 	if (owner->breaker.is_open)
 		load->limit = MIN(load->limit, MAX(slots.running, 1));
 	load->expected_wait_us =
@@ -93,7 +95,7 @@
 	return queue_retry_after_ms(&owner->queue, &slots);
 }
 
-/* Starting waits for the end of the turn, see handle_loop_prepare(). */
+/* Attempts start at the end of the iteration, see handle_loop_prepare(). */
 void owner_schedule_dispatch(struct owner *owner)
 {
 	owner->dispatch_is_due = true;
@@ -184,7 +186,8 @@
 		owner_refuse_item(owner, item, QUEUE_REFUSED_STALE);
 }
 
-/* A request that can't be answered in time any more is told so at once. */
+/* Sets a timer to refuse each queued request as soon as it can no longer be
+ * answered in time. */
 static void owner_set_stale_timer(struct owner *owner)
 {
 	int64_t at = queue_next_stale_us(&owner->queue);
@@ -207,13 +210,15 @@
 }
 
 /*
- * Runs before the loop waits again, after all frames of this turn of the loop
- * were read. What goes wrong without it: a daemon that was stopped for seconds
- * wakes with old attempts in its buffers and, behind them, the cancels of
- * callers who gave up; started in the order of arrival, the old work would
- * take the slots from callers who still wait, and a call that could have been
- * told "not run" would run. One would notice a burst of late runs after each
- * pause. After a pause everything readable is read first, for POST_FREEZE_READ_US.
+ * Dispatches attempts before the loop blocks again, after all frames of this
+ * iteration were read.
+ *
+ * A daemon that was stopped for seconds finds old attempts in its socket
+ * buffers and, behind them, the cancels of callers who gave up. If attempts
+ * started as their frames arrive, the old ones would take the slots from
+ * callers who still wait, and calls that could have been refused as not run
+ * would run: each pause would be followed by a burst of late runs. After a
+ * pause the owner therefore only reads, for POST_FREEZE_READ_US.
  */
 static void handle_loop_prepare(struct ev_loop *loop, ev_prepare *prepare,
 				int events)
@@ -237,7 +242,8 @@
 	http_client_begin(owner->daemon->http);
 }
 
-/* Of both timers: keeps the loop from waiting before handle_loop_prepare(). */
+/* Callback of both timers. A due timer keeps the loop from blocking, and
+ * handle_loop_prepare() then dispatches. */
 static void handle_dispatch_due(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct owner *owner = timer->data;
@@ -292,7 +298,8 @@
 	owner->probe = probe_create(daemon, owner_note_reachable, owner);
 	ev_timer_init(&owner->dispatch_timer, handle_dispatch_due, 0.0, 0.0);
 	ev_prepare_init(&owner->loop_prepare, handle_loop_prepare);
-	/* Before the frames are written: refusals go out in the same turn. */
+	/* Runs before the links flush, so that refusals leave in the same
+	 * iteration. */
 	ev_set_priority(&owner->loop_prepare, EV_MAXPRI);
 	ev_timer_init(&owner->stale_timer, handle_dispatch_due, 0.0, 0.0);
 	owner_init_sweep(owner);
--- a/comfreydockd/upstream/owner_state.c
+++ b/comfreydockd/upstream/owner_state.c
@@ -26,7 +26,6 @@
 	}
 }
 
-/* Nobody listens at the upstream's address, or somebody does again. */
 void owner_note_reachable(bool reachable, void *data)
 {
 	struct owner *owner = data;
@@ -44,7 +43,6 @@
 	owner_publish(owner);
 }
 
-/* An upstream that tells its slots and its load needs no guess at them. */
 const struct limit_policy *owner_limit_policy(const struct owner *owner)
 {
 	return owner->daemon->headers->load ? &limit_fixed : &limit_adaptive;
--- a/comfreydockd/upstream/probe.c
+++ b/comfreydockd/upstream/probe.c
@@ -18,8 +18,8 @@
 #include "common/timer.h"
 
 #define TIMEOUT_MS 1000
-/* How soon a restarted upstream is found; a refused connect on loopback costs
- * some ten microseconds. */
+/* Interval of connection attempts, within which a restarted upstream is found.
+ * A refused connect on loopback costs about ten microseconds. */
 #define CONNECT_RETRY_S 0.25
 
 struct probe {
@@ -28,9 +28,9 @@
 	void *data;
 	struct measure measure;
 	const struct owner_announcement *announced; /* the owner's; NULL: none */
-	char *path; /* NULL: the upstream is never asked */
+	char *path; /* NULL: no health requests are sent */
 	ev_timer timer;
-	ev_timer connect_timer; /* runs while nobody listens */
+	ev_timer connect_timer; /* runs while the port refuses connections */
 	struct http_pending *pending;
 	int64_t asked_us;
 	unsigned int refusals; /* in a row */
@@ -126,7 +126,7 @@
 	return fd;
 }
 
-/* On loopback a connect is over when the call returns. */
+/* On loopback a connect has succeeded or failed when the call returns. */
 static bool upstream_is_listening(const struct owner_announcement *announced)
 {
 	struct pollfd poller = {.events = POLLOUT};
--- a/comfreydockd/upstream/report.c
+++ b/comfreydockd/upstream/report.c
@@ -45,7 +45,7 @@
 	return false;
 }
 
-/* Where no start is told, the id is all there is to go by. */
+/* Without a start time, only the instance id distinguishes starts. */
 static bool is_later_start(const struct report_history *history,
 			   const struct report *report)
 {
@@ -160,7 +160,7 @@
 			  LOG_INT("status", answer->status));
 }
 
-/* RETURN VALUE: false where no health path is known to ask at. */
+/* RETURN VALUE: false if no health path is known. */
 static bool ask_health(struct owner *owner)
 {
 	const struct config_group *group = config_snapshot_group(
@@ -226,7 +226,7 @@
 		crash_confirm(owner, "new-start");
 		report_check_finish(check);
 		check->is_open = true;
-		/* Nothing of what was announced before holds any more. */
+		/* The previous announcement no longer applies. */
 		owner_set_no_upstream(owner);
 	}
 	check_fill(check, report);
@@ -269,8 +269,8 @@
 }
 
 /*
- * One that leaves without having drained before goes on serving for a while;
- * what runs there goes on, and nothing new is sent.
+ * An instance that deregisters without draining first still serves for a
+ * while: its running requests go on, and it gets no new ones.
  */
 bool owner_handle_leave(struct owner *owner, const char *instance)
 {
--- a/comfreydockd/upstream/run.c
+++ b/comfreydockd/upstream/run.c
@@ -10,15 +10,16 @@
 
 #define POOL_MAX_IDLE 64
 #define CONNECT_TIMEOUT_MS 1000L
-/* A kept connection is left alone before common servers close theirs. One that
- * tells its own time is believed, but for a second on the way. */
+/* An idle connection is no longer reused shortly before common servers would
+ * close it. An upstream's own Keep-Alive timeout replaces this value, less a
+ * second for the time that a request is on its way. */
 #define MAX_IDLE_CONNECTION_S 4L
 #define IDLE_MARGIN_S 1L
 
 struct run_pool {
 	struct http_client *client;
 	const struct headers *headers;
-	long idle_s; /* for which the upstream keeps a connection */
+	long idle_s; /* how long an idle connection may be reused */
 	char *url;
 	GPtrArray *idle; /* of CURL */
 };
@@ -38,7 +39,7 @@
 	int64_t credit;
 	bool answer_paused;
 	bool has_head;
-	bool refused; /* handle_head said no */
+	bool refused; /* handle_head returned false */
 	bool running;
 };
 
@@ -104,13 +105,13 @@
 
 static void run_parse_status_line(struct run *run, const char *line)
 {
-	/* "HTTP/1.1 200 OK"; an interim answer (1xx) starts over. */
+	/* "HTTP/1.1 200 OK"; after an interim answer (1xx) a new head begins. */
 	fields_finish(&run->answer_fields);
 	run->answer_length = -1;
 	run->status = (unsigned int)strtoul(line + strcspn(line, " "), NULL, 10);
 }
 
-/* "timeout=10, max=100" */
+/* Parses a Keep-Alive value such as "timeout=10, max=100". */
 static void pool_note_keep_alive(struct run_pool *pool, const char *value)
 {
 	const char *timeout = strstr(value, "timeout=");
@@ -123,7 +124,8 @@
 		pool->idle_s = (long)seconds - IDLE_MARGIN_S;
 }
 
-/* The trace shows whose answer it is; all else that is set here is left out. */
+/* Keeps the trace, which shows to which request the answer belongs, and drops
+ * the other fields that comfreydock sets itself. */
 static void run_add_field(struct run *run, const char *name, const char *value)
 {
 	const struct headers *headers = run->pool->headers;
@@ -168,7 +170,7 @@
 	size_t total = size * count;
 	char *line;
 
-	if (run->has_head) /* trailers are not passed on */
+	if (run->has_head) /* trailers are not forwarded */
 		return total;
 	line = g_strndup(bytes, total);
 	g_strchomp(line);
@@ -215,7 +217,8 @@
 
 static void append_field(struct run *run, const char *name, const char *value)
 {
-	/* libcurl sends an empty field only where it ends in a semicolon. */
+	/* libcurl sends a field without a value only if the line ends in a
+	 * semicolon. */
 	char *line = *value ? g_strconcat(name, ": ", value, NULL) :
 			      g_strconcat(name, ";", NULL);
 
@@ -228,7 +231,7 @@
 	for (size_t i = 0; i < fields->count; i++)
 		append_field(run, fields->items[i]->name,
 			     fields->items[i]->value);
-	/* What libcurl would add by itself. */
+	/* An empty value suppresses a field that libcurl would add itself. */
 	run->request_fields = curl_slist_append(run->request_fields, "Expect:");
 	if (!fields_find(fields, "Accept"))
 		run->request_fields =
--- a/comfreydockd/upstream/sweep.c
+++ b/comfreydockd/upstream/sweep.c
@@ -5,16 +5,16 @@
 #include "common/freeze.h"
 
 #define SWEEP_S 0.1
-/* An upstream that gives no head this long after the deadline is broken off:
- * nobody waits for it, and its slot would be lost for good. */
+/* A run without an answer's head this long after its deadline is aborted:
+ * nobody waits for it, and its slot would otherwise never be freed. */
 #define HEAD_GRACE_US (1 * US_PER_S)
-/* A caller that takes no byte of its answer for so long is broken off. */
+/* A run whose caller reads no byte of its answer for this long is aborted. */
 #define STALL_US (60 * US_PER_S)
-/* A loop that did not turn for so long was stopped or starved. */
+/* A loop without an iteration for this long was stopped or starved. */
 #define FREEZE_US (300 * US_PER_MS)
-/* After it nothing is started for so long: what entries sent while this daemon
- * stood still, cancels and ends of connections above all, lies partly in their
- * own send buffers and flows only now. */
+/* After a freeze no attempt starts for this long. Frames that entries sent
+ * during the freeze, above all cancels and closed connections, are partly still
+ * in the entries' own send buffers and arrive only now. */
 #define POST_FREEZE_READ_US (50 * US_PER_MS)
 
 static void owner_mark_sweep(struct owner *owner, int64_t now)
@@ -23,7 +23,8 @@
 	freeze_mark(&owner->last_sweep);
 }
 
-/* The sweep is due each SWEEP_S: the time since the last one tells. */
+/* A sweep is due every SWEEP_S, so a long gap since the last one shows that the
+ * loop stood still. */
 void owner_notice_freeze(struct owner *owner, int64_t now)
 {
 	if (now - owner->last_sweep_us <= FREEZE_US)
@@ -44,11 +45,11 @@
 
 		if (!attempt->head_us &&
 		    now > attempt->item.deadline_us + HEAD_GRACE_US) {
-			attempt_break(attempt, "no answer long after deadline");
+			attempt_break(attempt, "no answer after the deadline");
 			owner_note_run(owner, false);
 		} else if (attempt->stalled_since_us &&
 			   now - attempt->stalled_since_us > STALL_US)
-			attempt_break(attempt, "the caller takes nothing");
+			attempt_break(attempt, "caller stopped reading");
 		attempt = next;
 	}
 }
@@ -63,7 +64,7 @@
 	owner_notice_freeze(owner, now);
 	owner_mark_sweep(owner, now);
 	owner_sweep_runs(owner, now);
-	/* A warming upstream gains slots by time alone. */
+	/* The slots of a warming upstream grow with time, without an event. */
 	if (queue_length(&owner->queue))
 		owner_schedule_dispatch(owner);
 }
--- a/include/comfreydockd/upstream/answer.h
+++ b/include/comfreydockd/upstream/answer.h
@@ -1,17 +1,19 @@
 /*
  * NAME
- *	answer - whether the head of an answer is that of this request
+ *	answer - checks that an answer belongs to the request it follows
  *
  * DESCRIPTION
- *	An upstream may leave bytes behind a whole answer, send an answer a
- *	second time, or spoil one. On a kept connection they stand where the
- *	next answer is due. Its caller would get another one's listing, or a
- *	booking that it never made; one would notice it only by the complaint.
- *	So an answer counts only with the signature and the trace of its own
- *	request, where the headers name such.
+ *	An upstream may send extra bytes after a complete answer, send an
+ *	answer twice, or corrupt one. On a keep-alive connection these bytes
+ *	would be read as the answer to the next request. Its caller would get
+ *	another caller's listing, or a booking that it never made, and nothing
+ *	but a complaint would reveal it. An answer is therefore accepted only
+ *	if it carries the signature and the trace of its own request, where
+ *	the headers table names these fields.
  *
- *	Some statuses promise that nothing was run. Passed on without the
- *	upstream's word for it, they would have a booking made twice.
+ *	Some statuses tell a caller that the request was not run. If such a
+ *	status were forwarded without the upstream's explicit "not run" header,
+ *	a caller could repeat a booking that was made.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_ANSWER_H
 #define COMFREYDOCKD_UPSTREAM_ANSWER_H
@@ -19,19 +21,19 @@
 #include "comfreydockd/peer/fields.h"
 
 enum answer_verdict {
-	ANSWER_GOOD, /* to be passed on, a failure too */
-	ANSWER_NOT_RUN, /* the upstream says that it ran nothing */
-	ANSWER_OTHER_INSTANCE, /* the same, as it is not the one meant */
-	ANSWER_STRANGE, /* not of this request, or spoilt */
-	ANSWER_UNCLEAR, /* looks like "not run", without the word for it */
+	ANSWER_GOOD, /* is forwarded, also if it reports a failure */
+	ANSWER_NOT_RUN, /* the upstream states that it did not run it */
+	ANSWER_OTHER_INSTANCE, /* not run: 421, sent to the wrong instance */
+	ANSWER_STRANGE, /* belongs to another request, or is corrupt */
+	ANSWER_UNCLEAR, /* a "not run" status without the "not run" header */
 };
 
-/* What an upstream tells of its load; 0 where it tells less. */
+/* The load that an upstream reports; figures that it omits are 0. */
 struct answer_load {
 	uint32_t running;
 	uint32_t waiting;
 	uint32_t slots;
-	uint32_t percent; /* of the usual time that work takes now */
+	uint32_t percent; /* current service time, in percent of the usual */
 };
 
 enum answer_verdict answer_classify(const struct headers *headers,
@@ -40,7 +42,7 @@
 
 const char *answer_verdict_name(enum answer_verdict verdict);
 
-/* RETURN VALUE: false where it is absent or can't be read. */
+/* RETURN VALUE: false if the load is absent or malformed. */
 bool answer_read_load(const struct headers *headers,
 		      const struct fields *fields, struct answer_load *load);
 bool answer_parse_load(const char *text, struct answer_load *load);
--- a/include/comfreydockd/upstream/crash.h
+++ b/include/comfreydockd/upstream/crash.h
@@ -1,19 +1,19 @@
 /*
  * NAME
- *	crash - what ran at an upstream as it ended
+ *	crash - records which requests ran when an upstream crashed
  *
  * DESCRIPTION
- *	Internal to upstream/. Runs that the upstream broke off within
+ *	Internal to upstream/. Runs that the upstream aborted within
  *	CRASH_WINDOW_MS of each other are kept until it is known whether the
- *	upstream itself has ended: nobody listens at its address any more, or
- *	another start has followed. One that still listens has only dropped
- *	connections, and what was kept is forgotten.
+ *	upstream's process has ended: its port refuses connections, or a newer
+ *	start has reported. If the port still accepts connections, the upstream
+ *	has only dropped some of them, and the recorded runs are discarded.
  *
- *	Requests that the quarantine holds are refused here, and are run as a
- *	trial where it names this host.
+ *	Attempts whose request the quarantine holds are refused here. They are
+ *	run as a trial if the quarantine names this host for it.
  *
- *	A daemon that is gone itself, as where its host lost its power, tells
- *	of no crash.
+ *	A daemon that ends together with its upstream, as when the host loses
+ *	power, reports no crash.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_CRASH_H
 #define COMFREYDOCKD_UPSTREAM_CRASH_H
@@ -29,7 +29,9 @@
 
 #define CRASH_RUNS_MAX 32
 #define CRASH_WINDOW_MS 200
-#define CRASH_CONFIRM_MS 10000 /* a later start tells nothing of these runs */
+/* A crash that is confirmed later than this may have nothing to do with the
+ * aborted runs, and they are discarded. */
+#define CRASH_CONFIRM_MS 10000
 
 struct crash_run {
 	char trace[TIMELINE_TRACE_MAX];
@@ -40,30 +42,32 @@
 struct crash_watch {
 	struct crash_run runs[CRASH_RUNS_MAX];
 	unsigned int count;
-	int64_t broken_us; /* the last of them */
-	unsigned int checks; /* made since */
+	int64_t broken_us; /* when the last run was aborted */
+	unsigned int checks; /* of the port, since the first run was recorded */
 	ev_timer check;
 };
 
 void crash_init(struct owner *owner);
 void crash_finish(struct owner *owner);
 
-/* The upstream broke the run off. */
+/* Records a run that the upstream aborted. */
 void crash_note_broken(struct owner *owner, const struct owner_attempt *attempt);
 
-/* The upstream has ended, as is known by a refused connection or a new start:
- * what ran there is marked in the daemon's quarantine. */
+/* The upstream's process has ended, as a refused connection or a new start
+ * shows. Marks the requests that ran there in the daemon's quarantine. */
 void crash_confirm(struct owner *owner, const char *by);
 
-/* A run has ended; is_served: by a whole answer that tells of no failure. An
- * upstream that fails all requests has perhaps begun to run none. */
+/* A run has ended. is_served: with a complete answer that reports no failure.
+ * A failure doesn't clear the request, as an upstream that fails all requests
+ * may not even have begun to run them. */
 void crash_note_finished(struct owner *owner,
 			 const struct owner_attempt *attempt, bool is_served);
 
 /*
- * An attempt arrives, and its turn comes.
+ * Check the quarantine when an attempt arrives and again before it starts.
  *
- * RETURN VALUE: false where its request is held: it was refused and freed.
+ * RETURN VALUE: false if the request is quarantined: the attempt was refused
+ * and freed.
  */
 bool crash_may_queue(struct owner *owner, struct owner_attempt *attempt);
 bool crash_may_start(struct owner *owner, struct owner_attempt *attempt);
--- a/include/comfreydockd/upstream/gate.h
+++ b/include/comfreydockd/upstream/gate.h
@@ -1,11 +1,12 @@
 /*
  * NAME
- *	gate - what stands before the queue for the upstream's slots
+ *	gate - holds attempts back while the upstream's host runs slow
  *
  * DESCRIPTION
- *	Internal to upstream/. An attempt passes the gate once the pace of the
- *	host is known and allows a start; see decide/pace.h. Until then it is
- *	held here, and can be turned back as not run.
+ *	Internal to upstream/. The gate stands before the queue for the
+ *	upstream's slots. An attempt passes it once the pace of the host is
+ *	known and allows a start; see decide/pace.h. Until then the attempt is
+ *	held at the gate, which can still refuse it as not run.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_GATE_H
 #define COMFREYDOCKD_UPSTREAM_GATE_H
@@ -15,29 +16,31 @@
 void gate_init(struct owner *owner);
 void gate_finish(struct owner *owner);
 
-/* An attempt arrives. It may be refused and freed. */
+/* Takes a new attempt, which passes, is held, or is refused and freed. */
 void gate_offer(struct owner *owner, struct owner_attempt *attempt);
 
 /*
- * The turn of an attempt has come that waited in the queue. A slow spell may
- * have begun meanwhile, and each slot that comes free would take one more into
- * it: callers notice answers that take seven times as long, and slots that are
- * still taken long after the spell.
+ * Checks an attempt again when it leaves the queue. The host may have become
+ * slow meanwhile. Without this check each free slot would start one more
+ * attempt during the slow spell: its caller would see an answer that takes
+ * seven times as long, and the slot would stay occupied long after the spell.
  *
- * RETURN VALUE: false: it is held here again, or was refused and freed.
+ * RETURN VALUE: false if the attempt is held again, or was refused and freed.
  */
 bool gate_may_start(struct owner *owner, struct owner_attempt *attempt);
 
-/* Another figure is known, or time has passed. */
+/* Decides anew about all held attempts, after a new load report or some time.
+ */
 void gate_review(struct owner *owner);
 
-/* What the upstream told of itself; load is NULL where it told nothing. */
+/* Records the load that the upstream reported; NULL if it did not answer. */
 void gate_note_load(struct owner *owner, const struct answer_load *load);
 
-/* A run gave a whole answer, or none by the upstream's doing. */
+/* A run ended: with a complete answer, or without one because the upstream
+ * failed. */
 void gate_note_run(struct owner *owner, bool is_answer);
 
-/* All that is held goes back. */
+/* Refuses all held attempts. */
 void gate_refuse_all(struct owner *owner, Cfd__Reason reason);
 
 #endif
--- a/include/comfreydockd/upstream/gauge.h
+++ b/include/comfreydockd/upstream/gauge.h
@@ -1,16 +1,16 @@
 /*
  * NAME
- *	gauge - asks the upstream for its load and its host's pace
+ *	gauge - queries the upstream for its load and its host's pace
  *
  * DESCRIPTION
- *	Answers to requests tell both, and mostly often enough. Where none came
- *	lately the gauge asks the health path, which is answered at once; in a
- *	slow spell, when nothing is begun and so nothing is answered, it goes on
- *	asking until the spell has ended.
+ *	Answers to requests carry both figures, usually often enough. If no
+ *	answer came recently, the gauge requests the health path, which the
+ *	upstream answers at once. During a slow spell no attempts start and so
+ *	no answers come; the gauge then keeps asking until the spell has ended.
  *
- *	It keeps to the settings' questions a second, with a few in a burst.
- *	A question without an answer ends after GAUGE_TIMEOUT_MS: whoever waits
- *	for it goes on with what was known.
+ *	A token bucket limits the queries to the rate in the settings, with a
+ *	small burst. A query without an answer ends after GAUGE_TIMEOUT_MS, and
+ *	the attempts that wait for it go on with the last known figures.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_GAUGE_H
 #define COMFREYDOCKD_UPSTREAM_GAUGE_H
@@ -18,7 +18,7 @@
 #include "comfreydockd/daemon.h"
 #include "comfreydockd/upstream/answer.h"
 
-/* Some hundred times what an answer takes on one host. */
+/* About a hundred times the duration of a health request on the same host. */
 #define GAUGE_TIMEOUT_MS 30
 
 struct gauge;
@@ -27,17 +27,17 @@
 	const char *address; /* IP number */
 	uint16_t port;
 	const char *path;
-	const char *instance; /* another one's answer is dropped; NULL: any */
+	const char *instance; /* whose answer counts; NULL: anyone's */
 };
 
-/* load is NULL where no answer came. */
+/* load is NULL if no valid answer came. */
 typedef void (*gauge_handler)(const struct answer_load *load, void *data);
 
 struct gauge *gauge_create(struct daemon *daemon, gauge_handler handler,
 			   void *data);
 void gauge_destroy(struct gauge *gauge);
 
-/* RETURN VALUE: whether a question is out, asked now or before. */
+/* RETURN VALUE: true if a query is pending, sent now or earlier. */
 bool gauge_ask(struct gauge *gauge, const struct gauge_target *target);
 
 #endif
--- a/include/comfreydockd/upstream/owner.h
+++ b/include/comfreydockd/upstream/owner.h
@@ -1,11 +1,12 @@
 /*
  * NAME
- *	owner - the only path to this host's upstream
+ *	owner - admits and runs all requests of this host's upstream
  *
  * DESCRIPTION
- *	Everything that runs on the upstream passes here, so what is running
- *	and queued is known exactly. The owner admits, queues, runs or refuses;
- *	it alone can say "not run", and keeps that word.
+ *	Every request to the upstream passes through its owner, which therefore
+ *	knows exactly what is running and queued. The owner admits, queues, runs
+ *	or refuses an attempt. Only the owner can say that an attempt was not
+ *	run, and it never runs the attempt after that.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_OWNER_H
 #define COMFREYDOCKD_UPSTREAM_OWNER_H
@@ -15,15 +16,15 @@
 
 #include "comfreydockd/daemon.h"
 
-/* What an upstream says of itself. */
+/* What an upstream announces about itself. */
 struct owner_announcement {
 	char **groups;
 	char *address; /* IP number, of this host */
 	uint16_t port;
 	uint32_t slots;
 	uint32_t warm_ms;
-	bool is_new_start; /* nothing of before is there any more */
-	bool is_report; /* one of many: does not take back an operator's drain */
+	bool is_new_start; /* a new process: earlier state is discarded */
+	bool is_report; /* from a heartbeat: does not undo an operator's drain */
 };
 
 enum owner_state {
@@ -39,8 +40,8 @@
 	uint32_t running;
 	uint32_t queued;
 	uint32_t expected_wait_us;
-	uint32_t pace_percent; /* of the usual time that work takes now */
-	int64_t pace_age_us; /* -1: nothing is known yet */
+	uint32_t pace_percent; /* current service time, in % of the usual */
+	int64_t pace_age_us; /* -1: the pace is not known yet */
 };
 
 struct owner *owner_create(struct daemon *daemon);
@@ -50,20 +51,22 @@
 void owner_announce(struct owner *owner,
 		    const struct owner_announcement *announcement);
 
-/* Refuses all new and queued work as not run from now on; what runs goes on. */
+/* Drains for the operator: refuses all new and queued attempts as not run, and
+ * lets running ones finish. */
 void owner_drain(struct owner *owner);
 
-/* The same, for good: this daemon ends. */
+/* Drains for good, as this daemon is stopping. */
 void owner_stop(struct owner *owner);
 
-/* The same, at the wish of the upstream itself: it may take it back. */
+/* Drains at the request of the upstream itself, which may announce itself
+ * again later. */
 void owner_drain_upstream(struct owner *owner);
 void owner_resume(struct owner *owner);
 
-/* Another configuration is in force: the measuring budget may be another. */
+/* The configuration has changed, and with it perhaps the measuring budget. */
 void owner_note_config(struct owner *owner);
 
-/* Calls back once nothing runs any more, at once if nothing does. */
+/* Calls back once nothing runs or waits any more; at once if that is so now. */
 void owner_when_idle(struct owner *owner, void (*handle_idle)(void *data),
 		     void *data);
 
@@ -72,7 +75,7 @@
 			void (*handle_state)(struct owner *owner, void *data),
 			void *data);
 
-/* RETURN VALUE: what the upstream last said, or NULL if nothing yet. */
+/* RETURN VALUE: the last announcement, or NULL if there was none yet. */
 const struct owner_announcement *owner_announced(const struct owner *owner);
 
 void owner_get_status(const struct owner *owner, struct owner_status *status);
--- a/include/comfreydockd/upstream/owner_internal.h
+++ b/include/comfreydockd/upstream/owner_internal.h
@@ -24,28 +24,28 @@
 #include "comfreydockd/upstream/report.h"
 #include "common/freeze.h"
 
-/* Told where nothing better is known, as on a drain. */
+/* The retry-after that is sent if no estimate is known, as on a drain. */
 #define OWNER_RETRY_AFTER_MS 1000
 
 struct owner {
 	struct daemon *daemon;
 	enum owner_state state;
 	struct owner_announcement announced;
-	struct report_history history; /* of the upstream, if it reports */
-	bool is_closed; /* by the operator or this daemon's stop */
+	struct report_history history; /* empty if the upstream never reports */
+	bool is_closed; /* drained by the operator or by this daemon's stop */
 	bool is_stopping;
 	ev_timer check_timer;
-	struct report_check check; /* of a start that is not confirmed yet */
+	struct report_check check; /* for a start that is not confirmed yet */
 	struct gauge *gauge;
 	struct pace pace;
 	struct knee knee;
 	struct breaker breaker;
-	TAILQ_HEAD(, owner_attempt) held; /* at the gate */
+	TAILQ_HEAD(, owner_attempt) held; /* attempts that wait at the gate */
 	ev_timer gate_timer;
-	struct answer_load load; /* as the upstream told it last */
+	struct answer_load load; /* as the upstream last reported it */
 	int64_t load_at_us; /* 0: never */
 	struct run_pool *pool;
-	GPtrArray *old_pools; /* of upstreams before a move; runs may use them */
+	GPtrArray *old_pools; /* of former addresses; runs may still use them */
 	struct limit limit;
 	struct warm warm;
 	struct queue queue;
@@ -54,14 +54,14 @@
 	struct crash_watch crash;
 	uint32_t running;
 	TAILQ_HEAD(, owner_attempt) runs;
-	ev_prepare loop_prepare; /* starts what may start, after all input was read */
+	ev_prepare loop_prepare; /* dispatches, once all input was read */
 	bool dispatch_is_due;
 	ev_timer dispatch_timer;
 	ev_timer stale_timer;
 	ev_timer sweep_timer;
 	int64_t last_sweep_us;
 	struct freeze_mark last_sweep;
-	int64_t no_start_before_us; /* nothing starts before, see handle_loop_prepare() */
+	int64_t no_start_before_us; /* see handle_loop_prepare() */
 	void (*handle_idle)(void *data);
 	void *idle_data;
 	void (*handle_state)(struct owner *owner, void *data);
@@ -70,14 +70,15 @@
 
 /* owner.c */
 
-/* Offers an attempt to the queue; refuses and frees it if there is no place. */
+/* Offers an attempt to the queue; refuses and frees it if the queue rejects it.
+ */
 void owner_offer(struct owner *owner, struct owner_attempt *attempt);
 bool owner_has_group(const struct owner *owner, const char *group);
 
-/* No upstream is known to be there until the next announcement. */
+/* Treats the upstream as gone until its next announcement. */
 void owner_set_no_upstream(struct owner *owner);
 
-/* Has what may start be started at the end of the loop's turn. */
+/* Schedules the start of queued attempts for the end of the loop iteration. */
 void owner_schedule_dispatch(struct owner *owner);
 
 static inline struct owner_attempt *owner_attempt_of(struct queue_item *item)
@@ -86,19 +87,20 @@
 					offsetof(struct owner_attempt, item));
 }
 
-/* owner_state.c: what the upstream is, and whether it gets work */
+/* owner_state.c: the upstream's announcement and state */
 
-/* An upstream that tells its slots and its load needs no guess at them. */
+/* An upstream that reports its slots and its load gets a fixed limit instead of
+ * an estimated one. */
 const struct limit_policy *owner_limit_policy(const struct owner *owner);
 void owner_announcement_finish(struct owner_announcement *announcement);
 
-/* Tells the other daemons of the state. */
+/* Calls handle_state, which passes the state on to the other daemons. */
 void owner_publish(struct owner *owner);
 
-/* Nobody listens at the upstream's address, or somebody does again. */
+/* The upstream's port refuses connections, or accepts them again. */
 void owner_note_reachable(bool reachable, void *data);
 
-/* sweep.c: looks for runs to break off, and for pauses of this daemon */
+/* sweep.c: aborts runs that hang, and detects pauses of this daemon */
 void owner_init_sweep(struct owner *owner);
 void owner_notice_freeze(struct owner *owner, int64_t now);
 
--- a/include/comfreydockd/upstream/probe.h
+++ b/include/comfreydockd/upstream/probe.h
@@ -1,24 +1,24 @@
 /*
  * NAME
- *	probe - asks the upstream how it is, within the measuring budget
+ *	probe - health checks of the upstream, within the measuring budget
  *
  * DESCRIPTION
- *	While requests pass, their answers tell more than any probe, and none
- *	is made. An upstream without traffic is asked now and then at the
- *	health path that the operator's file names, each time only if the
- *	budget allows it. Of several services on the upstream the least budget
- *	and the first health path count.
+ *	While requests pass, their answers tell more than any probe, and no
+ *	probe is sent. Without traffic the probe requests the health path from
+ *	the operator's file from time to time, and only if the budget allows
+ *	it. If the upstream runs several services, their smallest budget and
+ *	their first health path apply.
  *
  *	A health endpoint may lag or mislead: a failing answer is counted and
- *	logged, and nothing else follows from it. A connection that is refused
- *	can't mislead, nobody listens there: after PROBE_REFUSALS in a row, of
- *	probes or of requests, the owner calls the upstream gone. From then on
- *	the probe tries to connect, which takes none of its slots, and the
- *	first success brings it back.
+ *	logged and has no other effect. A refused connection is reliable, as it
+ *	means that no process listens on the port. After PROBE_REFUSALS refused
+ *	connections in a row, of probes or of requests, the owner treats the
+ *	upstream as gone. From then on the probe tries to connect, which
+ *	occupies no slot of the upstream, and the first success restores it.
  *
- *	Without this an upstream that has crashed would look idle to all
- *	entries, and each of their calls would try it first. The first callers
- *	after a quiet hour would find out one by one.
+ *	Without probes a crashed upstream would look idle to all entries, and
+ *	each of their calls would try it first. After an hour without traffic
+ *	the first callers would each lose time on it.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_PROBE_H
 #define COMFREYDOCKD_UPSTREAM_PROBE_H
@@ -30,27 +30,27 @@
 
 struct probe;
 
-/* handle_reachable is called when probes find that nobody listens, and when
- * somebody does again. */
+/* handle_reachable is called when the port refuses connections, and when it
+ * accepts them again. */
 struct probe *probe_create(struct daemon *daemon,
 			   void (*handle_reachable)(bool reachable, void *data),
 			   void *data);
 void probe_destroy(struct probe *probe);
 
-/* A new announcement: probes go there. */
+/* Sends the probes to a newly announced upstream. */
 void probe_set_upstream(struct probe *probe,
 			const struct owner_announcement *announced);
 
-/* Reads budget and path anew from the configuration in force. */
+/* Reads budget and path again from the configuration in force. */
 void probe_configure(struct probe *probe);
 
-/* Tries to connect. RETURN VALUE: true too where there is no address yet. */
+/* Tries to connect. RETURN VALUE: true also if no address is known yet. */
 bool probe_is_listening(const struct probe *probe);
 
-/* A request could not connect. */
+/* The upstream refused the connection of a request. */
 void probe_note_refused(struct probe *probe);
 
-/* Ordinary traffic told what a probe would have. */
+/* A request was answered, so no probe is needed for now. */
 void probe_note_traffic(struct probe *probe);
 
 #endif
--- a/include/comfreydockd/upstream/report.h
+++ b/include/comfreydockd/upstream/report.h
@@ -1,23 +1,23 @@
 /*
  * NAME
- *	report - what an upstream says of itself again and again
+ *	report - orders the heartbeats of an upstream
  *
  * DESCRIPTION
- *	An upstream that announces itself by heartbeats tells with each of them
- *	which start of which instance it is. A heartbeat can arrive seconds
- *	late, after a newer one, after its sender has left, or after another
- *	start took the address. Taken at its word, it would bring back an
- *	upstream that drains or is gone: its callers would be cut off, or their
- *	requests reach a stranger. One would notice work on an upstream that
- *	was told it may go.
+ *	An upstream that announces itself by heartbeats identifies its instance
+ *	and its start in each of them. A heartbeat can arrive seconds late:
+ *	after a newer one, after its sender has left, or after another start
+ *	took over the address. If the owner acted on it, it would send work to
+ *	an upstream that drains or is gone: running calls would be cut off, or
+ *	requests would reach another instance. It would show as requests on an
+ *	upstream that was told it may stop.
  *
- *	So reports are ordered by the time of the start, then by their number;
- *	whoever has left stays away until a later start. Upstreams that don't
- *	tell their start have a new id with each: an id that another one has
- *	followed is over.
+ *	Reports are therefore ordered by the time of the start, then by their
+ *	sequence number. An instance that has left is ignored until a later
+ *	start. Upstreams that don't report a start time have a new instance id
+ *	with each start: an id that was replaced by another is outdated.
  *
- *	What could hold of the upstream, but for the order, is decided by
- *	report_classify(), which is pure.
+ *	report_classify() decides whether a report applies. It is a pure
+ *	function of the history and the report.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_REPORT_H
 #define COMFREYDOCKD_UPSTREAM_REPORT_H
@@ -30,70 +30,71 @@
 struct owner;
 
 #define REPORT_INSTANCE_MAX 200 /* bytes, with the 0 */
-/* More starts than there are within the seconds that a report may be late. */
+/* More starts than can happen in the seconds by which a report may be late. */
 #define REPORT_PAST_MAX 8
 
 struct report {
 	const char *instance;
-	const char *group; /* the service that it runs */
+	const char *group; /* the service that the upstream runs */
 	char address[ADDRESS_TEXT_SIZE]; /* IP number */
 	uint16_t port;
 	uint32_t slots;
-	uint32_t warm_ms; /* for which it is still slow after its start */
+	uint32_t warm_ms; /* how long it is slow after its start */
 	bool drains;
 	uint64_t sequence; /* grows with each report of one start */
-	int64_t born_ms; /* start, Unix time; 0: not told */
+	int64_t born_ms; /* time of the start, Unix time; 0: not reported */
 };
 
-/* The upstream's start that counts now; all zero before the first report. */
+/* The upstream's current start; all zero before the first report. */
 struct report_history {
 	char instance[REPORT_INSTANCE_MAX];
 	int64_t born_ms;
 	uint64_t sequence;
 	bool has_left;
-	/* Ids that others have followed, the latest ones. */
+	/* The most recent instance ids that were replaced, as a ring. */
 	char past[REPORT_PAST_MAX][REPORT_INSTANCE_MAX];
-	unsigned int past_count; /* ever */
+	unsigned int past_count; /* all that were ever replaced */
 };
 
 enum report_verdict {
-	REPORT_NEWS, /* of the start that counts */
-	REPORT_NEW_START, /* another start counts from now on */
-	REPORT_LATE, /* older than what is known; nothing follows */
-	REPORT_GONE, /* of one that has left; nothing follows */
-	REPORT_FOREIGN, /* of an upstream that isn't beside this daemon */
+	REPORT_NEWS, /* from the current start, and newer */
+	REPORT_NEW_START, /* from a later start, which is now the current one */
+	REPORT_LATE, /* older than what is known; ignored */
+	REPORT_GONE, /* from an instance that has left; ignored */
+	REPORT_FOREIGN, /* from an upstream of another daemon; ignored */
 };
 
-/* Notes the report as the last one where it is news. */
+/* Classifies a report, and records it in the history unless it is ignored. */
 enum report_verdict report_classify(struct report_history *history,
 				    const struct report *report);
 
-/* RETURN VALUE: false if it isn't the start that counts that leaves. */
+/* RETURN VALUE: false if the instance isn't the current one. */
 bool report_note_leave(struct report_history *history, const char *instance);
 
 const char *report_verdict_name(enum report_verdict verdict);
 
 /*
- * A daemon that has just started has forgotten who said good-bye to the one
- * before it, and the last report of one that left may still come. Believed, it
- * would send work to an upstream that was told it may end. So a start is
- * confirmed first: by the health path, where the same instance must say that
- * it serves; or, as health may mislead, by reports that go on, which those of
- * one that has left do not.
+ * Confirmation of a start. A daemon that was restarted doesn't know which
+ * instances deregistered from its predecessor, and a last report of such an
+ * instance may still arrive. If the owner acted on it, it would send work to an
+ * upstream that was told it may stop. A start is therefore confirmed first:
+ * either by the health path, where the same instance must answer that it
+ * serves; or, as a health answer may mislead, by further reports, which an
+ * instance that has left doesn't send.
  */
-#define REPORT_CONFIRMING 3 /* reports of one start */
+#define REPORT_CONFIRMING 3 /* reports of one start that confirm it */
 #define REPORT_CHECK_TIMEOUT_MS 200 /* a health answer on the same host */
-#define REPORT_CHECK_RETRY_S 0.25 /* a start takes longer than that */
+#define REPORT_CHECK_RETRY_S 0.25 /* shorter than an upstream's start */
 
 struct http_pending;
 
-/* All zero where there is none. */
+/* All zero if no start is being confirmed. */
 struct report_check {
-	bool is_open; /* a start waits to be confirmed */
-	unsigned int reports; /* of this start */
-	unsigned int asked; /* in vain */
+	bool is_open; /* a start waits for its confirmation */
+	unsigned int reports; /* received from this start */
+	unsigned int asked; /* health requests that did not confirm it */
 	struct http_pending *pending;
-	char *group; /* and the rest, as last reported */
+	char *group; /* this and the fields below: as last reported */
 	char *address;
 	uint16_t port;
 	uint32_t slots;
@@ -102,13 +103,13 @@
 
 void report_check_finish(struct report_check *check);
 
-/* Sets up the owner's timer for it. */
+/* Sets up the owner's timer for the retries. */
 void report_check_init(struct owner *owner);
 
-/* Asks now, as where the health path has just become known. */
+/* Requests the health path now, for example as it has just become known. */
 void report_check_retry(struct owner *owner);
 
-/* The owner's side: takes a report or a good-bye, and acts on it. */
+/* Act on a report or a deregistration of the owner's upstream. */
 enum report_verdict owner_handle_report(struct owner *owner,
 					const struct report *report);
 bool owner_handle_leave(struct owner *owner, const char *instance);
--- a/include/comfreydockd/upstream/run.h
+++ b/include/comfreydockd/upstream/run.h
@@ -1,17 +1,17 @@
 /*
  * NAME
- *	run - one request on the upstream, by libcurl
+ *	run - sends one request to the upstream, using libcurl
  *
  * DESCRIPTION
- *	A run reads the request's body as it comes and hands the answer on as
- *	it comes, no faster than its credit allows.
+ *	A run streams the request's body to the upstream as it arrives, and the
+ *	answer back as it arrives, but no faster than its credit allows.
  *
- *	libcurl repeats a request by itself when a kept connection turns out to
- *	be closed before any byte of an answer. The upstream may have run the
- *	first one by then: a booking would be charged twice. A run therefore
- *	lets only one request be written, by aborting at the second call of the
- *	callback that libcurl makes before it writes one; run_has_begun() tells
- *	whether the first was reached.
+ *	libcurl retries a request by itself if a keep-alive connection turns
+ *	out to be closed before the first byte of an answer. The upstream may
+ *	already have run the first request, and a booking would be charged
+ *	twice. A run therefore permits a single write of the request: libcurl
+ *	calls a callback before each write, and the second call aborts the
+ *	transfer. run_has_begun() tells whether the first call was made.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_RUN_H
 #define COMFREYDOCKD_UPSTREAM_RUN_H
@@ -27,21 +27,21 @@
 struct run_pool;
 
 enum run_result {
-	RUN_WHOLE, /* the answer ended as it should */
+	RUN_WHOLE, /* the answer is complete */
 	RUN_NOT_BEGUN, /* no byte of the request was written */
-	RUN_BROKEN, /* begun, and no head of an answer came */
-	RUN_TRUNCATED, /* the answer broke off after its head */
+	RUN_BROKEN, /* the request was written, but no answer's head came */
+	RUN_TRUNCATED, /* the answer ended early, after its head */
 };
 
 struct run_callbacks {
-	/* The head of the answer; length is -1 where it is not known. false
-	 * ends the run without further callbacks but handle_done. */
+	/* The head of the answer came; length is -1 if it isn't known. If the
+	 * handler returns false, the run ends and only handle_done follows. */
 	bool (*handle_head)(void *data, unsigned int status,
 			    const struct fields *fields, int64_t length);
 	void (*handle_body)(void *data, const void *bytes, size_t size);
-	/* So much of the request's body was read by the upstream. */
+	/* This many bytes of the request's body were passed to libcurl. */
 	void (*handle_body_consumed)(void *data, size_t size);
-	/* The run is destroyed by its owner after this, or in it. */
+	/* The run has ended; its owner destroys it in this call or later. */
 	void (*handle_done)(void *data, enum run_result result);
 };
 
@@ -49,12 +49,12 @@
 	const char *method;
 	const char *target;
 	const struct fields *fields;
-	const uint8_t *body; /* what is there of it */
+	const uint8_t *body; /* the part that has arrived so far */
 	size_t body_size;
-	bool body_ends; /* that is all */
+	bool body_ends; /* the body is complete */
 };
 
-/* Handles kept for reuse, all to one upstream. */
+/* Creates a pool of reusable libcurl handles for one upstream. */
 struct run_pool *run_pool_create(struct http_client *client,
 				 const struct headers *headers,
 				 const char *address, uint16_t port);
@@ -64,7 +64,7 @@
 		       int64_t credit, const struct run_callbacks *callbacks,
 		       void *data);
 
-/* Ends the run if it is still going; no callback follows. */
+/* Aborts the run if it is still going; no callback follows. */
 void run_destroy(struct run *run);
 
 void run_add_body(struct run *run, const void *bytes, size_t size, bool ends);
