--- a/comfreydockd/peer/attempt.c
+++ b/comfreydockd/peer/attempt.c
@@ -1,6 +1,6 @@
 #include "comfreydockd/peer/attempt.h"
 
-/* A cell of 0 means that the event does not apply; others are state + 1. */
+/* Each cell holds the next state + 1, or 0 if the event does not apply. */
 #define TO(state) ((state) + 1)
 
 static const unsigned char entry_table[ENTRY_STATES][ENTRY_EVENTS] = {
--- a/comfreydockd/peer/fields.c
+++ b/comfreydockd/peer/fields.c
@@ -17,7 +17,7 @@
 
 static const struct name not_forwarded[] = {
 	NAME("Connection"),
-	NAME("Content-Length"), /* the frames tell the length */
+	NAME("Content-Length"), /* the frames carry the length */
 	NAME("Expect"),
 	NAME("Keep-Alive"),
 	NAME("Proxy-Authenticate"),
@@ -71,7 +71,6 @@
 	fields->items[fields->count++] = header;
 }
 
-/* Lengths first: nearly every field of every call is compared with each name. */
 static bool is_own_header(const struct headers *headers, const char *name)
 {
 	const char *const own_headers[] = {
@@ -89,10 +88,12 @@
 	return false;
 }
 
-bool field_is_hop_by_hop(const struct headers *headers, const char *name)
+bool field_is_not_forwarded(const struct headers *headers, const char *name)
 {
 	size_t length = strlen(name);
 
+	/* Nearly every field of every call is compared with each name, so the
+	 * cheap comparison of the lengths comes first. */
 	for (size_t i = 0; i < G_N_ELEMENTS(not_forwarded); i++) {
 		if (not_forwarded[i].length == length &&
 		    strcasecmp(name, not_forwarded[i].text) == 0)
@@ -104,7 +105,7 @@
 void fields_add_forwarded(struct fields *fields, const struct headers *headers,
 			  const char *name, const char *value)
 {
-	if (!field_is_hop_by_hop(headers, name))
+	if (!field_is_not_forwarded(headers, name))
 		fields_add(fields, name, value);
 }
 
--- a/comfreydockd/peer/handshake.c
+++ b/comfreydockd/peer/handshake.c
@@ -21,7 +21,7 @@
 	GHmac *hmac = g_hmac_new(G_CHECKSUM_SHA256, key->data, key->size);
 	gsize size = HANDSHAKE_PROOF_BYTES;
 
-	/* The final 0 bytes keep role and host apart. */
+	/* Includes the terminating 0 bytes, which separate role and host. */
 	g_hmac_update(hmac, (const guchar *)role, (gssize)strlen(role) + 1);
 	g_hmac_update(hmac, (const guchar *)host, (gssize)strlen(host) + 1);
 	g_hmac_update(hmac, theirs, HANDSHAKE_NONCE_BYTES);
--- a/comfreydockd/peer/hello.c
+++ b/comfreydockd/peer/hello.c
@@ -83,11 +83,11 @@
 		  LOG_STR("side", peer->outgoing ? "entry" : "owner"));
 }
 
-/* First word of the entry: who it is, and its nonce. */
+/* Handles the entry's first Hello, which has its host name and its nonce. */
 static void peer_handle_initial_hello(struct peer *peer, const Cfd__Hello *hello)
 {
 	if (hello->nonce.len != HANDSHAKE_NONCE_BYTES) {
-		peer_refuse(peer, "greeting without a nonce");
+		peer_refuse(peer, "handshake without a nonce");
 		return;
 	}
 	g_strlcpy(peer->host, hello->host, sizeof(peer->host));
@@ -99,7 +99,7 @@
 static void peer_handle_owner_hello(struct peer *peer, const Cfd__Hello *hello)
 {
 	if (hello->nonce.len != HANDSHAKE_NONCE_BYTES) {
-		peer_refuse(peer, "greeting without a nonce");
+		peer_refuse(peer, "handshake without a nonce");
 		return;
 	}
 	memcpy(peer->their_nonce, hello->nonce.data, HANDSHAKE_NONCE_BYTES);
@@ -108,7 +108,7 @@
 		return;
 	}
 	if (strcmp(hello->host, peer->host) != 0) {
-		peer_refuse(peer, "another host at this address");
+		peer_refuse(peer, "unexpected host at this address");
 		return;
 	}
 	peer->incarnation = hello->incarnation;
@@ -119,7 +119,7 @@
 void peer_handle_hello(struct peer *peer, const Cfd__Hello *hello)
 {
 	if (hello->version != PEERS_PROTOCOL_VERSION) {
-		peer_refuse(peer, "another protocol version");
+		peer_refuse(peer, "unsupported protocol version");
 		return;
 	}
 	if (peer->outgoing) {
--- a/comfreydockd/peer/link.c
+++ b/comfreydockd/peer/link.c
@@ -10,11 +10,13 @@
 
 #define LENGTH_BYTES 4
 #define READ_CHUNK_BYTES (64 * 1024)
-/* A link reads this much in one turn, so that none holds up the others. */
+/* A link reads at most this much per loop iteration, so that none delays the
+ * others. */
 #define READ_TURN_BYTES (1024 * 1024)
 
-/* An empty buffer that was larger is given back: of a thousand links, most are
- * silent at any moment, and each would keep the room of its largest frame. */
+/* An empty buffer that has grown larger than this is freed. Of a thousand links
+ * most are idle at any moment, and each would otherwise keep the memory for its
+ * largest frame. */
 #define BUFFER_KEEP_BYTES 2048
 
 struct link {
@@ -22,18 +24,18 @@
 	LIST_ENTRY(link) dirty_link;
 	struct link_group *group;
 	struct link_callbacks callbacks;
-	int fd; /* -1: through memory */
-	struct link *other; /* the memory link's far end */
+	int fd; /* -1: an in-memory link */
+	struct link *other; /* the other end of an in-memory link */
 	ev_io reader;
 	ev_io writer;
-	ev_timer close_timer; /* also: input for a memory link */
+	ev_timer close_timer; /* calls handle_closed from the loop */
 	GByteArray *in;
 	GByteArray *out;
-	guint in_peak; /* since the buffer was allocated */
+	guint in_peak; /* largest length since the buffer was allocated */
 	guint out_peak;
 	size_t out_start;
-	uint64_t queued; /* bytes ever sent by our side */
-	uint64_t handed_over; /* of them, given to the kernel or the far end */
+	uint64_t queued; /* all bytes ever passed to link_send() */
+	uint64_t handed_over; /* those given to the kernel or the other end */
 	bool dirty;
 	bool trusted;
 	bool failed;
@@ -85,7 +87,7 @@
 		if (frame)
 			cfd__frame__free_unpacked(frame, NULL);
 		counters.peer_bad_frames++;
-		link_fail(link, "frame can't be read");
+		link_fail(link, "malformed frame");
 		return false;
 	}
 	counters.peer_frames_in++;
@@ -100,9 +102,9 @@
 }
 
 /*
- * Hands over all whole frames in the input.
+ * Passes all complete frames in the input to the handler.
  *
- * RETURN VALUE: false if the link was destroyed by one of them.
+ * RETURN VALUE: false if the handler destroyed the link.
  */
 static bool link_parse(struct link *link)
 {
@@ -116,7 +118,7 @@
 		size = ntohl(size);
 		if (size == 0 || size > link_frame_limit(link)) {
 			counters.peer_bad_frames++;
-			link_fail(link, "frame of a wrong length");
+			link_fail(link, "invalid frame length");
 			break;
 		}
 		if (link->in->len - at - LENGTH_BYTES < size)
@@ -147,7 +149,8 @@
 	return got;
 }
 
-/* What came before the end of the stream or an error still counts. */
+/* Handles the frames that arrived before the end of the stream or an error,
+ * and then fails the link. */
 static void link_read(struct link *link, size_t max_bytes)
 {
 	const char *error = NULL;
@@ -157,7 +160,7 @@
 	do {
 		got = link_read_chunk(link);
 		if (got == 0)
-			error = "closed by the peer";
+			error = "closed by peer";
 		else if (got < 0 && errno != EAGAIN && errno != EINTR)
 			error = g_strerror(errno);
 		total += (size_t)MAX(got, 0);
@@ -217,14 +220,15 @@
 	link_write(io->data);
 }
 
-/* The far end's owner is called from the loop, never from link_send(). */
+/* Delivers the output of an in-memory link to its other end. The loop calls
+ * this, so that the other end's handler never runs within link_send(). */
 static void link_deliver_to_other(struct link *link)
 {
 	size_t left = link->out->len - link->out_start;
 	struct link *other = link->other;
 
 	if (!other || other->failed) {
-		link_fail(link, "closed by the peer");
+		link_fail(link, "closed by peer");
 		return;
 	}
 	link_append_input(other, link->out->data + link->out_start, (guint)left);
@@ -365,7 +369,7 @@
 	LIST_REMOVE(link, link);
 	if (link->other) {
 		link->other->other = NULL;
-		link_fail(link->other, "closed by the peer");
+		link_fail(link->other, "closed by peer");
 	}
 	if (link->fd >= 0)
 		close(link->fd);
@@ -385,7 +389,8 @@
 		return;
 	link->dirty = true;
 	LIST_INSERT_HEAD(&link->group->dirty, link, dirty_link);
-	/* Keeps the loop from waiting if its prepare step is over already. */
+	/* Keeps the loop from blocking if its prepare watchers have already
+	 * run. */
 	ev_timer_start(link->group->loop, &link->group->flush_timer);
 }
 
--- a/comfreydockd/peer/peers.c
+++ b/comfreydockd/peer/peers.c
@@ -14,7 +14,7 @@
 
 #define SWEEP_S 1.0
 
-/* RETURN VALUE: false if nobody asked for frames of this kind. */
+/* RETURN VALUE: false if no handler is set for frames of this kind. */
 static bool peer_call_frame_handler(struct peer *peer, const Cfd__Frame *frame)
 {
 	const struct peers_handler *handler =
@@ -44,7 +44,7 @@
 		peer_handle_hello(peer, frame->hello);
 		return;
 	}
-	peer_refuse(peer, "frame out of order");
+	peer_refuse(peer, "unexpected frame");
 }
 
 static void peer_free(struct peer *peer)
@@ -71,7 +71,7 @@
 	log_event(EV_PEER_LOST, LOG_STR("host", peer->host),
 		  LOG_STR("side", peer->outgoing ? "entry" : "owner"),
 		  LOG_STR("why", error));
-	/* A new connection may be opened from within the handler. */
+	/* The handler may open a new connection to the same host. */
 	if (peer->outgoing)
 		g_hash_table_remove(peer->peers->outgoing, peer->host);
 	peer->role->handle_lost(peer, error, peer->role->data);
@@ -85,7 +85,7 @@
 
 	(void)loop;
 	(void)events;
-	link_fail(peer->link, "no greeting in time");
+	link_fail(peer->link, "handshake timed out");
 }
 
 static struct peer *peer_new(struct peers *peers, bool outgoing)
@@ -130,9 +130,9 @@
 }
 
 /*
- * A long job gives no frame for minutes. Taken for idle, its connection would
- * be closed after one, and its caller told that nobody knows what became of
- * it, long before its deadline.
+ * A long job sends no frame for minutes. If its connection counted as idle, it
+ * would be closed after one minute, and the caller would get an unknown outcome
+ * long before its deadline.
  */
 static bool peer_is_idle(const struct peer *peer, int64_t now_us)
 {
@@ -141,10 +141,10 @@
 }
 
 /*
- * Gossip may be wrong: a host whose UDP is lost or whose daemon was starved
- * for seconds is called dead, and answers all the same. Were its connection
- * broken on that word alone, every booking on its way would end as "unknown".
- * A connection that still gives frames is better evidence, and stays.
+ * Gossip may be wrong: a host whose UDP packets are lost, or whose daemon was
+ * starved for seconds, is declared dead although it still answers. If that alone
+ * closed its connection, every booking in flight would end as "unknown". Frames
+ * on the connection are better evidence, so it is kept while they arrive.
  */
 static bool peer_is_dead(const struct peer *peer, int64_t now_us)
 {
@@ -168,7 +168,7 @@
 		if (peer_is_idle(peer, now))
 			link_fail(peer->link, "idle");
 		else if (peer_is_dead(peer, now))
-			link_fail(peer->link, "the host is dead");
+			link_fail(peer->link, "host is dead");
 	}
 }
 
@@ -296,7 +296,7 @@
 	struct peer *peer = g_hash_table_lookup(peers->outgoing, host);
 
 	if (peer && peer_is_dead(peer, clock_mono_us()))
-		link_fail(peer->link, "the host is dead");
+		link_fail(peer->link, "host is dead");
 }
 
 void peers_drain_input(struct peers *peers)
--- a/include/comfreydockd/peer/fields.h
+++ b/include/comfreydockd/peer/fields.h
@@ -1,12 +1,11 @@
 /*
  * NAME
- *	fields - the header fields of a message, as frames carry them
+ *	fields - the header fields of a message, as carried in frames
  *
  * DESCRIPTION
- *	Fields that belong to one connection only (hop by hop) are left out,
- *	as are those that comfreydock sets itself: a caller must not be able
- *	to forge an outcome, nor to end a message by other means than the
- *	frames do.
+ *	Hop-by-hop fields are not forwarded, nor are the fields that comfreydock
+ *	sets itself. Otherwise a caller could forge an outcome, or could mark
+ *	the end of a message at another place than the frames do.
  */
 #ifndef COMFREYDOCKD_PEER_FIELDS_H
 #define COMFREYDOCKD_PEER_FIELDS_H
@@ -30,17 +29,18 @@
 void fields_init(struct fields *fields);
 void fields_finish(struct fields *fields);
 
-/* Copies both. */
+/* Adds a copy of name and value. */
 void fields_add(struct fields *fields, const char *name, const char *value);
 
-/* The same, but for fields that must not be passed on. */
+/* Adds a field unless it must not be forwarded. */
 void fields_add_forwarded(struct fields *fields, const struct headers *headers,
 			  const char *name, const char *value);
 
-/* RETURN VALUE: the first value of the name, whatever its case, or NULL. */
+/* RETURN VALUE: the value of the first field with this name, ignoring case, or
+ * NULL. */
 const char *fields_find(const struct fields *fields, const char *name);
 
-/* True for fields that are never passed from one connection to the next. */
-bool field_is_hop_by_hop(const struct headers *headers, const char *name);
+/* True for hop-by-hop fields and for those that comfreydock sets itself. */
+bool field_is_not_forwarded(const struct headers *headers, const char *name);
 
 #endif
--- a/include/comfreydockd/peer/handshake.h
+++ b/include/comfreydockd/peer/handshake.h
@@ -1,11 +1,12 @@
 /*
  * NAME
- *	greeting - the proof that a peer knows the shared key
+ *	handshake - proves that a peer knows the shared key
  *
  * DESCRIPTION
- *	Each side sends a nonce and proves the key by an HMAC-SHA256 over both
- *	nonces, its role and its host's name. Without the role in it, a
- *	stranger could play one side's proof back to it as the other's.
+ *	Each side sends a nonce, and proves that it knows the key by an
+ *	HMAC-SHA256 over both nonces, its role and its host name. The role
+ *	prevents a reflection attack, in which an attacker without the key sends
+ *	a side's own proof back to it.
  */
 #ifndef COMFREYDOCKD_PEER_HANDSHAKE_H
 #define COMFREYDOCKD_PEER_HANDSHAKE_H
--- a/include/comfreydockd/peer/peers.h
+++ b/include/comfreydockd/peer/peers.h
@@ -3,18 +3,19 @@
  *	peers - connections to and from the other daemons
  *
  * DESCRIPTION
- *	One TCP connection for each ordered pair of daemons: the one that opens
- *	it is the entry, the one that takes it the owner. It is opened when the
- *	first frame is to be sent and closed after PEERS_IDLE_US without one,
- *	unless something is still expected on it.
+ *	There is one TCP connection for each ordered pair of daemons: the daemon
+ *	that opens it is the entry, the one that accepts it is the owner. It is
+ *	opened for the first frame, and closed after PEERS_IDLE_US without one
+ *	unless an answer is still expected on it.
  *	A daemon's connection to itself goes through memory.
  *
- *	Before any other frame each side proves by HMAC-SHA256 over the other's
- *	nonce that it knows the shared key. A stranger is closed and counted.
- *	The connection is not encrypted; see docs/design/peer.md.
+ *	Before any other frame each side proves, by an HMAC-SHA256 over the
+ *	other's nonce, that it knows the shared key. A connection without a
+ *	valid proof is closed and counted. The connection is not encrypted; see
+ *	docs/design/peer.md.
  *
- *	Frames sent before the greeting is over are held back and leave after
- *	it; if it fails they have certainly not left.
+ *	Frames that are sent before the end of the handshake are held back until
+ *	then. If the handshake fails, they have certainly not left.
  */
 #ifndef COMFREYDOCKD_PEER_PEERS_H
 #define COMFREYDOCKD_PEER_PEERS_H
@@ -28,18 +29,19 @@
 
 #define PEERS_PROTOCOL_VERSION 1
 #define PEERS_IDLE_US ((int64_t)60 * 1000 * 1000)
-/* A dead host's connection is kept while it gave a frame so recently. */
+/* The connection of a host that members call dead is kept if a frame arrived on
+ * it this recently. */
 #define PEERS_SILENT_US ((int64_t)1000 * 1000)
-/* Two round trips between regions and room for one lost SYN's repeat. */
+/* Two round trips between regions, and the retransmission of one lost SYN. */
 #define PEERS_CONNECT_TIMEOUT_S 1.2
 
 struct peer;
 struct peers;
 
-/* What a role does with the connections that are its own. */
+/* The handlers of a role, entry or owner, for its connections. */
 struct peers_role {
 	void (*handle_frame)(struct peer *peer, Cfd__Frame *frame, void *data);
-	/* The peer is freed after this. */
+	/* The connection was lost; the peer is freed after this call. */
 	void (*handle_lost)(struct peer *peer, const char *error, void *data);
 	void *data;
 };
@@ -51,8 +53,8 @@
 void peers_set_entry(struct peers *peers, const struct peers_role *role);
 void peers_set_owner(struct peers *peers, const struct peers_role *role);
 
-/* Frames of this kind go to the handler, whichever side sent them, and not to
- * the roles: questions between daemons that are no calls. */
+/* Sends all frames of this kind to the handler instead of the roles, whichever
+ * side sent them. For queries between daemons that don't belong to a call. */
 void peers_set_frame_handler(struct peers *peers, Cfd__Frame__KindCase kind,
 			     void (*handle)(struct peer *peer,
 					    const Cfd__Frame *frame, void *data),
@@ -60,31 +62,33 @@
 
 uint16_t peers_port(const struct peers *peers);
 
-/* The entry's connection to a member, opened if there is none. */
+/* RETURN VALUE: the entry's connection to a member, which is opened if there is
+ * none. */
 struct peer *peers_connect(struct peers *peers, const struct member *member);
 
-/* Breaks the entry's connection to a host that members call dead or don't
- * know any more, unless it still gives frames. */
+/* Closes the entry's connection to a host that members call dead or no longer
+ * know, unless frames still arrive on it. */
 void peers_note_dead(struct peers *peers, const char *host);
 
-/* Sends a frame to all entries whose connections are open here. */
+/* Sends a frame to all entries that are connected to this owner. */
 void peers_notify_entries(struct peers *peers, const Cfd__Frame *frame);
 
-/* Reads all that has arrived on any connection, without waiting. */
+/* Reads all that has arrived on any connection, without blocking. */
 void peers_drain_input(struct peers *peers);
 
 /* RETURN VALUE: the frame's position, for peer_has_handed_over(). */
 uint64_t peer_send(struct peer *peer, const Cfd__Frame *frame);
 bool peer_has_handed_over(const struct peer *peer, uint64_t position);
 
-/* From an attempt's sending to its end: the connection is not idle. */
+/* Mark the time from the sending of an attempt to its end, during which the
+ * connection is not idle. */
 void peer_begin_use(struct peer *peer);
 void peer_end_use(struct peer *peer);
 
 const char *peer_host(const struct peer *peer);
 uint64_t peer_incarnation(const struct peer *peer);
 
-/* A role's own state for this connection. */
+/* The data that a role attaches to this connection. */
 void peer_set_role_data(struct peer *peer, void *data);
 void *peer_role_data(const struct peer *peer);
 
--- a/include/comfreydockd/peer/peers_internal.h
+++ b/include/comfreydockd/peer/peers_internal.h
@@ -9,7 +9,7 @@
 #include "comfreydockd/peer/link.h"
 #include "comfreydockd/peer/peers.h"
 
-/* Kinds of frames are numbered from 1. */
+/* More than the highest kind of frame; kinds are numbered from 1. */
 #define PEERS_KINDS 32
 
 struct peers_handler {
@@ -29,17 +29,17 @@
 	const struct peers_role *role;
 	bool outgoing;
 	enum peer_state state;
-	ev_timer timeout; /* of the greeting */
+	ev_timer timeout; /* of the handshake */
 	char host[MEMBER_HOST_MAX];
 	uint64_t incarnation;
 	uint8_t our_nonce[HANDSHAKE_NONCE_BYTES];
 	uint8_t their_nonce[HANDSHAKE_NONCE_BYTES];
-	GPtrArray *held; /* of GByteArray: frames that wait for the greeting */
+	GPtrArray *held; /* of GByteArray: frames sent before PEER_READY */
 	uint64_t held_bytes;
-	uint64_t base; /* of positions in the link's stream */
+	uint64_t base; /* position in the link's stream of the first frame */
 	int64_t last_used_us;
 	int64_t last_heard_us;
-	uint32_t uses; /* attempts that are out */
+	uint32_t uses; /* open attempts */
 	void *role_data;
 };
 
@@ -58,7 +58,7 @@
 	size_t count;
 };
 
-/* hello.c: the greeting, up to PEER_READY or the end of the link */
+/* hello.c: the handshake, up to PEER_READY or the end of the link */
 
 void peer_send_hello(struct peer *peer, bool with_proof);
 void peer_handle_hello(struct peer *peer, const Cfd__Hello *hello);
--- a/proto/gossip.pb-c.h
+++ b/proto/gossip.pb-c.h
@@ -28,16 +28,16 @@
   CFD__GOSSIP_KIND__GOSSIP_PING = 1,
   CFD__GOSSIP_KIND__GOSSIP_ACK = 2,
   /*
-   * asked to ping a third, but that one did not answer
+   * the target of a PING_REQ did not answer
    */
   CFD__GOSSIP_KIND__GOSSIP_NACK = 3,
   CFD__GOSSIP_KIND__GOSSIP_PING_REQ = 4,
   /*
-   * records alone
+   * carries records, expects no answer
    */
   CFD__GOSSIP_KIND__GOSSIP_PUSH = 5,
   /*
-   * digests; asks for the buckets that differ
+   * carries digests, asks for the buckets that differ
    */
   CFD__GOSSIP_KIND__GOSSIP_SYNC = 6,
   CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY = 7
@@ -52,7 +52,7 @@
   uint32_t version;
   ProtobufCBinaryData body;
   /*
-   * HMAC-SHA256 over version and body, first 16 bytes
+   * first 16 bytes of an HMAC-SHA256 over version and body
    */
   ProtobufCBinaryData tag;
 };
@@ -62,9 +62,9 @@
 
 
 /*
- * A record of a host that is not alive holds only the first two, state and
- * suspected_by, but for one in a SYNC_REPLY: if the host refutes, the rest
- * comes with its new incarnation.
+ * A record of a host that is not alive holds only host, incarnation, state and
+ * suspected_by, except in a SYNC_REPLY. If the host refutes, its new incarnation
+ * brings the other fields.
  */
 struct  Cfd__MemberRecord
 {
@@ -89,7 +89,7 @@
   uint32_t slots;
   uint32_t warm_ms;
   /*
-   * time since it became UP
+   * time since the upstream became UP
    */
   uint32_t up_ms;
   /*
@@ -103,7 +103,7 @@
 
 
 /*
- * A request that ran as upstreams crashed; see decide/quarantine.h.
+ * A request that was running when upstreams crashed; see decide/quarantine.h.
  */
 struct  Cfd__QuarantineRecord
 {
@@ -118,11 +118,11 @@
   uint64_t *crashes;
   uint32_t failed_trials;
   /*
-   * since it last changed
+   * time since the record last changed
    */
   uint32_t age_ms;
   /*
-   * since it last came
+   * time since the request last arrived
    */
   uint32_t asked_age_ms;
 };
@@ -139,7 +139,7 @@
   char *from;
   uint64_t config_head;
   /*
-   * PING: whom it is meant for; "": whoever is there
+   * PING: the host it is meant for; "": any host there
    */
   char *target;
   /*
@@ -150,21 +150,21 @@
   size_t n_records;
   Cfd__MemberRecord **records;
   /*
-   * the first that the digests or records belong to
+   * the first bucket of the digests or records
    */
   uint32_t bucket;
   /*
-   * SYNC_REPLY: the first not answered whole
+   * SYNC_REPLY: the first not answered completely
    */
   uint32_t next_bucket;
   size_t n_digests;
   uint64_t *digests;
   /*
-   * SYNC: how many replies may come
+   * SYNC: the maximum number of reply packets
    */
   uint32_t max_packets;
   /*
-   * SYNC: buckets under one digest; few where the table is large
+   * SYNC: buckets covered by one digest; few if the table is large
    */
   uint32_t span;
   /*
@@ -172,7 +172,8 @@
    */
   protobuf_c_boolean is_last;
   /*
-   * How long ago there was nothing newer than config_head, and 1 ms; 0: not known
+   * How long ago nothing newer than config_head was known to exist, plus 1 ms;
+   * 0: not known
    */
   uint32_t config_told_ms;
   size_t n_quarantine;
--- a/proto/peer.pb-c.h
+++ b/proto/peer.pb-c.h
@@ -50,19 +50,19 @@
   CFD__REASON__REASON_CONNECT = 8,
   CFD__REASON__REASON_OVERLOAD = 9,
   /*
-   * the host is, at this moment
+   * the host runs slow at the moment
    */
   CFD__REASON__REASON_SLOW = 12,
   /*
-   * the upstream breaks off what it is given
+   * the upstream aborts its requests
    */
   CFD__REASON__REASON_FAILING = 14,
   /*
-   * it has crashed upstreams
+   * the request has crashed upstreams
    */
   CFD__REASON__REASON_QUARANTINED = 15,
   /*
-   * said by an entry: no owner of the group answers
+   * set by an entry: no owner of the group answers
    */
   CFD__REASON__REASON_UNREACHABLE = 13
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(CFD__REASON)
@@ -78,7 +78,7 @@
   uint64_t incarnation;
   ProtobufCBinaryData nonce;
   /*
-   * HMAC over the other side's nonce; empty in the first
+   * HMAC over both nonces; empty in the entry's first Hello
    */
   ProtobufCBinaryData proof;
 };
@@ -99,7 +99,7 @@
 
 
 /*
- * What the owner knows of its upstream at this moment.
+ * The current load of the owner's upstream.
  */
 struct  Cfd__Load
 {
@@ -109,11 +109,11 @@
   uint32_t limit;
   uint32_t expected_wait_us;
   /*
-   * recent median; 0: not known
+   * recent median service time; 0: not known
    */
   uint32_t service_us;
   /*
-   * time that work takes now, over the usual; 0: not known
+   * service time now, in % of the usual; 0: not known
    */
   uint32_t pace_percent;
 };
@@ -128,7 +128,7 @@
   uint64_t seq;
   char *trace;
   /*
-   * hybrid, for the time line only
+   * hybrid logical clock, for the time line only
    */
   uint64_t time;
   char *group;
@@ -139,7 +139,7 @@
   uint64_t remaining_us;
   protobuf_c_boolean idempotent;
   /*
-   * the last allowed attempt
+   * set on the last allowed attempt
    */
   protobuf_c_boolean may_queue;
   /*
@@ -150,7 +150,7 @@
   ProtobufCBinaryData body;
   protobuf_c_boolean body_ends;
   /*
-   * calls above this one
+   * number of calls that this one is nested in
    */
   uint32_t depth;
   size_t n_shed_statuses;
@@ -160,31 +160,31 @@
    */
   uint32_t budget_permille;
   /*
-   * an answer within it is in time
+   * an answer within this time is on time
    */
   uint64_t target_us;
   /*
-   * the best of the others it might go to; 0: none
+   * best pace of the alternatives; 0: none
    */
   uint32_t other_pace_percent;
   /*
-   * no other upstream is left to take it
+   * no other upstream can take it
    */
   protobuf_c_boolean last_resort;
   /*
-   * lost there, it would be sent to another
+   * if it fails here, the entry sends it to another
    */
   protobuf_c_boolean may_repeat;
   /*
-   * the same for requests that are alike; see caller/content.h
+   * Equal for requests with the same content; see caller/content.h.
    */
   uint64_t content_key;
   /*
-   * answers of others wait for this one's, at the entry
+   * Other answers on the caller's connection wait at the entry for this one.
    */
   protobuf_c_boolean holds_others;
   /*
-   * bytes of the answer to send before more is asked for; 0: the usual
+   * Bytes of the answer to send before a Window grants more; 0: the default.
    */
   uint32_t answer_window;
 };
@@ -210,7 +210,7 @@
   ProtobufCMessage base;
   uint64_t seq;
   /*
-   * what runs goes on
+   * cancel only if it is not running yet
    */
   protobuf_c_boolean if_waiting;
 };
@@ -227,13 +227,13 @@
   size_t n_headers;
   Cfd__Header **headers;
   /*
-   * -1: not known beforehand
+   * of the body; -1: not known beforehand
    */
   int64_t length;
   Cfd__Load *load;
   uint64_t time;
   /*
-   * of the host, as the run began
+   * of the host, when the run began
    */
   uint32_t pace_percent;
   /*
@@ -253,7 +253,7 @@
   ProtobufCBinaryData data;
   protobuf_c_boolean ends;
   /*
-   * the upstream broke off: never end it as if whole
+   * the upstream ended it early: never end it as if complete
    */
   protobuf_c_boolean aborted;
   Cfd__Load *load;
@@ -281,7 +281,7 @@
 
 
 /*
- * The attempt was started; what became of it is not known.
+ * The attempt was started; its outcome is not known.
  */
 struct  Cfd__Failed
 {
@@ -297,7 +297,7 @@
 
 
 /*
- * Gives the sender of a body so many more bytes.
+ * Allows the sender of a body to send this many more bytes.
  */
 struct  Cfd__Window
 {
@@ -311,7 +311,7 @@
 
 
 /*
- * Asks how an attempt stands.
+ * Asks whether an attempt is overdue, and for the load.
  */
 struct  Cfd__LoadQuery
 {
@@ -324,7 +324,8 @@
 
 
 /*
- * Without a seq: the owner tells by itself that its host's pace has changed.
+ * The answer to a LoadQuery. Without a seq, the owner sends it unasked, as its
+ * host became slow or normal again or its breaker opened or closed.
  */
 struct  Cfd__LoadReport
 {
@@ -332,7 +333,7 @@
   uint64_t seq;
   Cfd__Load *load;
   /*
-   * it has run for longer than time remains
+   * it has run for at least the time left to its deadline
    */
   protobuf_c_boolean overdue;
 };
@@ -342,8 +343,8 @@
 
 
 /*
- * Asks for what has changed in the configuration above a head, or for the
- * bodies of some namespaces.
+ * Asks for the changes to the configuration after a head, or for the bodies of
+ * some namespaces.
  */
 struct  Cfd__ConfigQuery
 {
@@ -352,13 +353,13 @@
   uint64_t above_head;
   protobuf_c_boolean head_only;
   /*
-   * none: all that has changed
+   * namespaces; empty: all that have changed
    */
   size_t n_wanted;
   char **wanted;
   protobuf_c_boolean takes_pieces;
   /*
-   * Of the body with this hash all before the offset is here already.
+   * The sender already has the body with this hash up to the offset.
    */
   char *piece_sha256;
   uint64_t piece_offset;
@@ -375,16 +376,16 @@
   uint64_t version;
   char *sha256;
   /*
-   * the head that this version made; 0: not known
+   * the head that this version created; 0: not known
    */
   uint64_t at;
   protobuf_c_boolean has_body;
   /*
-   * from the offset on
+   * begins at the offset
    */
   ProtobufCBinaryData body;
   /*
-   * of the whole body, where this is a piece; 0: it is whole
+   * of the whole body, if this is a piece; 0: it is complete
    */
   uint64_t size;
   uint64_t offset;
@@ -399,7 +400,7 @@
   ProtobufCMessage base;
   uint64_t seq;
   /*
-   * asked too often; nothing else is filled in
+   * too many queries; no other field is set
    */
   protobuf_c_boolean busy;
   /*
@@ -408,11 +409,11 @@
   protobuf_c_boolean ready;
   uint64_t head;
   /*
-   * lines name all that has changed
+   * lines name all namespaces that have changed
    */
   protobuf_c_boolean is_listing;
   /*
-   * bodies only as far as they fit
+   * with as many bodies as fit
    */
   size_t n_lines;
   Cfd__ConfigLine **lines;
@@ -423,7 +424,7 @@
 
 
 /*
- * Asks a daemon for its events of a trace, and gives them as a JSON array.
+ * Asks a daemon for its events of a trace.
  */
 struct  Cfd__TimelineQuery
 {
@@ -436,6 +437,9 @@
     , 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * The events of a trace, as a JSON array.
+ */
 struct  Cfd__TimelineReport
 {
   ProtobufCMessage base;
