--- a/tests/test_answer.c
+++ b/tests/test_answer.c
@@ -9,7 +9,7 @@
 #define SIGNED "X-Comfreydock-Response-Signature"
 #define NOT_RUN "X-Comfreydock-Not-Executed"
 
-/* The arguments are names and values, ended by NULL. */
+/* The arguments after status are field names and values, ended by NULL. */
 static enum answer_verdict classify(unsigned int status, ...)
 {
 	enum answer_verdict verdict;
@@ -31,7 +31,7 @@
 {
 	g_assert_cmpint(classify(200, ID, TRACE, SIGNED, "3e1b", NULL), ==,
 			ANSWER_GOOD);
-	/* A failure of the upstream is its answer, too. */
+	/* A failure that the upstream reports is a valid answer, too. */
 	g_assert_cmpint(classify(500, ID, TRACE, SIGNED, "3e1b", NULL), ==,
 			ANSWER_GOOD);
 	g_assert_cmpint(classify(504, ID, TRACE, NULL), ==, ANSWER_GOOD);
@@ -39,8 +39,8 @@
 }
 
 /*
- * An upstream sends an answer twice, or late, on a connection that is kept. It
- * stands where the answer to the next request is due, and its caller would get
+ * An upstream sends an answer twice, or late, on a keep-alive connection. It
+ * would be read as the answer to the next request, whose caller would get
  * somebody else's listing.
  */
 static void test_answers_to_other_requests_are_rejected(void)
@@ -57,7 +57,7 @@
 			==, ANSWER_STRANGE);
 }
 
-/* Nothing was run, by the upstream's own word. */
+/* The upstream itself states that it did not run the request. */
 static void test_upstream_says_not_run(void)
 {
 	g_assert_cmpint(classify(503, ID, TRACE, NOT_RUN, "1", NULL), ==,
@@ -68,8 +68,9 @@
 }
 
 /*
- * A proxy before the upstream, or a fault in it, says 503 of a booking that was
- * made. Passed on, the caller would take it for "not run" and book again.
+ * A proxy before the upstream, or a fault in it, answers 503 to a booking that
+ * was made. If the status were forwarded, the caller would take it for "not run"
+ * and book again.
  */
 static void test_not_run_statuses_without_the_header_are_unclear(void)
 {
@@ -81,7 +82,8 @@
 			==, ANSWER_UNCLEAR);
 }
 
-/* comfreydock's own headers name no signature: answers are as they are. */
+/* comfreydock's own headers table names no signature field, so every answer is
+ * accepted. */
 static void test_without_signature_header_all_answers_pass(void)
 {
 	struct fields fields;
@@ -110,7 +112,7 @@
 	g_assert_cmpuint(load.percent, ==, 0);
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
 		if (answer_parse_load(bad[i], &load))
-			g_error("taken: \"%s\"", bad[i]);
+			g_error("parsed an invalid load: \"%s\"", bad[i]);
 	}
 }
 
--- a/tests/test_attempt.c
+++ b/tests/test_attempt.c
@@ -21,7 +21,8 @@
 	unsigned int count;
 };
 
-/* One attempt, both halves of it and the connection between them. */
+/* Simulates one attempt: the state machines of entry and owner, and the
+ * connection between them. */
 struct sim {
 	enum attempt_entry_state entry;
 	enum attempt_owner_state owner;
@@ -62,7 +63,7 @@
 		return;
 	if (event == OWNER_START)
 		sim->runs++;
-	if (event == OWNER_NEVER_BEGAN) /* certain, so not a run after all */
+	if (event == OWNER_NEVER_BEGAN) /* certainly not run after all */
 		sim->runs--;
 	if (sim->owner == OWNER_ATTEMPT_NOT_RUN)
 		pipe_put(&sim->to_entry, MSG_NOT_RUN);
@@ -117,7 +118,8 @@
 		owner_apply(sim, OWNER_REFUSE);
 }
 
-/* Anything may happen to one attempt, in any order and more than once. */
+/* Applies a random event to one attempt; any order and repetition is possible.
+ */
 static void apply_random_event(struct sim *sim)
 {
 	switch (g_test_rand_int_range(0, 10)) {
@@ -127,7 +129,7 @@
 			pipe_put(&sim->to_owner, MSG_ATTEMPT);
 		}
 		break;
-	case 1: /* a cancel: before, behind or without its attempt */
+	case 1: /* a cancel is sent before, after or without its attempt */
 		pipe_put(&sim->to_owner, MSG_CANCEL);
 		break;
 	case 2:
@@ -144,7 +146,7 @@
 		if (sim->owner_received)
 			owner_apply(sim, g_test_rand_int_range(0, OWNER_EVENTS));
 		break;
-	case 7: /* an answer that comes twice */
+	case 7: /* an answer arrives twice */
 		if (sim->to_entry.count)
 			pipe_put(&sim->to_entry, sim->to_entry.items[0]);
 		break;
@@ -187,10 +189,10 @@
 }
 
 /*
- * Connections break, daemons pause and wake with old frames in their buffers,
- * cancels overtake nothing but come at any time, answers come late or twice.
- * A user would notice a booking made twice, or one that was called "not run"
- * and was made all the same.
+ * Connections are lost, daemons pause and continue with old frames in their
+ * buffers, cancels arrive in order but at any time, answers arrive late or
+ * twice. No order of these events may make a booking run twice, or report one
+ * as "not run" although it ran.
  */
 static void test_random_order_runs_at_most_once(void)
 {
@@ -214,7 +216,7 @@
 	}
 }
 
-/* What "not run" rests on, cell by cell. */
+/* Checks each entry of the owner's table on which "not run" depends. */
 static void test_running_becomes_not_run_only_if_never_begun(void)
 {
 	for (int event = 0; event < OWNER_EVENTS; event++) {
--- a/tests/test_attempt_model.c
+++ b/tests/test_attempt_model.c
@@ -4,10 +4,10 @@
 #include "comfreydockd/peer/attempt.h"
 
 /*
- * Every state that one call with two attempts can reach, by every order of
- * sends, cancels, refusals, starts, ends, losses, pauses and late frames. A
- * pause needs no event of its own: it is any order in which one side's frames
- * wait while the other side goes on.
+ * Explores every state that one call with two attempts can reach, through every
+ * order of sends, cancels, refusals, starts, ends, connection losses, pauses and
+ * late frames. A pause needs no event of its own: it is any order in which the
+ * frames for one side wait while the other side goes on.
  */
 #define ATTEMPTS 2
 #define TO_OWNER 2
@@ -24,6 +24,7 @@
 	MSG_FAILED,
 };
 
+/* What the caller was told. */
 enum reported {
 	REPORTED_NOTHING,
 	REPORTED_NOT_RUN,
@@ -44,7 +45,7 @@
 	unsigned char to_entry[TO_ENTRY];
 };
 
-/* Compared and hashed as bytes: no padding between the members. */
+/* Compared and hashed as bytes, so it must have no padding between members. */
 struct state {
 	unsigned char idempotent;
 	unsigned char reported;
@@ -136,7 +137,8 @@
 	entry_step(sim, ENTRY_SEND);
 }
 
-/* What the daemon does after an attempt is over: another one, or a last word. */
+/* What the entry does after an attempt has ended: it starts another attempt, or
+ * reports the outcome to the caller. */
 static void continue_call(struct state *state, size_t index)
 {
 	const struct sim *sim = &state->sims[index];
@@ -173,7 +175,8 @@
 	}
 	if (message != MSG_CANCEL)
 		return false;
-	/* A run goes on unheard; what waits is refused. */
+	/* A running attempt goes on without an answer; a queued one is refused.
+	 */
 	if (sim->owner_received && sim->owner == OWNER_ATTEMPT_RUNNING)
 		send_to_entry(sim, MSG_FAILED);
 	else
@@ -227,7 +230,7 @@
 	return true;
 }
 
-/* RETURN VALUE: false if this event can't apply_event to the attempt now. */
+/* RETURN VALUE: false if the event can't happen to the attempt in this state. */
 static bool apply_event(struct sim *sim, int event)
 {
 	switch (event) {
@@ -327,8 +330,9 @@
 
 /*
  * A booking whose first attempt is refused goes to another upstream, while
- * anything at all happens to either. A customer who is charged twice, or reported
- * "not run" about a booking that stands, would be one of these states.
+ * any event may happen to both attempts. If a customer could be charged twice, or
+ * told "not run" about a booking that was made, one of these states would show
+ * it.
  */
 static void test_every_reachable_state_of_a_booking(void)
 {
@@ -338,7 +342,7 @@
 	g_assert_cmpuint(count, >, 500);
 }
 
-/* A lookup may run at both; "not run" must be as true of it. */
+/* A lookup may run at both upstreams, but "not run" must be as reliable. */
 static void test_every_reachable_state_of_a_lookup(void)
 {
 	guint count = explore(true);
--- a/tests/test_mutations.c
+++ b/tests/test_mutations.c
@@ -11,8 +11,9 @@
 #include "comfreydockd/peer/link.h"
 #include "common/log.h"
 
-/* Damaged input of every kind that comes from outside, under the address and
- * undefined-behaviour sanitizers. The seed is CI's, so the inputs are, too. */
+/* Feeds damaged input of every kind that comes from outside to its parser, under
+ * the address and undefined-behaviour sanitizers. The inputs depend on the seed
+ * alone, which CI sets. */
 #define ROUNDS 4000
 #define CHANGES_MAX 6
 #define PIECE_MAX 40
@@ -27,7 +28,7 @@
 	return (size_t)g_test_rand_int_range(0, (gint32)size);
 }
 
-/* RETURN VALUE: a copy with some bytes changed, doubled, left out or cut. */
+/* RETURN VALUE: a copy with some bytes changed, duplicated or removed. */
 static GByteArray *mutate(const void *data, size_t size)
 {
 	GByteArray *bytes = g_byte_array_new();
@@ -59,7 +60,7 @@
 	return bytes;
 }
 
-/* The text up to the first 0, as a file's reader would hand it over. */
+/* Truncates the text at the first 0 byte, as a file reader would. */
 static char *mutate_text(const char *text)
 {
 	GByteArray *bytes = mutate(text, strlen(text));
@@ -70,8 +71,9 @@
 }
 
 /*
- * An operator's file is damaged on its way: a half upload, a merge gone wrong.
- * It must be refused with the place of each error, or be sound.
+ * An operator's file is damaged, as by an incomplete upload or a bad merge. The
+ * loader must either refuse it and name the line of each error, or accept it as
+ * valid.
  */
 static void test_operators_files(void)
 {
@@ -99,7 +101,7 @@
 	g_free(path);
 }
 
-/* Another release, or a hand, wrote a row of the platform's table. */
+/* Another release, or a person, wrote a row of the platform's table. */
 static void test_rows(void)
 {
 	for (int i = 0; i < ROUNDS; i++) {
@@ -175,8 +177,8 @@
 }
 
 /*
- * A daemon of another release, or with damaged memory, holds the key and sends
- * packets that are not what they should be. It must not take others with it.
+ * A daemon of another release, or with corrupted memory, has the key and sends
+ * malformed packets. They must not crash the daemons that receive them.
  */
 static void test_gossip_from_a_peer_with_the_key(void)
 {
@@ -250,7 +252,7 @@
 	return size + 4;
 }
 
-/* The same of the frames between daemons, cut into pieces anywhere. */
+/* Sends damaged frames to a link, in two pieces that are split anywhere. */
 static void test_frames(void)
 {
 	struct ev_loop *loop = ev_loop_new(0);
@@ -281,7 +283,7 @@
 		close(ends[1]);
 		g_byte_array_unref(bytes);
 	}
-	/* Each sound one came before its damaged copy. */
+	/* Each damaged frame was sent after an intact one. */
 	g_assert_cmpuint(frames, >=, ROUNDS);
 	link_group_finish(&group);
 	ev_loop_destroy(loop);
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -15,19 +15,20 @@
 
 #define MANY 100
 
-/* Two daemons' connections in one loop, without the rest of a daemon. */
+/* The connections of one daemon, without the rest of it. The ends of all daemons
+ * share one loop. */
 struct end {
 	struct settings settings;
 	struct daemon daemon;
 	struct peers *peers;
-	GString *heard; /* sequence numbers of cancels, as taken by the owner */
+	GString *heard; /* sequence numbers of the cancels that the owner got */
 	unsigned int lost;
 	struct peer *from;
 };
 
 static struct ev_loop *loop;
 
-/* Moves the paused clock on while the sockets do their work. */
+/* Advances the paused clock while the loop handles the sockets. */
 static void run_for(int ms)
 {
 	for (int i = 0; i < ms; i++) {
@@ -138,9 +139,9 @@
 }
 
 /*
- * A caller waits for a job of two minutes, and nothing else passes between the
- * two daemons. Its connection gives no frame for longer than idle ones are
- * kept.
+ * A caller waits for a job of two minutes, and no other frame passes between the
+ * two daemons. The connection must not be closed as idle meanwhile, although no
+ * frame arrives on it for longer than the idle timeout.
  */
 static void test_a_connection_with_an_attempt_out_is_not_idle(void)
 {
@@ -183,7 +184,7 @@
 	peer = peers_connect(a.peers, &member);
 	for (uint64_t i = 0; i < MANY; i++)
 		send_cancel(peer, i);
-	/* Never from within a send. */
+	/* The handler is never called from within a send. */
 	g_assert_cmpstr(a.heard->str, ==, "");
 	while (!strstr(a.heard->str, " 99 "))
 		run_for(1);
@@ -192,9 +193,9 @@
 }
 
 /*
- * A host was set up with an old key file. Its calls must fail at once and as
- * certainly not run, and the operator sees the refusal counted, instead of a
- * stranger's frames being run as bookings.
+ * A host was set up with an old key file. Its calls must fail at once, as
+ * certainly not run, and the refused connection must be counted for the
+ * operator. No frame of an unauthenticated peer may run as a booking.
  */
 static void test_wrong_key_is_refused(void)
 {
@@ -268,8 +269,8 @@
 }
 
 /*
- * A port scanner, a web browser or a daemon of another version connects to
- * the peer port. It must be closed without taking memory or time.
+ * A port scanner, a web browser or a daemon of another version connects to the
+ * peer port. The connection must be closed without using memory or time.
  */
 static void test_unauthenticated_connections_are_closed(void)
 {
@@ -296,8 +297,8 @@
 	end_finish(&b);
 }
 
-/* Nobody listens where a member's record says: the call's frame has certainly
- * not left, so even a booking may be sent elsewhere. */
+/* The address in a member's record refuses the connection. The call's frame has
+ * certainly not left, so even a booking may be sent elsewhere. */
 static void test_a_refused_connection_sent_nothing(void)
 {
 	struct end a, b;
@@ -329,10 +330,10 @@
 }
 
 /*
- * A host's gossip packets are lost for seconds while its connections work. The
- * others call it dead. Were its connections broken on that word, each booking
- * on its way there would end as "unknown" and a clerk would have to look it up.
- * A host that is dead in truth gives no frame, and its connection goes.
+ * A host's gossip packets are lost for seconds while its connections work, and
+ * the other members declare it dead. If that closed its connections, each
+ * booking in flight would end as "unknown" and a clerk would have to look it up.
+ * A host that is really dead sends no frames, and its connection is closed.
  */
 static void test_connection_of_a_dead_member_that_sends_is_kept(void)
 {
--- a/tests/test_probe.c
+++ b/tests/test_probe.c
@@ -29,7 +29,7 @@
 	reachable = now;
 }
 
-/* Moves the paused clock on while the sockets do their work. */
+/* Advances the paused clock while the loop handles the sockets. */
 static void run_for(int64_t ms)
 {
 	for (int64_t i = 0; i < ms; i++) {
@@ -69,9 +69,9 @@
 }
 
 /*
- * The upstream's process has died in a quiet hour. No call passes that could
- * tell, and the first callers in the morning would each lose time on it. An
- * upstream that merely says it is sick is left in use: its word may mislead.
+ * The upstream's process dies at a time without traffic. No call reveals it, and
+ * the first callers in the morning would each lose time on it. An upstream whose
+ * health check only fails stays in use, as a health check may mislead.
  */
 static void test_a_dead_upstream_is_found_without_traffic(void)
 {
@@ -107,7 +107,7 @@
 }
 
 /*
- * The upstream crashes while calls pass. Its daemon lives on and would look
+ * The upstream crashes while calls pass. Its daemon is still up and would look
  * idle to all entries: each call would try it first and lose a round trip.
  */
 static void test_refused_requests_count_as_refused_probes(void)
@@ -127,7 +127,7 @@
 	probe = probe_create(&daemon, handle_reachable, NULL);
 	probe_set_upstream(probe, &announced);
 	probe_note_refused(probe);
-	probe_note_traffic(probe); /* one refusal alone was a moment's */
+	probe_note_traffic(probe); /* an answer resets the refusal count */
 	probe_note_refused(probe);
 	g_assert_true(reachable);
 	probe_note_refused(probe);
@@ -142,9 +142,9 @@
 }
 
 /*
- * The upstreams are few and small, and the operator allows a thousandth of one
- * slot: 1 ms a second. At 6 ms a probe, one in 6 s is within it. More would
- * take capacity from bookings.
+ * The upstreams are few and small, and the operator allows probes a thousandth
+ * of one slot, which is 1 ms per second. At 6 ms per probe, one probe in 6 s
+ * uses it up. More probes would take capacity from bookings.
  */
 static void test_probes_stay_within_the_budget(void)
 {
--- a/tests/test_report.c
+++ b/tests/test_report.c
@@ -27,8 +27,9 @@
 }
 
 /*
- * A heartbeat that was held up says "ready" after a later one said "draining".
- * Taken for the last word it would bring work to an upstream that may end.
+ * A delayed heartbeat that says "ready" arrives after a later one that says
+ * "draining". If it were taken for the newest one, an upstream that may stop
+ * would get work.
  */
 static void test_late_report_changes_nothing(void)
 {
@@ -40,7 +41,8 @@
 	g_assert_cmpint(submit(&history, "i-1", 0, 10), ==, REPORT_NEWS);
 }
 
-/* Who has said good-bye stays away, however late its reports come. */
+/* An instance that has deregistered is ignored, however late its reports arrive.
+ */
 static void test_report_after_leave_is_gone(void)
 {
 	struct report_history history = {0};
@@ -54,8 +56,9 @@
 }
 
 /*
- * An upstream crashes behind a cut and another takes its address. The report
- * that the cut held up arrives after the new one's.
+ * An upstream crashes during a network partition and another takes over its
+ * address. A report that the partition delayed arrives after the report of the
+ * new one.
  */
 static void test_report_of_earlier_start_is_late(void)
 {
@@ -67,7 +70,8 @@
 	g_assert_cmpint(submit(&history, "i-2", 0, 2), ==, REPORT_NEWS);
 }
 
-/* The same id starts anew: its numbers begin again, its time of start tells. */
+/* An instance restarts with the same id. Its sequence numbers begin again, and
+ * its time of start distinguishes the starts. */
 static void test_same_id_with_later_start_is_new_start(void)
 {
 	struct report_history history = {0};
@@ -81,9 +85,9 @@
 }
 
 /*
- * Reports of a row of starts arrive in any order and some twice. Whatever the
- * order, the start that counts never goes back, and the number of its last
- * report never does.
+ * Reports of several starts arrive in any order and some of them twice. The
+ * current start must never go back to an earlier one, nor the sequence number of
+ * its last report to a lower one.
  */
 static void test_random_order_never_goes_back(void)
 {
--- a/tests/test_run.c
+++ b/tests/test_run.c
@@ -8,8 +8,8 @@
 
 #include "comfreydockd/upstream/run.h"
 
-/* An upstream that answers the first request of a connection and hangs up on
- * the second after it has read it, as one that crashes in the middle does. */
+/* An upstream that answers the first request and closes the connection after it
+ * has read the second, as an upstream that crashes while it works does. */
 struct upstream {
 	struct ev_loop *loop;
 	int listener;
@@ -142,9 +142,9 @@
 }
 
 /*
- * A kept connection to the upstream breaks just after a booking was sent on
- * it. The HTTP library would send it again by itself on a new connection, and
- * the franchise would be billed twice. The run must end as broken instead.
+ * A keep-alive connection to the upstream breaks just after a booking was sent
+ * on it. libcurl would send the booking again by itself on a new connection, and
+ * the franchise would be billed twice. The run must end as RUN_BROKEN instead.
  */
 static void test_a_broken_connection_is_not_retried(void)
 {
@@ -164,7 +164,7 @@
 	g_assert_cmpuint(upstream.requests, ==, 2);
 	ev_io_stop(loop, &upstream.acceptor);
 	close(upstream.listener);
-	/* Nobody listens any more: certainly not begun. */
+	/* The port refuses connections, so the run has certainly not begun. */
 	g_assert_cmpint(run_once(pool, "POST", &outcome), ==, RUN_NOT_BEGUN);
 	run_pool_destroy(pool);
 	http_client_destroy(client);
