--- a/comfreydockd/peer/peers.c
+++ b/comfreydockd/peer/peers.c
@@ -142,9 +142,10 @@
 
 /*
  * Gossip may be wrong: a host whose UDP packets are lost, or whose daemon was
- * starved for seconds, is declared dead although it still answers. If that alone
- * closed its connection, every booking in flight would end as "unknown". Frames
- * on the connection are better evidence, so it is kept while they arrive.
+ * starved for seconds, is declared dead although it still answers. If that
+ * alone closed its connection, every booking in flight would end as "unknown".
+ * Frames on the connection are better evidence, so it is kept while they
+ * arrive.
  */
 static bool peer_is_dead(const struct peer *peer, int64_t now_us)
 {
--- a/comfreydockd/upstream/attempts.c
+++ b/comfreydockd/upstream/attempts.c
@@ -185,7 +185,7 @@
 	peer_send(attempt->peer, &frame);
 }
 
-static void attempt_finish_whole(struct owner_attempt *attempt)
+static void attempt_finish_complete(struct owner_attempt *attempt)
 {
 	bool failed = attempt->status >= 500;
 
@@ -257,8 +257,8 @@
 		attempt_finish_not_begun(attempt);
 		return;
 	}
-	if (attempt->verdict == ANSWER_GOOD && result == RUN_WHOLE) {
-		attempt_finish_whole(attempt);
+	if (attempt->verdict == ANSWER_GOOD && result == RUN_COMPLETE) {
+		attempt_finish_complete(attempt);
 		return;
 	}
 	if (attempt->verdict != ANSWER_GOOD) {
--- a/comfreydockd/upstream/crash.c
+++ b/comfreydockd/upstream/crash.c
@@ -171,7 +171,7 @@
 }
 
 static struct quarantine_answer
-evaluate_quarantine(const struct owner *owner, const struct owner_attempt *attempt)
+check_quarantine(const struct owner *owner, const struct owner_attempt *attempt)
 {
 	const char *host = owner->daemon->settings->host;
 	struct quarantine_answer answer =
@@ -194,7 +194,7 @@
 
 bool crash_may_queue(struct owner *owner, struct owner_attempt *attempt)
 {
-	struct quarantine_answer answer = evaluate_quarantine(owner, attempt);
+	struct quarantine_answer answer = check_quarantine(owner, attempt);
 
 	if (answer.verdict != QUARANTINE_HELD)
 		return true;
@@ -217,7 +217,7 @@
 
 bool crash_may_start(struct owner *owner, struct owner_attempt *attempt)
 {
-	struct quarantine_answer answer = evaluate_quarantine(owner, attempt);
+	struct quarantine_answer answer = check_quarantine(owner, attempt);
 
 	if (answer.verdict == QUARANTINE_HELD) {
 		refuse_quarantined(attempt, answer.left_us);
--- a/comfreydockd/upstream/probe.c
+++ b/comfreydockd/upstream/probe.c
@@ -193,17 +193,19 @@
 };
 
 static void merge_group_settings(const struct config_group *group,
-				 struct probe_settings *rule)
+				 struct probe_settings *settings)
 {
-	rule->permille = rule->known ? MIN(rule->permille,
-					   group->measure_budget_permille) :
-				       group->measure_budget_permille;
-	rule->known = true;
-	if (!rule->path)
-		rule->path = group->health_path;
+	settings->permille =
+		settings->known ?
+			MIN(settings->permille, group->measure_budget_permille) :
+			group->measure_budget_permille;
+	settings->known = true;
+	if (!settings->path)
+		settings->path = group->health_path;
 }
 
-static void find_settings(const struct probe *probe, struct probe_settings *rule)
+static void find_settings(const struct probe *probe,
+			  struct probe_settings *settings)
 {
 	const struct config_snapshot *snapshot =
 		config_store_current(probe->daemon->config);
@@ -213,21 +215,21 @@
 			config_snapshot_group(snapshot, *name);
 
 		if (group)
-			merge_group_settings(group, rule);
+			merge_group_settings(group, settings);
 	}
 }
 
 void probe_configure(struct probe *probe)
 {
-	struct probe_settings rule = {0};
+	struct probe_settings settings = {0};
 
 	if (!probe->announced)
 		return;
-	find_settings(probe, &rule);
+	find_settings(probe, &settings);
 	g_free(probe->path);
-	probe->path = g_strdup(rule.path);
+	probe->path = g_strdup(settings.path);
 	measure_set_budget(&probe->measure, probe->announced->slots,
-			   rule.permille, clock_mono_us());
+			   settings.permille, clock_mono_us());
 	probe_schedule(probe);
 }
 
--- a/comfreydockd/upstream/report.c
+++ b/comfreydockd/upstream/report.c
@@ -153,7 +153,7 @@
 		return;
 	}
 	ev_timer_again(owner->daemon->loop, &owner->check_timer);
-	if (owner->check.asked++ == 0)
+	if (owner->check.failed_checks++ == 0)
 		log_event(EV_OWNER_UNCONFIRMED,
 			  LOG_STR("instance", owner->history.instance),
 			  LOG_STR("answers", instance ? instance : ""),
--- a/comfreydockd/upstream/run.c
+++ b/comfreydockd/upstream/run.c
@@ -105,7 +105,8 @@
 
 static void run_parse_status_line(struct run *run, const char *line)
 {
-	/* "HTTP/1.1 200 OK"; after an interim answer (1xx) a new head begins. */
+	/* Parses "HTTP/1.1 200 OK". Drops the fields of an interim answer (1xx),
+	 * which another head follows. */
 	fields_finish(&run->answer_fields);
 	run->answer_length = -1;
 	run->status = (unsigned int)strtoul(line + strcspn(line, " "), NULL, 10);
@@ -203,7 +204,7 @@
 	if (!run_has_begun(run))
 		return RUN_NOT_BEGUN;
 	if (result == CURLE_OK && run->has_head)
-		return RUN_WHOLE;
+		return RUN_COMPLETE;
 	return run->has_head ? RUN_TRUNCATED : RUN_BROKEN;
 }
 
--- a/include/comfreydockd/upstream/gate.h
+++ b/include/comfreydockd/upstream/gate.h
@@ -29,8 +29,7 @@
  */
 bool gate_may_start(struct owner *owner, struct owner_attempt *attempt);
 
-/* Decides anew about all held attempts, after a new load report or some time.
- */
+/* Decides again about all held attempts, after a load report or some time. */
 void gate_review(struct owner *owner);
 
 /* Records the load that the upstream reported; NULL if it did not answer. */
--- a/include/comfreydockd/upstream/owner.h
+++ b/include/comfreydockd/upstream/owner.h
@@ -24,7 +24,7 @@
 	uint32_t slots;
 	uint32_t warm_ms;
 	bool is_new_start; /* a new process: earlier state is discarded */
-	bool is_report; /* from a heartbeat: does not undo an operator's drain */
+	bool is_report; /* heartbeats don't undo an operator's drain */
 };
 
 enum owner_state {
--- a/include/comfreydockd/upstream/owner_internal.h
+++ b/include/comfreydockd/upstream/owner_internal.h
@@ -70,8 +70,7 @@
 
 /* owner.c */
 
-/* Offers an attempt to the queue; refuses and frees it if the queue rejects it.
- */
+/* Offers an attempt to the queue; refuses and frees it if there is no room. */
 void owner_offer(struct owner *owner, struct owner_attempt *attempt);
 bool owner_has_group(const struct owner *owner, const char *group);
 
--- a/include/comfreydockd/upstream/report.h
+++ b/include/comfreydockd/upstream/report.h
@@ -92,7 +92,7 @@
 struct report_check {
 	bool is_open; /* a start waits for its confirmation */
 	unsigned int reports; /* received from this start */
-	unsigned int asked; /* health requests that did not confirm it */
+	unsigned int failed_checks; /* unsuccessful health requests */
 	struct http_pending *pending;
 	char *group; /* this and the fields below: as last reported */
 	char *address;
--- a/include/comfreydockd/upstream/run.h
+++ b/include/comfreydockd/upstream/run.h
@@ -27,7 +27,7 @@
 struct run_pool;
 
 enum run_result {
-	RUN_WHOLE, /* the answer is complete */
+	RUN_COMPLETE, /* the answer is complete */
 	RUN_NOT_BEGUN, /* no byte of the request was written */
 	RUN_BROKEN, /* the request was written, but no answer's head came */
 	RUN_TRUNCATED, /* the answer ended early, after its head */
--- a/tests/test_answer.c
+++ b/tests/test_answer.c
@@ -69,8 +69,8 @@
 
 /*
  * A proxy before the upstream, or a fault in it, answers 503 to a booking that
- * was made. If the status were forwarded, the caller would take it for "not run"
- * and book again.
+ * was made. If the status were forwarded, the caller would take it for "not
+ * run" and book again.
  */
 static void test_not_run_statuses_without_the_header_are_unclear(void)
 {
--- a/tests/test_attempt.c
+++ b/tests/test_attempt.c
@@ -118,8 +118,7 @@
 		owner_apply(sim, OWNER_REFUSE);
 }
 
-/* Applies a random event to one attempt; any order and repetition is possible.
- */
+/* Applies a random event to one attempt: in any order, and repeatedly. */
 static void apply_random_event(struct sim *sim)
 {
 	switch (g_test_rand_int_range(0, 10)) {
@@ -168,7 +167,7 @@
 	return runs;
 }
 
-static void check(const struct caller *caller)
+static void check_invariants(const struct caller *caller)
 {
 	const struct sim *last = &caller->sims[caller->count - 1];
 	bool none_ran = true;
@@ -207,7 +206,7 @@
 			int which = g_test_rand_int_range(0, (int)caller.count);
 
 			apply_random_event(&caller.sims[which]);
-			check(&caller);
+			check_invariants(&caller);
 			if (attempt_allows_another(last->entry,
 						   caller.idempotent) &&
 			    caller.count < ATTEMPTS)
--- a/tests/test_attempt_model.c
+++ b/tests/test_attempt_model.c
@@ -5,9 +5,9 @@
 
 /*
  * Explores every state that one call with two attempts can reach, through every
- * order of sends, cancels, refusals, starts, ends, connection losses, pauses and
- * late frames. A pause needs no event of its own: it is any order in which the
- * frames for one side wait while the other side goes on.
+ * order of sends, cancels, refusals, starts, ends, connection losses, pauses
+ * and late frames. A pause needs no event of its own: it is any order in which
+ * the frames for one side wait while the other side goes on.
  */
 #define ATTEMPTS 2
 #define TO_OWNER 2
@@ -175,8 +175,7 @@
 	}
 	if (message != MSG_CANCEL)
 		return false;
-	/* A running attempt goes on without an answer; a queued one is refused.
-	 */
+	/* A running attempt goes on unanswered; a queued one is refused. */
 	if (sim->owner_received && sim->owner == OWNER_ATTEMPT_RUNNING)
 		send_to_entry(sim, MSG_FAILED);
 	else
@@ -230,7 +229,8 @@
 	return true;
 }
 
-/* RETURN VALUE: false if the event can't happen to the attempt in this state. */
+/* RETURN VALUE: false if the event can't happen to the attempt in this
+ * state. */
 static bool apply_event(struct sim *sim, int event)
 {
 	switch (event) {
@@ -265,7 +265,7 @@
 
 #define EVENTS 13
 
-static void check(const struct state *state)
+static void check_invariants(const struct state *state)
 {
 	unsigned int runs = 0;
 
@@ -292,7 +292,7 @@
 	if (g_hash_table_contains(search->seen, state))
 		return;
 	g_assert_cmpuint(g_hash_table_size(search->seen), <, STATES_MAX);
-	check(state);
+	check_invariants(state);
 	copy = g_memdup2(state, sizeof(*state));
 	g_hash_table_add(search->seen, copy);
 	g_queue_push_tail(search->open, copy);
@@ -329,8 +329,8 @@
 }
 
 /*
- * A booking whose first attempt is refused goes to another upstream, while
- * any event may happen to both attempts. If a customer could be charged twice, or
+ * A booking whose first attempt is refused goes to another upstream, while any
+ * event may happen to both attempts. If a customer could be charged twice, or
  * told "not run" about a booking that was made, one of these states would show
  * it.
  */
--- a/tests/test_mutations.c
+++ b/tests/test_mutations.c
@@ -11,9 +11,9 @@
 #include "comfreydockd/peer/link.h"
 #include "common/log.h"
 
-/* Feeds damaged input of every kind that comes from outside to its parser, under
- * the address and undefined-behaviour sanitizers. The inputs depend on the seed
- * alone, which CI sets. */
+/* Feeds damaged input of every kind that comes from outside to its parser,
+ * under the address and undefined-behaviour sanitizers. The inputs depend on
+ * the seed alone, which CI sets. */
 #define ROUNDS 4000
 #define CHANGES_MAX 6
 #define PIECE_MAX 40
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -15,13 +15,13 @@
 
 #define MANY 100
 
-/* The connections of one daemon, without the rest of it. The ends of all daemons
- * share one loop. */
-struct end {
+/* The connections of one daemon, without the rest of it. The ends of all
+ * daemons share one loop. */
+struct node {
 	struct settings settings;
 	struct daemon daemon;
 	struct peers *peers;
-	GString *heard; /* sequence numbers of the cancels that the owner got */
+	GString *received; /* sequence numbers of received cancels */
 	unsigned int lost;
 	struct peer *from;
 };
@@ -39,11 +39,11 @@
 
 static void handle_owner_frame(struct peer *peer, Cfd__Frame *frame, void *data)
 {
-	struct end *end = data;
+	struct node *node = data;
 
-	end->from = peer;
+	node->from = peer;
 	if (frame->kind_case == CFD__FRAME__KIND_CANCEL)
-		g_string_append_printf(end->heard, "%d ",
+		g_string_append_printf(node->received, "%d ",
 				       (int)frame->cancel->seq);
 	ev_break(loop, EVBREAK_ALL);
 }
@@ -57,48 +57,48 @@
 
 static void handle_lost(struct peer *peer, const char *error, void *data)
 {
-	struct end *end = data;
+	struct node *node = data;
 
 	(void)peer;
 	(void)error;
-	end->lost++;
+	node->lost++;
 	ev_break(loop, EVBREAK_ALL);
 }
 
-static void end_init(struct end *end, const char *host, const char *key)
+static void node_init(struct node *node, const char *host, const char *key)
 {
-	struct peers_role owner = {handle_owner_frame, handle_lost, end};
-	struct peers_role entry = {handle_entry_frame, handle_lost, end};
-
-	memset(end, 0, sizeof(*end));
-	end->settings.host = (char *)host;
-	end->settings.peer.address = (char *)"127.0.0.1";
-	end->settings.peer_key = (uint8_t *)key;
-	end->settings.peer_key_size = strlen(key);
-	end->daemon.loop = loop;
-	end->daemon.settings = &end->settings;
-	end->daemon.incarnation = 7;
-	end->daemon.members = member_table_create();
-	end->heard = g_string_new(NULL);
-	end->peers = peers_create(&end->daemon);
-	g_assert_nonnull(end->peers);
-	end->daemon.peers = end->peers;
-	peers_set_owner(end->peers, &owner);
-	peers_set_entry(end->peers, &entry);
+	struct peers_role owner = {handle_owner_frame, handle_lost, node};
+	struct peers_role entry = {handle_entry_frame, handle_lost, node};
+
+	memset(node, 0, sizeof(*node));
+	node->settings.host = (char *)host;
+	node->settings.peer.address = (char *)"127.0.0.1";
+	node->settings.peer_key = (uint8_t *)key;
+	node->settings.peer_key_size = strlen(key);
+	node->daemon.loop = loop;
+	node->daemon.settings = &node->settings;
+	node->daemon.incarnation = 7;
+	node->daemon.members = member_table_create();
+	node->received = g_string_new(NULL);
+	node->peers = peers_create(&node->daemon);
+	g_assert_nonnull(node->peers);
+	node->daemon.peers = node->peers;
+	peers_set_owner(node->peers, &owner);
+	peers_set_entry(node->peers, &entry);
 }
 
-static void end_finish(struct end *end)
+static void node_finish(struct node *node)
 {
-	peers_destroy(end->peers);
-	member_table_destroy(end->daemon.members);
-	g_string_free(end->heard, TRUE);
+	peers_destroy(node->peers);
+	member_table_destroy(node->daemon.members);
+	g_string_free(node->received, TRUE);
 }
 
-static struct member member_of(const struct end *end)
+static struct member member_of(const struct node *node)
 {
-	struct member member = {.peer_port = peers_port(end->peers)};
+	struct member member = {.peer_port = peers_port(node->peers)};
 
-	g_strlcpy(member.host, end->settings.host, sizeof(member.host));
+	g_strlcpy(member.host, node->settings.host, sizeof(member.host));
 	g_strlcpy(member.address, "127.0.0.1", sizeof(member.address));
 	return member;
 }
@@ -116,46 +116,46 @@
 
 static void test_frames_sent_before_the_handshake_keep_their_order(void)
 {
-	struct end a, b;
+	struct node a, b;
 	struct member member;
 	struct peer *peer;
 	uint64_t first, last;
 
-	end_init(&a, "a", "secret");
-	end_init(&b, "b", "secret");
+	node_init(&a, "a", "secret");
+	node_init(&b, "b", "secret");
 	member = member_of(&b);
 	peer = peers_connect(a.peers, &member);
 	first = send_cancel(peer, 1);
 	last = send_cancel(peer, 2);
 	g_assert_false(peer_has_handed_over(peer, first));
-	while (strcmp(b.heard->str, "1 2 ") != 0)
+	while (strcmp(b.received->str, "1 2 ") != 0)
 		run_for(1);
 	g_assert_true(peer_has_handed_over(peer, last));
 	g_assert_cmpstr(peer_host(b.from), ==, "a");
 	g_assert_cmpuint(peer_incarnation(b.from), ==, 7);
 	g_assert_true(peers_connect(a.peers, &member) == peer);
-	end_finish(&a);
-	end_finish(&b);
+	node_finish(&a);
+	node_finish(&b);
 }
 
 /*
- * A caller waits for a job of two minutes, and no other frame passes between the
- * two daemons. The connection must not be closed as idle meanwhile, although no
- * frame arrives on it for longer than the idle timeout.
+ * A caller waits for a job of two minutes, and no other frame passes between
+ * the two daemons. The connection must not be closed as idle meanwhile,
+ * although no frame arrives on it for longer than the idle timeout.
  */
 static void test_a_connection_with_an_attempt_out_is_not_idle(void)
 {
-	struct end a, b;
+	struct node a, b;
 	struct member member;
 	struct peer *peer;
 
-	end_init(&a, "a", "secret");
-	end_init(&b, "b", "secret");
+	node_init(&a, "a", "secret");
+	node_init(&b, "b", "secret");
 	member = member_of(&b);
 	member_table_update(a.daemon.members, &member, 0);
 	peer = peers_connect(a.peers, &member);
 	send_cancel(peer, 1);
-	while (strcmp(b.heard->str, "1 ") != 0)
+	while (strcmp(b.received->str, "1 ") != 0)
 		run_for(1);
 	peer_begin_use(peer);
 	for (int second = 0; second < 120; second++) {
@@ -169,27 +169,27 @@
 		run_for(1);
 	}
 	g_assert_cmpuint(a.lost, ==, 1);
-	end_finish(&a);
-	end_finish(&b);
+	node_finish(&a);
+	node_finish(&b);
 }
 
 static void test_connection_to_self_uses_memory(void)
 {
-	struct end a;
+	struct node a;
 	struct member member;
 	struct peer *peer;
 
-	end_init(&a, "a", "secret");
+	node_init(&a, "a", "secret");
 	member = member_of(&a);
 	peer = peers_connect(a.peers, &member);
 	for (uint64_t i = 0; i < MANY; i++)
 		send_cancel(peer, i);
 	/* The handler is never called from within a send. */
-	g_assert_cmpstr(a.heard->str, ==, "");
-	while (!strstr(a.heard->str, " 99 "))
+	g_assert_cmpstr(a.received->str, ==, "");
+	while (!strstr(a.received->str, " 99 "))
 		run_for(1);
-	g_assert_true(g_str_has_prefix(a.heard->str, "0 1 2 3 "));
-	end_finish(&a);
+	g_assert_true(g_str_has_prefix(a.received->str, "0 1 2 3 "));
+	node_finish(&a);
 }
 
 /*
@@ -200,13 +200,13 @@
 static void test_wrong_key_is_refused(void)
 {
 	uint64_t before = counters.peer_handshakes_failed;
-	struct end a, b;
+	struct node a, b;
 	struct member member;
 	struct peer *peer;
 	uint64_t position;
 
-	end_init(&a, "a", "old secret");
-	end_init(&b, "b", "secret");
+	node_init(&a, "a", "old secret");
+	node_init(&b, "b", "secret");
 	member = member_of(&b);
 	peer = peers_connect(a.peers, &member);
 	position = send_cancel(peer, 1);
@@ -214,17 +214,17 @@
 		g_assert_false(peer_has_handed_over(peer, position));
 		run_for(1);
 	}
-	g_assert_cmpstr(b.heard->str, ==, "");
+	g_assert_cmpstr(b.received->str, ==, "");
 	g_assert_cmpuint(counters.peer_handshakes_failed, >, before);
-	end_finish(&a);
-	end_finish(&b);
+	node_finish(&a);
+	node_finish(&b);
 }
 
-static int connect_raw(const struct end *end)
+static int connect_raw(const struct node *node)
 {
 	struct sockaddr_in address = {
 		.sin_family = AF_INET,
-		.sin_port = htons(peers_port(end->peers)),
+		.sin_port = htons(peers_port(node->peers)),
 		.sin_addr.s_addr = htonl(INADDR_LOOPBACK),
 	};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -234,19 +234,19 @@
 	return fd;
 }
 
-static void expect_close(struct end *end, int fd)
+static void expect_close(struct node *node, int fd)
 {
 	char buffer[512];
 	ssize_t got;
 
-	while (!end->lost)
+	while (!node->lost)
 		run_for(1);
 	do {
 		got = recv(fd, buffer, sizeof(buffer), 0);
 	} while (got > 0);
-	g_assert_cmpint(peers_count(end->peers), ==, 0);
+	g_assert_cmpint(peers_count(node->peers), ==, 0);
 	close(fd);
-	end->lost = 0;
+	node->lost = 0;
 }
 
 static void send_hello(int fd, uint32_t version)
@@ -277,10 +277,10 @@
 	static const char http[] = "GET / HTTP/1.1\r\n\r\n";
 	static const char huge[] = "\x00\x0f\xff\xff";
 	static const char junk[] = "\x00\x00\x00\x04\xff\xff\xff\xff";
-	struct end b;
+	struct node b;
 	int fd;
 
-	end_init(&b, "b", "secret");
+	node_init(&b, "b", "secret");
 	fd = connect_raw(&b);
 	send(fd, http, sizeof(http) - 1, MSG_NOSIGNAL);
 	expect_close(&b, fd);
@@ -293,30 +293,30 @@
 	fd = connect_raw(&b);
 	send_hello(fd, PEERS_PROTOCOL_VERSION + 1);
 	expect_close(&b, fd);
-	g_assert_cmpstr(b.heard->str, ==, "");
-	end_finish(&b);
+	g_assert_cmpstr(b.received->str, ==, "");
+	node_finish(&b);
 }
 
 /* The address in a member's record refuses the connection. The call's frame has
  * certainly not left, so even a booking may be sent elsewhere. */
 static void test_a_refused_connection_sent_nothing(void)
 {
-	struct end a, b;
+	struct node a, b;
 	struct member member;
 	struct peer *peer;
 	uint64_t position;
 
-	end_init(&a, "a", "secret");
-	end_init(&b, "b", "secret");
+	node_init(&a, "a", "secret");
+	node_init(&b, "b", "secret");
 	member = member_of(&b);
-	end_finish(&b);
+	node_finish(&b);
 	peer = peers_connect(a.peers, &member);
 	position = send_cancel(peer, 1);
 	while (!a.lost) {
 		g_assert_false(peer_has_handed_over(peer, position));
 		run_for(1);
 	}
-	end_finish(&a);
+	node_finish(&a);
 }
 
 static void send_window(struct peer *peer)
@@ -332,23 +332,23 @@
 /*
  * A host's gossip packets are lost for seconds while its connections work, and
  * the other members declare it dead. If that closed its connections, each
- * booking in flight would end as "unknown" and a clerk would have to look it up.
- * A host that is really dead sends no frames, and its connection is closed.
+ * booking in flight would end as "unknown" and a clerk would have to look it
+ * up. A host that is really dead sends no frames, and its connection is closed.
  */
 static void test_connection_of_a_dead_member_that_sends_is_kept(void)
 {
-	struct end a, b;
+	struct node a, b;
 	struct member member;
 	struct peer *peer;
 
-	end_init(&a, "a", "secret");
-	end_init(&b, "b", "secret");
+	node_init(&a, "a", "secret");
+	node_init(&b, "b", "secret");
 	member = member_of(&b);
 	member.state = MEMBER_DEAD;
 	member_table_update(a.daemon.members, &member, 0);
 	peer = peers_connect(a.peers, &member);
 	send_cancel(peer, 1);
-	while (strcmp(b.heard->str, "1 ") != 0)
+	while (strcmp(b.received->str, "1 ") != 0)
 		run_for(1);
 	for (int i = 0; i < 10; i++) {
 		send_window(b.from);
@@ -358,8 +358,8 @@
 	}
 	run_for(2200);
 	g_assert_cmpuint(a.lost, ==, 1);
-	end_finish(&a);
-	end_finish(&b);
+	node_finish(&a);
+	node_finish(&b);
 }
 
 int main(int argc, char **argv)
--- a/tests/test_probe.c
+++ b/tests/test_probe.c
@@ -69,9 +69,9 @@
 }
 
 /*
- * The upstream's process dies at a time without traffic. No call reveals it, and
- * the first callers in the morning would each lose time on it. An upstream whose
- * health check only fails stays in use, as a health check may mislead.
+ * The upstream's process dies at a time without traffic. No call reveals it,
+ * and the first callers in the morning would each lose time on it. An upstream
+ * whose health check only fails stays in use, as a health check may mislead.
  */
 static void test_a_dead_upstream_is_found_without_traffic(void)
 {
@@ -127,7 +127,7 @@
 	probe = probe_create(&daemon, handle_reachable, NULL);
 	probe_set_upstream(probe, &announced);
 	probe_note_refused(probe);
-	probe_note_traffic(probe); /* an answer resets the refusal count */
+	probe_note_traffic(probe); /* resets the count: one may be momentary */
 	probe_note_refused(probe);
 	g_assert_true(reachable);
 	probe_note_refused(probe);
--- a/tests/test_report.c
+++ b/tests/test_report.c
@@ -41,8 +41,8 @@
 	g_assert_cmpint(submit(&history, "i-1", 0, 10), ==, REPORT_NEWS);
 }
 
-/* An instance that has deregistered is ignored, however late its reports arrive.
- */
+/* An instance that has deregistered is ignored, however late its reports
+ * arrive. */
 static void test_report_after_leave_is_gone(void)
 {
 	struct report_history history = {0};
@@ -86,8 +86,8 @@
 
 /*
  * Reports of several starts arrive in any order and some of them twice. The
- * current start must never go back to an earlier one, nor the sequence number of
- * its last report to a lower one.
+ * current start must never go back to an earlier one, nor the sequence number
+ * of its last report to a lower one.
  */
 static void test_random_order_never_goes_back(void)
 {
--- a/tests/test_run.c
+++ b/tests/test_run.c
@@ -143,8 +143,9 @@
 
 /*
  * A keep-alive connection to the upstream breaks just after a booking was sent
- * on it. libcurl would send the booking again by itself on a new connection, and
- * the franchise would be billed twice. The run must end as RUN_BROKEN instead.
+ * on it. libcurl would send the booking again by itself on a new connection,
+ * and the franchise would be billed twice. The run must end as RUN_BROKEN
+ * instead.
  */
 static void test_a_broken_connection_is_not_retried(void)
 {
@@ -157,7 +158,7 @@
 	outcome.body = g_string_new(NULL);
 	pool = run_pool_create(client, &headers_own, "127.0.0.1",
 			       upstream_listen(&upstream));
-	g_assert_cmpint(run_once(pool, "POST", &outcome), ==, RUN_WHOLE);
+	g_assert_cmpint(run_once(pool, "POST", &outcome), ==, RUN_COMPLETE);
 	g_assert_cmpint((int)outcome.status, ==, 200);
 	g_assert_cmpstr(outcome.body->str, ==, "ok");
 	g_assert_cmpint(run_once(pool, "POST", &outcome), ==, RUN_BROKEN);
