--- a/comfreydockd/upstream/frames.c
+++ b/comfreydockd/upstream/frames.c
@@ -76,7 +76,7 @@
 	attempt_refuse(attempt, CFD__REASON__REASON_CANCELLED, 0);
 }
 
-/* Tells an entry whether its attempt may be stuck, so that it can hedge. An
+/* An entry asks whether its attempt is stuck, before it sends another one. An
  * attempt that is queued, or that started late, isn't stuck. One that has run
  * for longer than the time left to its deadline, without an answer's head, may
  * be. */
@@ -150,8 +150,8 @@
 	owner_handle_frame(data, peer, frame);
 }
 
-/* Drops the attempts that wait here. Their entries tell the callers "unknown"
- * or have sent another attempt. */
+/* Cancels all attempts of a lost connection. Nobody waits here for the queued
+ * ones: their entry tells the caller "unknown" or has sent another attempt. */
 static void handle_lost(struct peer *peer, const char *error, void *data)
 {
 	struct owner *owner = data;
--- a/comfreydockd/upstream/gate.c
+++ b/comfreydockd/upstream/gate.c
@@ -144,8 +144,9 @@
 	gate_arm(owner);
 }
 
-/* Tells all entries that are connected to this owner that a slow spell began or
- * ended. Otherwise each would find out one request at a time. */
+/* Sends the load to all entries that are connected to this owner, as a slow
+ * spell began or ended, or the breaker opened or closed. Otherwise each entry
+ * would find out one request at a time. */
 static void gate_notify_entries(struct owner *owner)
 {
 	Cfd__Load load = CFD__LOAD__INIT;
--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -68,7 +68,8 @@
 	load->pace_percent = owner->pace.percent;
 	load->limit = owner->state == OWNER_UP ? slots.limit : 0;
 	/* With an open breaker the owner reports itself as full, so that
-	 * entries try others first; one slot stays free for a trial. */
+	 * entries try others first. If nothing runs, it reports one free slot
+	 * for a trial. */
 	if (owner->breaker.is_open)
 		load->limit = MIN(load->limit, MAX(slots.running, 1));
 	load->expected_wait_us =
--- a/comfreydockd/upstream/run.c
+++ b/comfreydockd/upstream/run.c
@@ -10,9 +10,9 @@
 
 #define POOL_MAX_IDLE 64
 #define CONNECT_TIMEOUT_MS 1000L
-/* An idle connection is no longer reused shortly before common servers would
- * close it. An upstream's own Keep-Alive timeout replaces this value, less a
- * second for the time that a request is on its way. */
+/* Idle connections are reused for a shorter time than common servers keep them
+ * open. If an upstream sends a Keep-Alive timeout, that value is used instead,
+ * less a second for the time that a request is on its way. */
 #define MAX_IDLE_CONNECTION_S 4L
 #define IDLE_MARGIN_S 1L
 
--- a/include/comfreydockd/peer/peers.h
+++ b/include/comfreydockd/peer/peers.h
@@ -9,8 +9,8 @@
  *	unless an answer is still expected on it.
  *	A daemon's connection to itself goes through memory.
  *
- *	Before any other frame each side proves, by an HMAC-SHA256 over the
- *	other's nonce, that it knows the shared key. A connection without a
+ *	Before any other frame each side proves, by an HMAC-SHA256 over both
+ *	sides' nonces, that it knows the shared key. A connection without a
  *	valid proof is closed and counted. The connection is not encrypted; see
  *	docs/design/peer.md.
  *
--- a/include/comfreydockd/upstream/report.h
+++ b/include/comfreydockd/upstream/report.h
@@ -16,8 +16,8 @@
  *	start. Upstreams that don't report a start time have a new instance id
  *	with each start: an id that was replaced by another is outdated.
  *
- *	report_classify() decides whether a report applies. It is a pure
- *	function of the history and the report.
+ *	report_classify() decides whether a report applies. It depends on the
+ *	history and the report alone, and changes only the history.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_REPORT_H
 #define COMFREYDOCKD_UPSTREAM_REPORT_H
--- a/tests/test_probe.c
+++ b/tests/test_probe.c
@@ -127,7 +127,8 @@
 	probe = probe_create(&daemon, handle_reachable, NULL);
 	probe_set_upstream(probe, &announced);
 	probe_note_refused(probe);
-	probe_note_traffic(probe); /* resets the count: one may be momentary */
+	/* Resets the count, as a single refusal may be momentary. */
+	probe_note_traffic(probe);
 	probe_note_refused(probe);
 	g_assert_true(reachable);
 	probe_note_refused(probe);
