--- a/tests/test_attempt.c
+++ b/tests/test_attempt.c
@@ -167,7 +167,7 @@
 	return runs;
 }
 
-static void check_invariants(const struct caller *caller)
+static void verify_invariants(const struct caller *caller)
 {
 	const struct sim *last = &caller->sims[caller->count - 1];
 	bool none_ran = true;
@@ -206,7 +206,7 @@
 			int which = g_test_rand_int_range(0, (int)caller.count);
 
 			apply_random_event(&caller.sims[which]);
-			check_invariants(&caller);
+			verify_invariants(&caller);
 			if (attempt_allows_another(last->entry,
 						   caller.idempotent) &&
 			    caller.count < ATTEMPTS)
--- a/tests/test_attempt_model.c
+++ b/tests/test_attempt_model.c
@@ -265,7 +265,7 @@
 
 #define EVENTS 13
 
-static void check_invariants(const struct state *state)
+static void verify_invariants(const struct state *state)
 {
 	unsigned int runs = 0;
 
@@ -292,7 +292,7 @@
 	if (g_hash_table_contains(search->seen, state))
 		return;
 	g_assert_cmpuint(g_hash_table_size(search->seen), <, STATES_MAX);
-	check_invariants(state);
+	verify_invariants(state);
 	copy = g_memdup2(state, sizeof(*state));
 	g_hash_table_add(search->seen, copy);
 	g_queue_push_tail(search->open, copy);
