--- a/comfreydockd/upstream/attempts.c
+++ b/comfreydockd/upstream/attempts.c
@@ -10,7 +10,8 @@
 #include "common/log.h"
 #include "common/tally.h"
 
-/* Into the time line and the log, with the attempt's number and entry. */
+/* Writes an event to the time line and the log, with the attempt's sequence
+ * number and its entry. */
 #define attempt_note(attempt, event, ...)                                  \
 	timeline_note(&owner_daemon((attempt)->owner)->timeline,           \
 		      (attempt)->request->trace, event,                    \
@@ -24,7 +25,7 @@
 {
 	if (attempt->peer)
 		LIST_REMOVE(attempt, link);
-	owner_forget_held(attempt->owner, attempt);
+	owner_remove_held(attempt->owner, attempt);
 	run_destroy(attempt->run);
 	if (attempt->body)
 		g_byte_array_unref(attempt->body);
@@ -115,14 +116,14 @@
 	return false;
 }
 
-static enum answer_verdict attempt_judge(const struct owner_attempt *attempt,
-					 unsigned int status,
-					 const struct fields *fields)
+static enum answer_verdict attempt_classify(const struct owner_attempt *attempt,
+					    unsigned int status,
+					    const struct fields *fields)
 {
 	if (status_is_shed(attempt, status))
 		return ANSWER_NOT_RUN;
-	return answer_judge(owner_daemon(attempt->owner)->headers,
-			    attempt->request->trace, status, fields);
+	return answer_classify(owner_daemon(attempt->owner)->headers,
+			       attempt->request->trace, status, fields);
 }
 
 static bool handle_head(void *data, unsigned int status,
@@ -138,7 +139,7 @@
 	latency_note_us(&latencies.owner_upstream,
 			attempt->head_us - attempt->started_us);
 	owner_note_answer(attempt->owner, fields);
-	attempt->verdict = attempt_judge(attempt, status, fields);
+	attempt->verdict = attempt_classify(attempt, status, fields);
 	if (attempt->verdict != ANSWER_GOOD)
 		return false;
 	if (!attempt->peer)
@@ -169,7 +170,7 @@
 	attempt_send_body(attempt, bytes, size, false, false);
 }
 
-static void handle_taken(void *data, size_t size)
+static void handle_body_consumed(void *data, size_t size)
 {
 	struct owner_attempt *attempt = data;
 	Cfd__Window window = CFD__WINDOW__INIT;
@@ -184,21 +185,22 @@
 	peer_send(attempt->peer, &frame);
 }
 
-static void attempt_finish_whole(struct owner_attempt *attempt)
+static void attempt_finish_complete(struct owner_attempt *attempt)
 {
 	bool failed = attempt->status >= 500;
 
 	attempt_owner_step(&attempt->state, OWNER_FINISH);
 	attempt_note(attempt, EV_OWNER_DONE, LOG_INT("status", attempt->status),
 		     LOG_INT("took_us", clock_mono_us() - attempt->started_us));
-	owner_note_over(attempt->owner, attempt,
-			failed ? LIMIT_OUTCOME_FAILED : LIMIT_OUTCOME_OK);
+	owner_note_finished(attempt->owner, attempt,
+			    failed ? LIMIT_OUTCOME_FAILED : LIMIT_OUTCOME_OK);
 	owner_note_run(attempt->owner, true);
 	attempt_send_body(attempt, NULL, 0, true, false);
 	attempt_destroy(attempt);
 }
 
-/* Nothing was written to the upstream, or it says itself that it ran nothing. */
+/* Nothing was written to the upstream, or the upstream itself states that it
+ * did not run the request. */
 static void attempt_finish_not_begun(struct owner_attempt *attempt)
 {
 	struct owner *owner = attempt->owner;
@@ -206,7 +208,7 @@
 	Cfd__Reason reason = CFD__REASON__REASON_CONNECT;
 
 	attempt_owner_step(&attempt->state, OWNER_NEVER_BEGAN);
-	owner_note_over(owner, attempt, LIMIT_OUTCOME_OVERLOAD);
+	owner_note_finished(owner, attempt, LIMIT_OUTCOME_OVERLOAD);
 	if (attempt->verdict == ANSWER_NOT_RUN) {
 		reason = CFD__REASON__REASON_SHED;
 	} else if (attempt->verdict == ANSWER_OTHER_INSTANCE) {
@@ -225,7 +227,7 @@
 	counters.owner_broken++;
 	attempt_note(attempt, EV_OWNER_BROKEN, LOG_STR("why", why),
 		     LOG_INT("took_us", clock_mono_us() - attempt->started_us));
-	owner_note_over(attempt->owner, attempt, LIMIT_OUTCOME_CANCELLED);
+	owner_note_finished(attempt->owner, attempt, LIMIT_OUTCOME_CANCELLED);
 	if (has_head)
 		attempt_send_body(attempt, NULL, 0, false, true);
 	else
@@ -233,7 +235,8 @@
 	attempt_destroy(attempt);
 }
 
-/* The run has ended its connection: what else is on it belongs to nobody. */
+/* Rejects an answer that can't be attributed to this request. The run has
+ * already closed the connection, so later bytes on it reach no caller. */
 static void attempt_finish_strange(struct owner_attempt *attempt)
 {
 	log_event(EV_OWNER_STRANGE_ANSWER,
@@ -254,26 +257,28 @@
 		attempt_finish_not_begun(attempt);
 		return;
 	}
-	if (attempt->verdict == ANSWER_GOOD && result == RUN_WHOLE) {
-		attempt_finish_whole(attempt);
+	if (attempt->verdict == ANSWER_GOOD && result == RUN_COMPLETE) {
+		attempt_finish_complete(attempt);
 		return;
 	}
 	if (attempt->verdict != ANSWER_GOOD) {
 		attempt_finish_strange(attempt);
 	} else {
 		owner_note_broken(owner, attempt);
-		attempt_finish_broken(attempt, result == RUN_CUT,
-				      "the upstream broke off");
+		attempt_finish_broken(attempt, result == RUN_TRUNCATED,
+				      "upstream did not complete its answer");
 	}
 	owner_note_run(owner, false);
 }
 
 void attempt_break(struct owner_attempt *attempt, const char *why)
 {
-	/* Nothing was written yet: the certain answer is the better one. */
+	/* Nothing was written yet, so "not run" is certain and tells the entry
+	 * more than "failed". */
 	if (!run_has_begun(attempt->run)) {
 		attempt_owner_step(&attempt->state, OWNER_NEVER_BEGAN);
-		owner_note_over(attempt->owner, attempt, LIMIT_OUTCOME_CANCELLED);
+		owner_note_finished(attempt->owner, attempt,
+				    LIMIT_OUTCOME_CANCELLED);
 		attempt_refuse(attempt, CFD__REASON__REASON_CANCELLED, 0);
 		return;
 	}
@@ -282,21 +287,21 @@
 
 void attempt_give_up(struct owner_attempt *attempt)
 {
-	/* A request of which the rest never came is broken off as well: ended
-	 * here, its part would look like the whole, and the upstream would book
-	 * what nobody asked for. */
+	/* A request whose body is incomplete is aborted as well: if its body
+	 * were ended here, the upstream would take the part for the whole and
+	 * book something that nobody asked for. */
 	if (attempt->request->idempotent || !run_has_begun(attempt->run) ||
 	    !attempt->body_ends) {
 		attempt_break(attempt, "cancelled");
 		return;
 	}
-	/* Half a booking is worse than one that nobody waits for: it goes on to
-	 * its end, and what is left of its answer is thrown away. */
-	attempt_send_failed(attempt, "cancelled while it ran");
+	/* A half-finished booking is worse than one that nobody waits for: it
+	 * runs to its end, and the rest of its answer is discarded. */
+	attempt_send_failed(attempt, "cancelled while running");
 	if (attempt->peer)
 		LIST_REMOVE(attempt, link);
 	attempt->peer = NULL;
-	attempt_take_window(attempt, INT32_MAX);
+	attempt_add_credit(attempt, INT32_MAX);
 }
 
 static void add_number_field(struct fields *fields, const char *name,
@@ -308,7 +313,8 @@
 	fields_add(fields, name, text);
 }
 
-/* What the upstream passes on with the calls that it makes itself. */
+/* Builds the header fields for the upstream. It copies trace, depth and
+ * deadline into the calls that it makes itself. */
 static void attempt_fill_fields(const struct owner_attempt *attempt,
 				struct fields *fields, int64_t remaining_us)
 {
@@ -334,7 +340,7 @@
 	static const struct run_callbacks callbacks = {
 		.handle_head = handle_head,
 		.handle_body = handle_body,
-		.handle_taken = handle_taken,
+		.handle_body_consumed = handle_body_consumed,
 		.handle_done = handle_done,
 	};
 	const Cfd__Attempt *request = attempt->request;
@@ -351,7 +357,7 @@
 
 	attempt_owner_step(&attempt->state, OWNER_START);
 	attempt->started_us = now;
-	attempt->busy = owner_running(attempt->owner);
+	attempt->busy_slots = owner_running(attempt->owner);
 	attempt->pace_percent = owner_pace_percent(attempt->owner);
 	attempt->credit += request->answer_window ? request->answer_window :
 						    ATTEMPT_ANSWER_WINDOW;
@@ -372,7 +378,7 @@
 			     attempt->body->len, attempt->body_ends);
 }
 
-void attempt_take_body(struct owner_attempt *attempt, const Cfd__Body *body)
+void attempt_add_body(struct owner_attempt *attempt, const Cfd__Body *body)
 {
 	attempt->body_ends |= body->ends;
 	if (attempt->run) {
@@ -386,7 +392,7 @@
 			    (guint)body->data.len);
 }
 
-void attempt_take_window(struct owner_attempt *attempt, uint32_t bytes)
+void attempt_add_credit(struct owner_attempt *attempt, uint32_t bytes)
 {
 	attempt->credit += bytes;
 	if (attempt->credit > 0)
--- a/comfreydockd/upstream/crash.c
+++ b/comfreydockd/upstream/crash.c
@@ -13,11 +13,12 @@
 #include "common/log.h"
 #include "common/timer.h"
 
-/* When it is asked whether the upstream still listens: at once, and where the
- * kernel was slow to close its socket. */
-static const int64_t check_after_ms[] = {20, 250};
+/* Delays before each check whether the upstream still listens. The first check
+ * is almost immediate, the second is for a kernel that was slow to close the
+ * upstream's socket. */
+static const int64_t check_delays_ms[] = {20, 250};
 
-static void crash_forget(struct owner *owner)
+static void crash_clear(struct owner *owner)
 {
 	for (unsigned int i = 0; i < owner->crash.count; i++)
 		quarantine_end_trial(owner->daemon->quarantine,
@@ -30,12 +31,12 @@
 {
 	struct crash_watch *watch = &owner->crash;
 
-	if (watch->checks >= G_N_ELEMENTS(check_after_ms)) {
-		crash_forget(owner);
+	if (watch->checks >= G_N_ELEMENTS(check_delays_ms)) {
+		crash_clear(owner);
 		return;
 	}
 	timer_restart_us(owner->daemon->loop, &watch->check,
-			 check_after_ms[watch->checks] * US_PER_MS);
+			 check_delays_ms[watch->checks] * US_PER_MS);
 }
 
 static void handle_check(struct ev_loop *loop, ev_timer *timer, int events)
@@ -68,8 +69,8 @@
 	int64_t now = clock_mono_us();
 	struct crash_run *run;
 
-	if (now - watch->broken_us > CRASH_SPREAD_MS * US_PER_MS)
-		crash_forget(owner);
+	if (now - watch->broken_us > CRASH_WINDOW_MS * US_PER_MS)
+		crash_clear(owner);
 	watch->broken_us = now;
 	if (watch->count == 0) {
 		watch->checks = 0;
@@ -83,7 +84,7 @@
 	run->started_us = attempt->started_us;
 }
 
-/* Once for each request, however often it ran there. */
+/* A request that ran several times at the upstream is marked only once. */
 static bool is_first(const struct crash_watch *watch, unsigned int at)
 {
 	for (unsigned int i = 0; i < at; i++) {
@@ -93,7 +94,8 @@
 	return true;
 }
 
-static const char *mark_run(struct owner *owner, unsigned int at, uint64_t crash)
+static const char *mark_crashed_run(struct owner *owner, unsigned int at,
+				    uint64_t crash)
 {
 	const struct crash_watch *watch = &owner->crash;
 
@@ -108,10 +110,11 @@
 	return "spared";
 }
 
-static void take_run(struct owner *owner, unsigned int at, uint64_t crash)
+static void record_crashed_run(struct owner *owner, unsigned int at,
+			       uint64_t crash)
 {
 	const struct crash_run *run = &owner->crash.runs[at];
-	const char *outcome = mark_run(owner, at, crash);
+	const char *outcome = mark_crashed_run(owner, at, crash);
 	char content[KEY_TEXT_SIZE];
 
 	timeline_note(
@@ -139,12 +142,12 @@
 			  LOG_INT("runs", watch->count),
 			  LOG_INT("age_us", age_us));
 		for (unsigned int i = 0; i < watch->count; i++)
-			take_run(owner, i, crash);
+			record_crashed_run(owner, i, crash);
 	}
-	crash_forget(owner);
+	crash_clear(owner);
 }
 
-static bool is_kept(const struct crash_watch *watch, uint64_t content)
+static bool is_watched(const struct crash_watch *watch, uint64_t content)
 {
 	for (unsigned int i = 0; i < watch->count; i++) {
 		if (watch->runs[i].content == content)
@@ -153,8 +156,8 @@
 	return false;
 }
 
-void crash_note_over(struct owner *owner, const struct owner_attempt *attempt,
-		     bool is_served)
+void crash_note_finished(struct owner *owner,
+			 const struct owner_attempt *attempt, bool is_served)
 {
 	struct quarantine *quarantine = owner->daemon->quarantine;
 	uint64_t content = attempt->request->content_key;
@@ -163,12 +166,12 @@
 		return;
 	if (is_served)
 		quarantine_note_answer(quarantine, content, clock_mono_us());
-	else if (attempt->is_trial && !is_kept(&owner->crash, content))
+	else if (attempt->is_trial && !is_watched(&owner->crash, content))
 		quarantine_end_trial(quarantine, content);
 }
 
-static struct quarantine_answer judge(const struct owner *owner,
-				      const struct owner_attempt *attempt)
+static struct quarantine_answer
+check_quarantine(const struct owner *owner, const struct owner_attempt *attempt)
 {
 	const char *host = owner->daemon->settings->host;
 	struct quarantine_answer answer =
@@ -181,7 +184,7 @@
 	return answer;
 }
 
-static void refuse(struct owner_attempt *attempt, int64_t left_us)
+static void refuse_quarantined(struct owner_attempt *attempt, int64_t left_us)
 {
 	counters.quarantine_refused++;
 	attempt_owner_step(&attempt->state, OWNER_REFUSE);
@@ -189,13 +192,13 @@
 		       (uint32_t)(MAX(left_us, 0) / US_PER_MS));
 }
 
-bool crash_may_wait(struct owner *owner, struct owner_attempt *attempt)
+bool crash_may_queue(struct owner *owner, struct owner_attempt *attempt)
 {
-	struct quarantine_answer answer = judge(owner, attempt);
+	struct quarantine_answer answer = check_quarantine(owner, attempt);
 
 	if (answer.verdict != QUARANTINE_HELD)
 		return true;
-	refuse(attempt, answer.left_us);
+	refuse_quarantined(attempt, answer.left_us);
 	return false;
 }
 
@@ -214,10 +217,10 @@
 
 bool crash_may_start(struct owner *owner, struct owner_attempt *attempt)
 {
-	struct quarantine_answer answer = judge(owner, attempt);
+	struct quarantine_answer answer = check_quarantine(owner, attempt);
 
 	if (answer.verdict == QUARANTINE_HELD) {
-		refuse(attempt, answer.left_us);
+		refuse_quarantined(attempt, answer.left_us);
 		return false;
 	}
 	if (answer.verdict == QUARANTINE_TRIAL)
--- a/comfreydockd/upstream/gate.c
+++ b/comfreydockd/upstream/gate.c
@@ -6,10 +6,12 @@
 #include "common/counters.h"
 #include "common/log.h"
 
-/* How soon the end of a slow spell is noticed: a tenth of the time that spells
- * last while something waits for it, else half as often, for the others. */
-#define ASK_HELD_S 0.02
-#define ASK_SLOW_S 0.04
+/* Intervals at which the gate polls the load during a slow spell. While an
+ * attempt is held, the interval is a tenth of the time that spells last.
+ * Otherwise only the entries wait for the end, and the gate polls half as
+ * often. */
+#define ASK_INTERVAL_HELD_S 0.02
+#define ASK_INTERVAL_SLOW_S 0.04
 
 static bool gate_ask(struct owner *owner)
 {
@@ -38,7 +40,8 @@
 	ev_timer_stop(loop, &owner->gate_timer);
 	if (!is_held && !pace_is_slow(&owner->pace))
 		return;
-	ev_timer_set(&owner->gate_timer, is_held ? ASK_HELD_S : ASK_SLOW_S, 0.0);
+	ev_timer_set(&owner->gate_timer,
+		     is_held ? ASK_INTERVAL_HELD_S : ASK_INTERVAL_SLOW_S, 0.0);
 	ev_timer_start(loop, &owner->gate_timer);
 }
 
@@ -51,9 +54,9 @@
 	TAILQ_INSERT_TAIL(&owner->held, attempt, held_link);
 }
 
-static enum pace_verdict gate_judge(const struct owner *owner,
-				    const struct owner_attempt *attempt,
-				    int64_t now)
+static enum pace_verdict gate_evaluate(const struct owner *owner,
+				       const struct owner_attempt *attempt,
+				       int64_t now)
 {
 	struct pace_item item = {
 		.may_turn_back = !attempt->item.may_queue,
@@ -71,16 +74,16 @@
 static void gate_refuse(struct owner *owner, struct owner_attempt *attempt,
 			Cfd__Reason reason)
 {
-	owner_forget_held(owner, attempt);
+	owner_remove_held(owner, attempt);
 	attempt_owner_step(&attempt->state, OWNER_REFUSE);
 	attempt_refuse(attempt, reason, owner_retry_after_ms(owner));
 }
 
-/* RETURN VALUE: true to go on with the attempt; else it is held here, or was
+/* RETURN VALUE: true if the attempt may go on. Otherwise it is held, or was
  * refused and freed. */
 static bool gate_decide(struct owner *owner, struct owner_attempt *attempt)
 {
-	switch (gate_judge(owner, attempt, clock_mono_us())) {
+	switch (gate_evaluate(owner, attempt, clock_mono_us())) {
 	case PACE_TURN_BACK:
 		counters.gate_turned_back++;
 		gate_refuse(owner, attempt, CFD__REASON__REASON_SLOW);
@@ -101,7 +104,7 @@
 {
 	if (!gate_decide(owner, attempt))
 		return;
-	owner_forget_held(owner, attempt);
+	owner_remove_held(owner, attempt);
 	owner_offer(owner, attempt);
 }
 
@@ -141,9 +144,10 @@
 	gate_arm(owner);
 }
 
-/* Entries that have sent work here learn at once where a spell begins or ends;
- * else they would find out one request at a time. */
-static void gate_tell_entries(struct owner *owner)
+/* Sends the load to all entries that are connected to this owner, as a slow
+ * spell began or ended, or the breaker opened or closed. Otherwise each entry
+ * would find out one request at a time. */
+static void gate_notify_entries(struct owner *owner)
 {
 	Cfd__Load load = CFD__LOAD__INIT;
 	Cfd__LoadReport report = CFD__LOAD_REPORT__INIT;
@@ -153,7 +157,7 @@
 	report.load = &load;
 	frame.kind_case = CFD__FRAME__KIND_LOAD_REPORT;
 	frame.load_report = &report;
-	peers_tell_entries(owner->daemon->peers, &frame);
+	peers_notify_entries(owner->daemon->peers, &frame);
 }
 
 void gate_note_load(struct owner *owner, const struct answer_load *load)
@@ -166,12 +170,12 @@
 		owner->load_at_us = now;
 		has_turned = pace_note(&owner->pace, load->percent, now);
 	} else if (owner->pace.percent) {
-		/* Nothing better is to be had. */
+		/* The upstream didn't answer: go on with the last pace. */
 		owner->pace.at_us = now;
 	}
 	if (has_turned) {
 		counters.gate_turns++;
-		gate_tell_entries(owner);
+		gate_notify_entries(owner);
 	}
 }
 
@@ -182,7 +186,7 @@
 	log_event(EV_OWNER_BREAKER, LOG_INT("open", owner->breaker.is_open),
 		  LOG_INT("streak", owner->breaker.streak),
 		  LOG_INT("running", owner->running));
-	gate_tell_entries(owner);
+	gate_notify_entries(owner);
 }
 
 static void handle_gauge(const struct answer_load *load, void *data)
@@ -199,7 +203,8 @@
 
 	(void)loop;
 	(void)events;
-	/* The answer brings the review; without one, time alone does. */
+	/* The answer to the query triggers the review. If no query could be
+	 * sent, review now, as the elapsed time alone may change the result. */
 	if (!gate_ask(owner))
 		gate_review(owner);
 	else
@@ -227,7 +232,7 @@
 	struct owner_attempt *attempt;
 
 	while ((attempt = TAILQ_FIRST(&owner->held))) {
-		owner_forget_held(owner, attempt);
+		owner_remove_held(owner, attempt);
 		attempt_destroy(attempt);
 	}
 	ev_timer_stop(owner->daemon->loop, &owner->gate_timer);
--- a/comfreydockd/upstream/owner_state.c
+++ b/comfreydockd/upstream/owner_state.c
@@ -13,7 +13,7 @@
 		owner->handle_state(owner, owner->state_data);
 }
 
-static void owner_refuse_waiting(struct owner *owner, Cfd__Reason reason)
+static void owner_refuse_all(struct owner *owner, Cfd__Reason reason)
 {
 	struct queue_item *item;
 
@@ -26,7 +26,6 @@
 	}
 }
 
-/* Nobody listens at the upstream's address, or somebody does again. */
 void owner_note_reachable(bool reachable, void *data)
 {
 	struct owner *owner = data;
@@ -35,7 +34,7 @@
 		crash_confirm(owner, "unreachable");
 	if (!reachable && owner->state == OWNER_UP) {
 		owner->state = OWNER_NO_UPSTREAM;
-		owner_refuse_waiting(owner, CFD__REASON__REASON_NO_UPSTREAM);
+		owner_refuse_all(owner, CFD__REASON__REASON_NO_UPSTREAM);
 	} else if (reachable && owner->state == OWNER_NO_UPSTREAM) {
 		owner->state = OWNER_UP;
 		warm_begin(&owner->warm, owner->announced.warm_ms,
@@ -44,7 +43,6 @@
 	owner_publish(owner);
 }
 
-/* An upstream that tells its slots and its load needs no guess at them. */
 const struct limit_policy *owner_limit_policy(const struct owner *owner)
 {
 	return owner->daemon->headers->load ? &limit_fixed : &limit_adaptive;
@@ -124,7 +122,7 @@
 	log_event(EV_OWNER_ANNOUNCED, LOG_STR("address", copy.address),
 		  LOG_INT("port", copy.port), LOG_INT("slots", copy.slots));
 	owner_publish(owner);
-	owner_wake(owner);
+	owner_schedule_dispatch(owner);
 }
 
 void owner_drain(struct owner *owner)
@@ -146,9 +144,9 @@
 	owner->state = OWNER_DRAINING;
 	log_event(EV_OWNER_DRAINING, LOG_INT("running", owner->running),
 		  LOG_INT("queued", queue_length(&owner->queue)));
-	owner_refuse_waiting(owner, CFD__REASON__REASON_DRAINING);
+	owner_refuse_all(owner, CFD__REASON__REASON_DRAINING);
 	owner_publish(owner);
-	owner_wake(owner);
+	owner_schedule_dispatch(owner);
 }
 
 void owner_resume(struct owner *owner)
@@ -166,22 +164,22 @@
 {
 	log_event(EV_OWNER_OTHER_INSTANCE,
 		  LOG_STR("expected", owner->history.instance));
-	owner_lose_upstream(owner);
+	owner_set_no_upstream(owner);
 }
 
-void owner_lose_upstream(struct owner *owner)
+void owner_set_no_upstream(struct owner *owner)
 {
 	if (owner->state != OWNER_UP)
 		return;
 	owner->state = OWNER_NO_UPSTREAM;
-	owner_refuse_waiting(owner, CFD__REASON__REASON_NO_UPSTREAM);
+	owner_refuse_all(owner, CFD__REASON__REASON_NO_UPSTREAM);
 	owner_publish(owner);
 }
 
 void owner_note_config(struct owner *owner)
 {
 	probe_configure(owner->probe);
-	report_check_again(owner);
+	report_check_retry(owner);
 }
 
 void owner_when_changed(struct owner *owner,
--- a/comfreydockd/upstream/report.c
+++ b/comfreydockd/upstream/report.c
@@ -45,7 +45,7 @@
 	return false;
 }
 
-/* Where no start is told, the id is all there is to go by. */
+/* Without a start time, only the instance id distinguishes starts. */
 static bool is_later_start(const struct report_history *history,
 			   const struct report *report)
 {
@@ -54,24 +54,24 @@
 	return !is_past(history, report->instance);
 }
 
-static void lifetime_begin(struct report_history *history,
-			   const struct report *report)
+static void history_begin_start(struct report_history *history,
+				const struct report *report)
 {
 	if (history->instance[0])
 		note_past(history);
 	g_strlcpy(history->instance, report->instance, sizeof(history->instance));
 	history->born_ms = report->born_ms;
 	history->sequence = report->sequence;
-	history->left = false;
+	history->has_left = false;
 }
 
-enum report_verdict report_judge(struct report_history *history,
-				 const struct report *report)
+enum report_verdict report_classify(struct report_history *history,
+				    const struct report *report)
 {
 	bool is_first = !history->instance[0];
 
 	if (!is_first && is_same_start(history, report)) {
-		if (history->left)
+		if (history->has_left)
 			return REPORT_GONE;
 		if (report->sequence <= history->sequence)
 			return REPORT_LATE;
@@ -80,7 +80,7 @@
 	}
 	if (!is_first && !is_later_start(history, report))
 		return REPORT_LATE;
-	lifetime_begin(history, report);
+	history_begin_start(history, report);
 	return REPORT_NEW_START;
 }
 
@@ -88,11 +88,12 @@
 {
 	if (strcmp(history->instance, instance) != 0)
 		return false;
-	history->left = true;
+	history->has_left = true;
 	return true;
 }
 
-static bool is_beside(const struct owner *owner, const struct report *report)
+static bool is_configured_upstream(const struct owner *owner,
+				   const struct report *report)
 {
 	const struct settings_address *own = &owner->daemon->settings->upstream;
 
@@ -144,7 +145,7 @@
 				       NULL;
 
 	owner->check.pending = NULL;
-	if (!owner->check.is_open || owner->history.left)
+	if (!owner->check.is_open || owner->history.has_left)
 		return;
 	if (answer->status / 100 == 2 && instance &&
 	    strcmp(instance, owner->history.instance) == 0) {
@@ -152,14 +153,14 @@
 		return;
 	}
 	ev_timer_again(owner->daemon->loop, &owner->check_timer);
-	if (owner->check.asked++ == 0)
+	if (owner->check.failed_checks++ == 0)
 		log_event(EV_OWNER_UNCONFIRMED,
 			  LOG_STR("instance", owner->history.instance),
 			  LOG_STR("answers", instance ? instance : ""),
 			  LOG_INT("status", answer->status));
 }
 
-/* RETURN VALUE: false where no health path is known to ask at. */
+/* RETURN VALUE: false if no health path is known. */
 static bool ask_health(struct owner *owner)
 {
 	const struct config_group *group = config_snapshot_group(
@@ -189,19 +190,19 @@
 
 	(void)events;
 	ev_timer_stop(loop, timer);
-	report_check_again(owner);
+	report_check_retry(owner);
 }
 
 void report_check_init(struct owner *owner)
 {
 	ev_timer_init(&owner->check_timer, handle_check_timer, 0.0,
-		      REPORT_CHECK_AGAIN_S);
+		      REPORT_CHECK_RETRY_S);
 	owner->check_timer.data = owner;
 }
 
-void report_check_again(struct owner *owner)
+void report_check_retry(struct owner *owner)
 {
-	if (owner->check.is_open && !owner->history.left)
+	if (owner->check.is_open && !owner->history.has_left)
 		ask_health(owner);
 }
 
@@ -216,8 +217,8 @@
 	check->warm_ms = report->warm_ms;
 }
 
-static void take_ready(struct owner *owner, const struct report *report,
-		       bool is_new_start)
+static void handle_ready_report(struct owner *owner,
+				const struct report *report, bool is_new_start)
 {
 	struct report_check *check = &owner->check;
 
@@ -225,8 +226,8 @@
 		crash_confirm(owner, "new-start");
 		report_check_finish(check);
 		check->is_open = true;
-		/* Nothing of what was announced before holds any more. */
-		owner_lose_upstream(owner);
+		/* The previous announcement no longer applies. */
+		owner_set_no_upstream(owner);
 	}
 	check_fill(check, report);
 	if (!check->is_open) {
@@ -241,13 +242,13 @@
 		ask_health(owner);
 }
 
-enum report_verdict owner_take_report(struct owner *owner,
-				      const struct report *report)
+enum report_verdict owner_handle_report(struct owner *owner,
+					const struct report *report)
 {
 	enum report_verdict verdict = REPORT_FOREIGN;
 
-	if (is_beside(owner, report))
-		verdict = report_judge(&owner->history, report);
+	if (is_configured_upstream(owner, report))
+		verdict = report_classify(&owner->history, report);
 	if (verdict != REPORT_NEWS)
 		log_event(EV_OWNER_REPORT, LOG_STR("instance", report->instance),
 			  LOG_STR("group", report->group),
@@ -262,16 +263,16 @@
 		owner->check.is_open = false;
 		owner_drain_upstream(owner);
 	} else {
-		take_ready(owner, report, verdict == REPORT_NEW_START);
+		handle_ready_report(owner, report, verdict == REPORT_NEW_START);
 	}
 	return verdict;
 }
 
 /*
- * One that leaves without having drained before goes on serving for a while;
- * what runs there goes on, and nothing new is sent.
+ * An instance that deregisters without draining first still serves for a
+ * while: its running requests go on, and it gets no new ones.
  */
-bool owner_take_leave(struct owner *owner, const char *instance)
+bool owner_handle_leave(struct owner *owner, const char *instance)
 {
 	bool counts = report_note_leave(&owner->history, instance);
 
--- a/tests/test_answer.c
+++ b/tests/test_answer.c
@@ -9,8 +9,8 @@
 #define SIGNED "X-Comfreydock-Response-Signature"
 #define NOT_RUN "X-Comfreydock-Not-Executed"
 
-/* The arguments are names and values, ended by NULL. */
-static enum answer_verdict judge(unsigned int status, ...)
+/* The arguments after status are field names and values, ended by NULL. */
+static enum answer_verdict classify(unsigned int status, ...)
 {
 	enum answer_verdict verdict;
 	struct fields fields;
@@ -22,77 +22,79 @@
 	while ((name = va_arg(args, const char *)))
 		fields_add(&fields, name, va_arg(args, const char *));
 	va_end(args);
-	verdict = answer_judge(&platform_headers, TRACE, status, &fields);
+	verdict = answer_classify(&platform_headers, TRACE, status, &fields);
 	fields_finish(&fields);
 	return verdict;
 }
 
-static void test_own_answers_pass(void)
+static void test_answers_to_this_request_pass(void)
 {
-	g_assert_cmpint(judge(200, ID, TRACE, SIGNED, "3e1b", NULL), ==,
+	g_assert_cmpint(classify(200, ID, TRACE, SIGNED, "3e1b", NULL), ==,
 			ANSWER_GOOD);
-	/* A failure of the upstream is its answer, too. */
-	g_assert_cmpint(judge(500, ID, TRACE, SIGNED, "3e1b", NULL), ==,
+	/* A failure that the upstream reports is a valid answer, too. */
+	g_assert_cmpint(classify(500, ID, TRACE, SIGNED, "3e1b", NULL), ==,
 			ANSWER_GOOD);
-	g_assert_cmpint(judge(504, ID, TRACE, NULL), ==, ANSWER_GOOD);
-	g_assert_cmpint(judge(404, ID, TRACE, NULL), ==, ANSWER_GOOD);
+	g_assert_cmpint(classify(504, ID, TRACE, NULL), ==, ANSWER_GOOD);
+	g_assert_cmpint(classify(404, ID, TRACE, NULL), ==, ANSWER_GOOD);
 }
 
 /*
- * An upstream sends an answer twice, or late, on a connection that is kept. It
- * stands where the answer to the next request is due, and its caller would get
+ * An upstream sends an answer twice, or late, on a keep-alive connection. It
+ * would be read as the answer to the next request, whose caller would get
  * somebody else's listing.
  */
-static void test_others_answers_reach_nobody(void)
+static void test_answers_to_other_requests_are_rejected(void)
 {
-	g_assert_cmpint(judge(200, ID, "another", SIGNED, "3e1b", NULL), ==,
+	g_assert_cmpint(classify(200, ID, "another", SIGNED, "3e1b", NULL), ==,
 			ANSWER_STRANGE);
-	g_assert_cmpint(judge(503, ID, "another", NOT_RUN, "1", NULL), ==,
+	g_assert_cmpint(classify(503, ID, "another", NOT_RUN, "1", NULL), ==,
 			ANSWER_STRANGE);
-	g_assert_cmpint(judge(200, SIGNED, "3e1b", NULL), ==, ANSWER_STRANGE);
-	g_assert_cmpint(judge(200, ID, TRACE, NULL), ==, ANSWER_STRANGE);
-	g_assert_cmpint(judge(200, NULL), ==, ANSWER_STRANGE);
-	g_assert_cmpint(judge(200, ID, TRACE, SIGNED, "3e1b",
-			      "Content-Encoding", "gzip", NULL),
+	g_assert_cmpint(classify(200, SIGNED, "3e1b", NULL), ==, ANSWER_STRANGE);
+	g_assert_cmpint(classify(200, ID, TRACE, NULL), ==, ANSWER_STRANGE);
+	g_assert_cmpint(classify(200, NULL), ==, ANSWER_STRANGE);
+	g_assert_cmpint(classify(200, ID, TRACE, SIGNED, "3e1b",
+				 "Content-Encoding", "gzip", NULL),
 			==, ANSWER_STRANGE);
 }
 
-/* Nothing was run, by the upstream's own word. */
-static void test_refusals_of_the_upstream(void)
+/* The upstream itself states that it did not run the request. */
+static void test_upstream_says_not_run(void)
 {
-	g_assert_cmpint(judge(503, ID, TRACE, NOT_RUN, "1", NULL), ==,
+	g_assert_cmpint(classify(503, ID, TRACE, NOT_RUN, "1", NULL), ==,
 			ANSWER_NOT_RUN);
-	g_assert_cmpint(judge(400, NOT_RUN, "1", NULL), ==, ANSWER_NOT_RUN);
-	g_assert_cmpint(judge(421, "X-Comfreydock-Instance-Id", "i-02", NULL),
+	g_assert_cmpint(classify(400, NOT_RUN, "1", NULL), ==, ANSWER_NOT_RUN);
+	g_assert_cmpint(classify(421, "X-Comfreydock-Instance-Id", "i-02", NULL),
 			==, ANSWER_OTHER_INSTANCE);
 }
 
 /*
- * A proxy before the upstream, or a fault in it, says 503 of a booking that was
- * made. Passed on, the caller would take it for "not run" and book again.
+ * A proxy before the upstream, or a fault in it, answers 503 to a booking that
+ * was made. If the status were forwarded, the caller would take it for "not
+ * run" and book again.
  */
-static void test_promises_without_the_word_are_not_passed_on(void)
+static void test_not_run_statuses_without_the_header_are_unclear(void)
 {
 	static const unsigned int statuses[] = {408, 429, 503};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(statuses); i++)
 		g_assert_cmpint(
-			judge(statuses[i], ID, TRACE, SIGNED, "3e1b", NULL), ==,
-			ANSWER_UNCLEAR);
+			classify(statuses[i], ID, TRACE, SIGNED, "3e1b", NULL),
+			==, ANSWER_UNCLEAR);
 }
 
-/* comfreydock's own headers name no signature: answers are as they are. */
-static void test_own_headers_ask_for_nothing(void)
+/* comfreydock's own headers table names no signature field, so every answer is
+ * accepted. */
+static void test_without_signature_header_all_answers_pass(void)
 {
 	struct fields fields;
 
 	fields_init(&fields);
-	g_assert_cmpint(answer_judge(&headers_own, TRACE, 503, &fields), ==,
+	g_assert_cmpint(answer_classify(&headers_own, TRACE, 503, &fields), ==,
 			ANSWER_GOOD);
 	fields_finish(&fields);
 }
 
-static void test_load_is_read_or_left(void)
+static void test_load_is_parsed_or_rejected(void)
 {
 	static const char *const bad[] = {
 		"",	     "3",     "3,0",
@@ -110,19 +112,22 @@
 	g_assert_cmpuint(load.percent, ==, 0);
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
 		if (answer_parse_load(bad[i], &load))
-			g_error("taken: \"%s\"", bad[i]);
+			g_error("parsed an invalid load: \"%s\"", bad[i]);
 	}
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/answer/own", test_own_answers_pass);
-	g_test_add_func("/answer/others", test_others_answers_reach_nobody);
-	g_test_add_func("/answer/refusals", test_refusals_of_the_upstream);
-	g_test_add_func("/answer/promises",
-			test_promises_without_the_word_are_not_passed_on);
-	g_test_add_func("/answer/own-headers", test_own_headers_ask_for_nothing);
-	g_test_add_func("/answer/load", test_load_is_read_or_left);
+	g_test_add_func("/answer/this-request",
+			test_answers_to_this_request_pass);
+	g_test_add_func("/answer/other-request",
+			test_answers_to_other_requests_are_rejected);
+	g_test_add_func("/answer/not-run", test_upstream_says_not_run);
+	g_test_add_func("/answer/unconfirmed-not-run",
+			test_not_run_statuses_without_the_header_are_unclear);
+	g_test_add_func("/answer/no-signature-header",
+			test_without_signature_header_all_answers_pass);
+	g_test_add_func("/answer/load", test_load_is_parsed_or_rejected);
 	return g_test_run();
 }
--- a/tests/test_run.c
+++ b/tests/test_run.c
@@ -8,8 +8,8 @@
 
 #include "comfreydockd/upstream/run.h"
 
-/* An upstream that answers the first request of a connection and hangs up on
- * the second after it has read it, as one that crashes in the middle does. */
+/* An upstream that answers the first request and closes the connection after it
+ * has read the second, as an upstream that crashes while it works does. */
 struct upstream {
 	struct ev_loop *loop;
 	int listener;
@@ -99,7 +99,7 @@
 	g_string_append_len(((struct outcome *)data)->body, bytes, (gssize)size);
 }
 
-static void handle_taken(void *data, size_t size)
+static void handle_body_consumed(void *data, size_t size)
 {
 	(void)data;
 	(void)size;
@@ -117,7 +117,7 @@
 static const struct run_callbacks callbacks = {
 	.handle_head = handle_head,
 	.handle_body = handle_body,
-	.handle_taken = handle_taken,
+	.handle_body_consumed = handle_body_consumed,
 	.handle_done = handle_done,
 };
 
@@ -142,9 +142,10 @@
 }
 
 /*
- * A kept connection to the upstream breaks just after a booking was sent on
- * it. The HTTP library would send it again by itself on a new connection, and
- * the franchise would be billed twice. The run must end as broken instead.
+ * A keep-alive connection to the upstream breaks just after a booking was sent
+ * on it. libcurl would send the booking again by itself on a new connection,
+ * and the franchise would be billed twice. The run must end as RUN_BROKEN
+ * instead.
  */
 static void test_a_broken_connection_is_not_retried(void)
 {
@@ -157,14 +158,14 @@
 	outcome.body = g_string_new(NULL);
 	pool = run_pool_create(client, &headers_own, "127.0.0.1",
 			       upstream_listen(&upstream));
-	g_assert_cmpint(run_once(pool, "POST", &outcome), ==, RUN_WHOLE);
+	g_assert_cmpint(run_once(pool, "POST", &outcome), ==, RUN_COMPLETE);
 	g_assert_cmpint((int)outcome.status, ==, 200);
 	g_assert_cmpstr(outcome.body->str, ==, "ok");
 	g_assert_cmpint(run_once(pool, "POST", &outcome), ==, RUN_BROKEN);
 	g_assert_cmpuint(upstream.requests, ==, 2);
 	ev_io_stop(loop, &upstream.acceptor);
 	close(upstream.listener);
-	/* Nobody listens any more: certainly not begun. */
+	/* The port refuses connections, so the run has certainly not begun. */
 	g_assert_cmpint(run_once(pool, "POST", &outcome), ==, RUN_NOT_BEGUN);
 	run_pool_destroy(pool);
 	http_client_destroy(client);
@@ -175,7 +176,6 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/run/never-twice",
-			test_a_broken_connection_is_not_retried);
+	g_test_add_func("/run/no-retry", test_a_broken_connection_is_not_retried);
 	return g_test_run();
 }
