--- a/comfreydockd/assembly.c
+++ b/comfreydockd/assembly.c
@@ -17,11 +17,11 @@
 #include "comfreydockd/member/gossip.h"
 #include "comfreydockd/member/member.h"
 #include "comfreydockd/member/rows.h"
-#include "comfreydockd/on_platform.h"
 #include "comfreydockd/operator/operator.h"
 #include "comfreydockd/peer/peers.h"
 #include "comfreydockd/platform/platform.h"
 #include "comfreydockd/platform/rows_store.h"
+#include "comfreydockd/platform_integration.h"
 #include "comfreydockd/quarantine_log.h"
 #include "comfreydockd/reload.h"
 #include "comfreydockd/settings.h"
@@ -43,9 +43,9 @@
 	struct rows *rows;
 	ev_signal terminate;
 	ev_signal interrupt;
-	ev_prepare log_turn; /* writes what one turn of the loop has told */
+	ev_prepare log_flush_prepare; /* writes what one turn of the loop has told */
 	struct stop *stop;
-	struct on_platform *on_platform;
+	struct platform_integration *platform_integration;
 	struct reload *reload;
 	struct gossip_handlers gossip_handlers;
 	struct config_platform *config_platform; /* NULL: no platform */
@@ -79,7 +79,7 @@
 }
 
 /* A row of a host that gossip has not told of. */
-static void handle_row_of_peer(const char *address, uint16_t port, void *data)
+static void handle_unknown_host_row(const char *address, uint16_t port, void *data)
 {
 	struct daemon *daemon = data;
 	bool is_v6 = strchr(address, ':') != NULL;
@@ -180,7 +180,7 @@
 		rows_note_quarantine(assembly->rows, record, change);
 }
 
-static bool create_parts(struct assembly *assembly)
+static bool create_components(struct assembly *assembly)
 {
 	struct daemon *daemon = &assembly->daemon;
 	const struct settings *settings = daemon->settings;
@@ -218,7 +218,7 @@
 	return true;
 }
 
-static void connect_parts(struct assembly *assembly)
+static void connect_components(struct assembly *assembly)
 {
 	struct daemon *daemon = &assembly->daemon;
 	struct member_observer observer = {
@@ -254,7 +254,7 @@
 		.self = gossip_self(daemon->gossip),
 		.quarantine = daemon->quarantine,
 		.seed = id_random_u64(),
-		.handle_peer = handle_row_of_peer,
+		.handle_peer = handle_unknown_host_row,
 		.data = daemon,
 	};
 
@@ -263,7 +263,7 @@
 	platform_when_restored(daemon->platform, handle_restored, assembly);
 }
 
-static void connect_configuration(struct assembly *assembly)
+static void connect_config_sources(struct assembly *assembly)
 {
 	struct daemon *daemon = &assembly->daemon;
 	const struct config_platform_ops *ops = NULL;
@@ -281,18 +281,19 @@
 		spread_peers_create(daemon, ops, assembly->config_platform);
 }
 
-static bool join_platform(struct assembly *assembly)
+static bool start_platform_integration(struct assembly *assembly)
 {
 	struct daemon *daemon = &assembly->daemon;
 
 	assembly->stop = stop_create(daemon, assembly->listener, assembly->rows);
-	assembly->on_platform = on_platform_create(daemon, assembly->stop);
-	if (!assembly->on_platform)
+	assembly->platform_integration =
+		platform_integration_create(daemon, assembly->stop);
+	if (!assembly->platform_integration)
 		return report_bind_error("platform's", &daemon->settings->ready);
 	return true;
 }
 
-static void handle_log_turn(struct ev_loop *loop, ev_prepare *prepare, int events)
+static void handle_log_flush(struct ev_loop *loop, ev_prepare *prepare, int events)
 {
 	(void)loop;
 	(void)prepare;
@@ -302,8 +303,8 @@
 
 static void watch_signals(struct assembly *assembly)
 {
-	ev_prepare_init(&assembly->log_turn, handle_log_turn);
-	ev_prepare_start(assembly->daemon.loop, &assembly->log_turn);
+	ev_prepare_init(&assembly->log_flush_prepare, handle_log_flush);
+	ev_prepare_start(assembly->daemon.loop, &assembly->log_flush_prepare);
 	log_collect();
 	ev_signal_init(&assembly->terminate, handle_signal, SIGTERM);
 	ev_signal_init(&assembly->interrupt, handle_signal, SIGINT);
@@ -328,14 +329,14 @@
 	timeline_init(&daemon->timeline, TIMELINE_ENTRIES);
 	watch_signals(assembly);
 	assembly->reload = reload_create(daemon->loop, file, settings);
-	if (!create_parts(assembly)) {
+	if (!create_components(assembly)) {
 		assembly_destroy(assembly);
 		return NULL;
 	}
 	create_rows(assembly);
-	connect_parts(assembly);
-	connect_configuration(assembly);
-	if (!join_platform(assembly)) {
+	connect_components(assembly);
+	connect_config_sources(assembly);
+	if (!start_platform_integration(assembly)) {
 		assembly_destroy(assembly);
 		return NULL;
 	}
@@ -367,7 +368,7 @@
 	gossip_destroy(daemon->gossip);
 	platform_destroy(daemon->platform);
 	slices_destroy(daemon->slices);
-	on_platform_destroy(assembly->on_platform);
+	platform_integration_destroy(assembly->platform_integration);
 	reload_destroy(assembly->reload);
 	stop_destroy(assembly->stop);
 	rows_store_destroy(assembly->rows_store);
@@ -378,7 +379,7 @@
 	config_store_destroy(daemon->config);
 	http_client_destroy(daemon->http);
 	ev_signal_stop(daemon->loop, &assembly->terminate);
-	ev_prepare_stop(daemon->loop, &assembly->log_turn);
+	ev_prepare_stop(daemon->loop, &assembly->log_flush_prepare);
 	log_flush();
 	ev_signal_stop(daemon->loop, &assembly->interrupt);
 	timeline_finish(&daemon->timeline);
--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -24,8 +24,8 @@
 
 /* Bounds the lines of one kind: strangers' packets, or a failure domain's
  * hosts, come by the thousands and would fill the log. */
-struct log_bound {
-	int64_t began_us;
+struct log_limiter {
+	int64_t window_start_us;
 	unsigned int lines;
 	uint64_t suppressed;
 };
@@ -40,16 +40,16 @@
 	int64_t now_us;
 	ev_io readable;
 	ev_timer tick;
-	struct freeze_mark ticked;
-	struct log_bound dropped;
-	struct log_bound changed;
+	struct freeze_mark tick_mark;
+	struct log_limiter drop_log;
+	struct log_limiter change_log;
 };
 
 /* RETURN VALUE: false if the line is to be left out. */
-static bool log_bound_allows(struct log_bound *bound, int64_t now_us)
+static bool log_limiter_allows(struct log_limiter *bound, int64_t now_us)
 {
-	if (now_us - bound->began_us >= LOG_WINDOW_US) {
-		bound->began_us = now_us;
+	if (now_us - bound->window_start_us >= LOG_WINDOW_US) {
+		bound->window_start_us = now_us;
 		bound->lines = 0;
 	}
 	if (bound->lines < LOG_LINES_MAX) {
@@ -94,16 +94,16 @@
 		counters.gossip_dropped_tag++;
 	else
 		counters.gossip_dropped_malformed++;
-	if (!log_bound_allows(&gossip->dropped, gossip->now_us))
+	if (!log_limiter_allows(&gossip->drop_log, gossip->now_us))
 		return;
 	log_event(EV_GOSSIP_PACKET_DROPPED, LOG_STR("reason", reasons[status]),
 		  LOG_STR("address", address),
-		  LOG_INT("suppressed", gossip->dropped.suppressed));
-	gossip->dropped.suppressed = 0;
+		  LOG_INT("suppressed", gossip->drop_log.suppressed));
+	gossip->drop_log.suppressed = 0;
 }
 
-static void gossip_take(struct gossip *gossip, const uint8_t *data, size_t size,
-			const union socket_address *from)
+static void gossip_handle_packet(struct gossip *gossip, const uint8_t *data,
+				 size_t size, const union socket_address *from)
 {
 	const struct settings *settings = gossip->daemon->settings;
 	char address[MEMBER_ADDRESS_MAX];
@@ -141,7 +141,7 @@
 
 		if (size < 0)
 			return;
-		gossip_take(gossip, data, (size_t)size, &from);
+		gossip_handle_packet(gossip, data, (size_t)size, &from);
 	}
 }
 
@@ -152,11 +152,11 @@
 
 	gossip->now_us = clock_mono_us();
 	swim_tick(gossip->swim, gossip->now_us);
-	freeze_mark(&gossip->ticked);
+	freeze_mark(&gossip->tick_mark);
 }
 
-static void gossip_handle_head(const char *host, uint64_t head,
-			       int64_t told_age_us, void *data)
+static void gossip_handle_config_head(const char *host, uint64_t head,
+				      int64_t told_age_us, void *data)
 {
 	struct gossip *gossip = data;
 
@@ -178,7 +178,7 @@
 {
 	const struct gossip *gossip = data;
 
-	freeze_log(EV_GOSSIP_FROZEN, gap_us, &gossip->ticked);
+	freeze_log(EV_GOSSIP_FROZEN, gap_us, &gossip->tick_mark);
 }
 
 static void gossip_handle_refuted(enum member_state state, uint64_t incarnation,
@@ -187,7 +187,7 @@
 	struct gossip *gossip = data;
 
 	counters.gossip_refuted++;
-	if (log_bound_allows(&gossip->changed, gossip->now_us))
+	if (log_limiter_allows(&gossip->change_log, gossip->now_us))
 		log_event(EV_GOSSIP_REFUTED, LOG_INT("state", state),
 			  LOG_INT("incarnation", incarnation));
 }
@@ -198,13 +198,13 @@
 	struct gossip *gossip = data;
 
 	if (member->state_since_us != gossip->now_us ||
-	    !log_bound_allows(&gossip->changed, gossip->now_us))
+	    !log_limiter_allows(&gossip->change_log, gossip->now_us))
 		return;
 	log_event(EV_MEMBER_STATE, LOG_STR("host", member->host),
 		  LOG_STR("state", names[member->state]),
 		  LOG_INT("incarnation", member->incarnation),
-		  LOG_INT("suppressed", gossip->changed.suppressed));
-	gossip->changed.suppressed = 0;
+		  LOG_INT("suppressed", gossip->change_log.suppressed));
+	gossip->change_log.suppressed = 0;
 }
 
 /* RETURN VALUE: -1 with errno set on failure. */
@@ -265,7 +265,8 @@
 				       daemon->settings->peer.address,
 		  sizeof(self.address));
 	gossip->ops = (struct swim_ops){.send = gossip_send,
-					.handle_config_head = gossip_handle_head,
+					.handle_config_head =
+						gossip_handle_config_head,
 					.config_told_age_us = gossip_told_age_us,
 					.handle_freeze = gossip_handle_freeze,
 					.handle_refuted = gossip_handle_refuted,
@@ -289,7 +290,7 @@
 	gossip->fd = fd;
 	gossip->port = bound_port(fd);
 	gossip->now_us = clock_mono_us();
-	freeze_mark(&gossip->ticked);
+	freeze_mark(&gossip->tick_mark);
 	gossip_create_swim(gossip);
 	observer.data = gossip;
 	member_table_observe(daemon->members, &observer);
--- a/comfreydockd/member/member_table.c
+++ b/comfreydockd/member/member_table.c
@@ -161,8 +161,8 @@
 
 /* Never the same number twice, so that a group which was empty for a while is
  * not taken for the one before. */
-static void member_table_note_groups(struct member_table *table,
-				     const struct member *member)
+static void member_table_bump_group_versions(struct member_table *table,
+					     const struct member *member)
 {
 	for (char **name = member->groups; name && *name; name++) {
 		struct group *group = g_hash_table_lookup(table->by_group, *name);
@@ -218,8 +218,8 @@
 	member_table_index_groups(table, member);
 }
 
-static void member_take(struct member *member, const struct member *record,
-			int64_t now_us)
+static void member_apply_record(struct member *member,
+				const struct member *record, int64_t now_us)
 {
 	bool was_up = member->service_state == MEMBER_SERVICE_UP;
 
@@ -280,10 +280,10 @@
 	if (!member)
 		member = member_table_add(table, record->host);
 	member_table_toggle_digest(table, member);
-	member_take(member, record, now_us);
+	member_apply_record(member, record, now_us);
 	member_table_toggle_digest(table, member);
 	member_table_set_groups(table, member, record->groups);
-	member_table_note_groups(table, member);
+	member_table_bump_group_versions(table, member);
 	for (guint i = 0; i < table->observers->len; i++) {
 		struct member_observer *observer = &g_array_index(
 			table->observers, struct member_observer, i);
--- a/comfreydockd/member/rows.c
+++ b/comfreydockd/member/rows.c
@@ -2,7 +2,7 @@
 #include "rows_internal.h"
 
 /* If the own row could not be written by then. */
-#define FIRST_PAGE_US (1000 * US_PER_MS)
+#define FIRST_PAGE_DELAY_MAX_US (1000 * US_PER_MS)
 
 int64_t rows_random_us(struct rows *rows, int64_t below_us)
 {
@@ -23,7 +23,7 @@
 	return *backoff_us / 2 + rows_random_us(rows, *backoff_us);
 }
 
-static struct rows_call *call_begin(struct rows *rows)
+static struct rows_call *rows_call_create(struct rows *rows)
 {
 	struct rows_call *call = g_new0(struct rows_call, 1);
 
@@ -61,7 +61,7 @@
 	      void (*handle_rows)(struct rows *rows, enum rows_status status,
 				  const struct rows_row *found, size_t count))
 {
-	struct rows_call *call = call_begin(rows);
+	struct rows_call *call = rows_call_create(rows);
 
 	call->handle_rows = handle_rows;
 	rows->options.ops->get_range(rows->options.store, first, end, limit,
@@ -71,7 +71,7 @@
 void rows_put(struct rows *rows, const char *value, uint64_t version,
 	      void (*handle_done)(struct rows *rows, enum rows_status status))
 {
-	struct rows_call *call = call_begin(rows);
+	struct rows_call *call = rows_call_create(rows);
 
 	call->handle_done = handle_done;
 	rows->options.ops->put_if(rows->options.store, rows->own_key, value,
@@ -81,7 +81,7 @@
 void rows_delete(struct rows *rows, const char *key, uint64_t version,
 		 void (*handle_done)(struct rows *rows, enum rows_status status))
 {
-	struct rows_call *call = call_begin(rows);
+	struct rows_call *call = rows_call_create(rows);
 
 	call->handle_done = handle_done;
 	rows->options.ops->delete_if(rows->options.store, key, version,
@@ -99,8 +99,8 @@
 {
 	struct rows *rows = timer->data;
 
-	if (!rows->has_begun_pages)
-		rows_page_begin(rows);
+	if (!rows->pages_started)
+		rows_page_start(rows);
 	else
 		rows_page_read(rows);
 }
@@ -113,7 +113,7 @@
 	rows->rand = g_rand_new_with_seed((guint32)options->seed);
 	rows->own_key = g_strconcat(ROWS_PREFIX, options->self->host, NULL);
 	rows->own_incarnation = options->self->incarnation;
-	rows->page_first = g_strdup(rows->own_key);
+	rows->page_start_key = g_strdup(rows->own_key);
 	LIST_INIT(&rows->calls);
 	ev_init(&rows->own_timer, handle_own_timer);
 	ev_init(&rows->page_timer, handle_page_timer);
@@ -122,7 +122,7 @@
 	rows_timer_set(rows, &rows->own_timer,
 		       rows_random_us(rows, ROWS_START_JITTER_US));
 	rows_timer_set(rows, &rows->page_timer,
-		       rows_random_us(rows, FIRST_PAGE_US));
+		       rows_random_us(rows, FIRST_PAGE_DELAY_MAX_US));
 	return rows;
 }
 
@@ -141,8 +141,8 @@
 	}
 	g_rand_free(rows->rand);
 	g_free(rows->own_key);
-	g_free(rows->page_first);
-	g_free(rows->stranger_key);
+	g_free(rows->page_start_key);
+	g_free(rows->unknown_row_key);
 	g_free(rows);
 }
 
--- a/comfreydockd/member/rows_codec.c
+++ b/comfreydockd/member/rows_codec.c
@@ -36,7 +36,7 @@
 	return text;
 }
 
-static bool take_string(struct json_object *object, const char *key, char *to,
+static bool read_string(struct json_object *object, const char *key, char *to,
 			size_t size)
 {
 	struct json_object *value;
@@ -48,8 +48,8 @@
 	       to[0] != '\0';
 }
 
-static bool take_number(struct json_object *object, const char *key,
-			uint64_t max, uint64_t *to)
+static bool read_uint(struct json_object *object, const char *key, uint64_t max,
+		      uint64_t *to)
 {
 	struct json_object *value;
 
@@ -72,13 +72,13 @@
 	memset(member, 0, sizeof(*member));
 	is_valid =
 		json_object_is_type(object, json_type_object) &&
-		take_string(object, "host", member->host, sizeof(member->host)) &&
-		take_string(object, "address", member->address,
+		read_string(object, "host", member->host, sizeof(member->host)) &&
+		read_string(object, "address", member->address,
 			    sizeof(member->address)) &&
 		address_is_ip_number(member->address) &&
-		take_number(object, "incarnation", UINT64_MAX - 1,
-			    &member->incarnation) &&
-		take_number(object, "peer_port", UINT16_MAX, &port) && port > 0;
+		read_uint(object, "incarnation", UINT64_MAX - 1,
+			  &member->incarnation) &&
+		read_uint(object, "peer_port", UINT16_MAX, &port) && port > 0;
 	member->peer_port = (uint16_t)port;
 	json_object_put(object);
 	json_tokener_free(tokener);
--- a/comfreydockd/member/rows_internal.h
+++ b/comfreydockd/member/rows_internal.h
@@ -26,22 +26,22 @@
 	GRand *rand;
 	/* The own row. */
 	ev_timer own_timer;
-	bool own_is_busy;
+	bool own_in_flight;
 	bool own_was_read;
-	bool own_is_due; /* a check came due while one was under way */
+	bool own_check_pending; /* a check came due while one was under way */
 	char *own_key;
 	uint64_t own_incarnation; /* in the row */
-	uint64_t above_version; /* of a row with a higher incarnation */
+	uint64_t higher_row_version; /* of a row with a higher incarnation */
 	int64_t own_backoff_us;
 	/* Pages of others' rows. */
 	ev_timer page_timer;
-	bool has_begun_pages;
-	char *page_first;
+	bool pages_started;
+	char *page_start_key;
 	int64_t page_backoff_us;
 	/* A row whose host nobody here has met. */
-	char *stranger_key;
-	uint64_t stranger_version;
-	int64_t stranger_since_us;
+	char *unknown_row_key;
+	uint64_t unknown_row_version;
+	int64_t unknown_since_us;
 	bool is_leaving;
 	void (*handle_left)(bool is_deleted, void *data);
 	void *left_data;
@@ -72,12 +72,12 @@
 			 const struct quarantine *quarantine, const char *host);
 
 /* Takes what a row has of another start, or of another host. */
-void rows_quarantine_take(struct rows *rows, const struct rows_row *row);
+void rows_quarantine_merge(struct rows *rows, const struct rows_row *row);
 
 /* rows_page.c */
 
 /* The first page, if it is needed. */
-void rows_page_begin(struct rows *rows);
+void rows_page_start(struct rows *rows);
 void rows_page_read(struct rows *rows);
 
 #endif
--- a/comfreydockd/member/rows_own.c
+++ b/comfreydockd/member/rows_own.c
@@ -4,45 +4,45 @@
 #include "common/log.h"
 #include "rows_internal.h"
 
-static void own_again(struct rows *rows, int64_t us)
+static void own_schedule_check(struct rows *rows, int64_t us)
 {
-	rows->own_is_busy = false;
-	if (rows->own_is_due)
+	rows->own_in_flight = false;
+	if (rows->own_check_pending)
 		us = 0;
-	rows->own_is_due = false;
+	rows->own_check_pending = false;
 	rows_timer_set(rows, &rows->own_timer, us);
 }
 
-static void own_left(struct rows *rows, bool is_deleted)
+static void own_finish_leave(struct rows *rows, bool is_deleted)
 {
 	void (*handle_left)(bool, void *) = rows->handle_left;
 
-	rows->own_is_busy = false;
+	rows->own_in_flight = false;
 	rows->handle_left = NULL;
 	ev_timer_stop(rows->options.loop, &rows->own_timer);
 	log_event(EV_ROW_LEFT, LOG_INT("deleted", is_deleted));
 	handle_left(is_deleted, rows->left_data);
 }
 
-static void own_failed(struct rows *rows, enum rows_status status)
+static void own_handle_failure(struct rows *rows, enum rows_status status)
 {
 	counters.rows_failed++;
 	if (rows->is_leaving) {
 		if (++rows->leave_tries == ROWS_LEAVE_TRIES)
-			own_left(rows, false);
+			own_finish_leave(rows, false);
 		else
-			own_again(rows, ROWS_BACKOFF_MIN_US / 2);
+			own_schedule_check(rows, ROWS_BACKOFF_MIN_US / 2);
 		return;
 	}
 	if (rows->own_backoff_us == 0)
 		log_event(EV_ROW_FAILED, LOG_INT("status", status));
-	own_again(rows, rows_backoff(rows, &rows->own_backoff_us));
+	own_schedule_check(rows, rows_backoff(rows, &rows->own_backoff_us));
 }
 
 static void own_handle_put(struct rows *rows, enum rows_status status)
 {
 	if (status != ROWS_OK) {
-		own_failed(rows, status);
+		own_handle_failure(rows, status);
 		return;
 	}
 	counters.rows_written++;
@@ -51,20 +51,22 @@
 	rows->own_backoff_us = 0;
 	/* Two daemons that start at the same moment both write before they
 	 * read: so one of them at least finds the other. */
-	if (!rows->has_begun_pages)
+	if (!rows->pages_started)
 		rows_timer_set(rows, &rows->page_timer, 0);
-	own_again(rows, rows->is_leaving ?
-				0 :
-				ROWS_CHECK_US / 2 +
-					rows_random_us(rows, ROWS_CHECK_US));
+	own_schedule_check(
+		rows,
+		rows->is_leaving ?
+			0 :
+			ROWS_CHECK_INTERVAL_US / 2 +
+				rows_random_us(rows, ROWS_CHECK_INTERVAL_US));
 }
 
 static void own_handle_deleted(struct rows *rows, enum rows_status status)
 {
 	if (status == ROWS_OK)
-		own_left(rows, true);
+		own_finish_leave(rows, true);
 	else
-		own_failed(rows, status);
+		own_handle_failure(rows, status);
 }
 
 /* A row with a higher incarnation is a later start's, which this process,
@@ -76,12 +78,12 @@
 	if (incarnation <= rows->own_incarnation)
 		return false;
 	if (rows->options.self->incarnation > incarnation ||
-	    rows->above_version == row->version) {
+	    rows->higher_row_version == row->version) {
 		rows->own_incarnation =
 			MAX(rows->options.self->incarnation, incarnation + 1);
 		return false;
 	}
-	rows->above_version = row->version;
+	rows->higher_row_version = row->version;
 	log_event(EV_ROW_YIELDED, LOG_INT("incarnation", incarnation));
 	return true;
 }
@@ -90,7 +92,7 @@
 		      const struct member *written)
 {
 	if (!row || written->incarnation != rows->own_incarnation)
-		own_left(rows, true);
+		own_finish_leave(rows, true);
 	else
 		rows_delete(rows, rows->own_key, row->version,
 			    own_handle_deleted);
@@ -106,17 +108,19 @@
 		rows_put(rows, text, row ? row->version : 0, own_handle_put);
 	} else {
 		rows->own_backoff_us = 0;
-		own_again(rows, ROWS_CHECK_US / 2 +
-					rows_random_us(rows, ROWS_CHECK_US));
+		own_schedule_check(
+			rows,
+			ROWS_CHECK_INTERVAL_US / 2 +
+				rows_random_us(rows, ROWS_CHECK_INTERVAL_US));
 	}
 	g_free(text);
 }
 
 /* What this host held before it was started again, as after a power loss. */
-static void own_take_quarantine(struct rows *rows, const struct rows_row *row)
+static void own_merge_quarantine(struct rows *rows, const struct rows_row *row)
 {
 	if (!rows->own_was_read && row)
-		rows_quarantine_take(rows, row);
+		rows_quarantine_merge(rows, row);
 	rows->own_was_read = true;
 }
 
@@ -127,35 +131,35 @@
 	struct member written = {0};
 
 	if (status != ROWS_OK) {
-		own_failed(rows, status);
+		own_handle_failure(rows, status);
 		return;
 	}
 	if (count > 0 && strcmp(found[0].key, rows->own_key) == 0)
 		row = &found[0];
 	if (row)
 		rows_decode(row->value, row->size, &written);
-	own_take_quarantine(rows, row);
+	own_merge_quarantine(rows, row);
 	if (rows->is_leaving)
 		own_leave(rows, row, &written);
 	else if (row && own_yields(rows, row, written.incarnation))
-		own_again(rows, ROWS_CHECK_US);
+		own_schedule_check(rows, ROWS_CHECK_INTERVAL_US);
 	else
 		own_compare(rows, row);
 }
 
-static void own_check_after(struct rows *rows, int64_t us)
+static void own_check_within(struct rows *rows, int64_t us)
 {
 	if (rows->is_leaving)
 		return;
-	if (rows->own_is_busy)
-		rows->own_is_due = true;
+	if (rows->own_in_flight)
+		rows->own_check_pending = true;
 	else
 		rows_timer_set(rows, &rows->own_timer, us);
 }
 
 void rows_note_restored(struct rows *rows)
 {
-	own_check_after(rows, rows_random_us(rows, ROWS_RESTORED_US));
+	own_check_within(rows, rows_random_us(rows, ROWS_RESTORED_CHECK_MAX_US));
 }
 
 void rows_note_quarantine(struct rows *rows,
@@ -168,18 +172,18 @@
 	    !quarantine_record_names(record,
 				     member_host_hash(rows->options.self->host)))
 		return;
-	own_check_after(rows, ROWS_QUARANTINE_US);
+	own_check_within(rows, ROWS_QUARANTINE_DELAY_US);
 }
 
 void rows_own_check(struct rows *rows)
 {
 	char *end;
 
-	if (rows->own_is_busy) {
-		rows->own_is_due = true;
+	if (rows->own_in_flight) {
+		rows->own_check_pending = true;
 		return;
 	}
-	rows->own_is_busy = true;
+	rows->own_in_flight = true;
 	end = g_strconcat(rows->own_key, "!", NULL);
 	rows_get(rows, rows->own_key, end, 1, own_handle_read);
 	g_free(end);
--- a/comfreydockd/member/rows_page.c
+++ b/comfreydockd/member/rows_page.c
@@ -6,9 +6,9 @@
 #include "rows_internal.h"
 
 #define PAGE_END "hosts0" /* the first key after the prefix */
-#define PAGE_PAUSE_US US_PER_S /* between pages while there are no peers */
-#define PEERS_MAX 16 /* joined from a page */
-#define DELETES_MAX 4 /* from a page */
+#define PAGE_INTERVAL_US US_PER_S /* between pages while there are no peers */
+#define PAGE_JOINS_MAX 16 /* joined from a page */
+#define PAGE_DELETES_MAX 4 /* from a page */
 
 static bool has_peers(struct rows *rows)
 {
@@ -28,7 +28,7 @@
 	return g_strconcat(key, "!", NULL);
 }
 
-static char *key_of_random_member(struct rows *rows)
+static char *random_member_key(struct rows *rows)
 {
 	size_t skip = (size_t)g_rand_double_range(
 		rows->rand, 0, (double)member_table_size(rows->options.table));
@@ -61,51 +61,52 @@
 	       clock_mono_us() - known->state_since_us > ROWS_STALE_US;
 }
 
-static void stranger_clear(struct rows *rows)
+static void unknown_row_clear(struct rows *rows)
 {
-	g_free(rows->stranger_key);
-	rows->stranger_key = NULL;
+	g_free(rows->unknown_row_key);
+	rows->unknown_row_key = NULL;
 }
 
-static void stranger_note(struct rows *rows, const struct rows_row *row)
+static void unknown_row_watch(struct rows *rows, const struct rows_row *row)
 {
-	if (rows->stranger_key)
+	if (rows->unknown_row_key)
 		return;
-	rows->stranger_key = g_strdup(row->key);
-	rows->stranger_version = row->version;
-	rows->stranger_since_us = clock_mono_us();
+	rows->unknown_row_key = g_strdup(row->key);
+	rows->unknown_row_version = row->version;
+	rows->unknown_since_us = clock_mono_us();
 }
 
-static void stranger_handle_read(struct rows *rows, enum rows_status status,
-				 const struct rows_row *found, size_t count)
+static void unknown_row_handle_read(struct rows *rows, enum rows_status status,
+				    const struct rows_row *found, size_t count)
 {
 	const char *host;
 
-	if (status != ROWS_OK || !rows->stranger_key)
+	if (status != ROWS_OK || !rows->unknown_row_key)
 		return;
-	host = rows->stranger_key + strlen(ROWS_PREFIX);
-	if (count == 0 || found[0].version != rows->stranger_version ||
-	    strcmp(found[0].key, rows->stranger_key) != 0 ||
+	host = rows->unknown_row_key + strlen(ROWS_PREFIX);
+	if (count == 0 || found[0].version != rows->unknown_row_version ||
+	    strcmp(found[0].key, rows->unknown_row_key) != 0 ||
 	    member_table_find(rows->options.table, host)) {
-		stranger_clear(rows);
-	} else if (clock_mono_us() - rows->stranger_since_us > ROWS_STALE_US &&
+		unknown_row_clear(rows);
+	} else if (clock_mono_us() - rows->unknown_since_us > ROWS_STALE_US &&
 		   has_peers(rows)) {
-		delete_stale(rows, rows->stranger_key, rows->stranger_version);
-		stranger_clear(rows);
+		delete_stale(rows, rows->unknown_row_key,
+			     rows->unknown_row_version);
+		unknown_row_clear(rows);
 	}
 }
 
 /* One row of a host that the table doesn't know is watched at a time. If its
  * host stays unknown for long, although all that read it try to join it, it
  * died while nobody who knew it is left. */
-static void stranger_check(struct rows *rows)
+static void unknown_row_check(struct rows *rows)
 {
 	char *end;
 
-	if (!rows->stranger_key)
+	if (!rows->unknown_row_key)
 		return;
-	end = key_after(rows->stranger_key);
-	rows_get(rows, rows->stranger_key, end, 1, stranger_handle_read);
+	end = key_after(rows->unknown_row_key);
+	rows_get(rows, rows->unknown_row_key, end, 1, unknown_row_handle_read);
 	g_free(end);
 }
 
@@ -113,11 +114,11 @@
 struct page_limits {
 	unsigned int peers;
 	unsigned int deletes;
-	bool is_alone; /* nobody else tells what the quarantine holds */
+	bool has_no_peers; /* nobody else tells what the quarantine holds */
 };
 
-static void page_take_row(struct rows *rows, const struct rows_row *row,
-			  struct page_limits *left)
+static void page_process_row(struct rows *rows, const struct rows_row *row,
+			     struct page_limits *left)
 {
 	struct member *known;
 	struct member written;
@@ -127,12 +128,12 @@
 		counters.rows_malformed++;
 		return;
 	}
-	if (left->is_alone)
-		rows_quarantine_take(rows, row);
+	if (left->has_no_peers)
+		rows_quarantine_merge(rows, row);
 	known = member_table_find(rows->options.table, written.host);
 	if (!known && left->peers > 0) {
 		left->peers--;
-		stranger_note(rows, row);
+		unknown_row_watch(rows, row);
 		rows->options.handle_peer(written.address, written.peer_port,
 					  rows->options.data);
 	} else if (known && left->deletes > 0 && row_is_stale(known, &written)) {
@@ -141,17 +142,19 @@
 	}
 }
 
-static int64_t page_pause_us(struct rows *rows)
+static int64_t page_interval_us(struct rows *rows)
 {
 	if (!has_peers(rows))
-		return PAGE_PAUSE_US + rows_random_us(rows, PAGE_PAUSE_US);
-	return ROWS_CHECK_US / 2 + rows_random_us(rows, ROWS_CHECK_US);
+		return PAGE_INTERVAL_US + rows_random_us(rows, PAGE_INTERVAL_US);
+	return ROWS_CHECK_INTERVAL_US / 2 +
+	       rows_random_us(rows, ROWS_CHECK_INTERVAL_US);
 }
 
 static void page_handle_read(struct rows *rows, enum rows_status status,
 			     const struct rows_row *found, size_t count)
 {
-	struct page_limits left = {.peers = PEERS_MAX, .deletes = DELETES_MAX};
+	struct page_limits left = {.peers = PAGE_JOINS_MAX,
+				   .deletes = PAGE_DELETES_MAX};
 	size_t first = count > 0 ? (size_t)g_rand_int(rows->rand) % count : 0;
 
 	if (rows->is_leaving)
@@ -163,13 +166,14 @@
 		return;
 	}
 	rows->page_backoff_us = 0;
-	left.is_alone = !has_peers(rows);
+	left.has_no_peers = !has_peers(rows);
 	for (size_t i = 0; i < count; i++)
-		page_take_row(rows, &found[(first + i) % count], &left);
-	g_free(rows->page_first);
-	rows->page_first = count == ROWS_PAGE ? key_after(found[count - 1].key) :
-						g_strdup(ROWS_PREFIX);
-	rows_timer_set(rows, &rows->page_timer, page_pause_us(rows));
+		page_process_row(rows, &found[(first + i) % count], &left);
+	g_free(rows->page_start_key);
+	rows->page_start_key = count == ROWS_PAGE ?
+				       key_after(found[count - 1].key) :
+				       g_strdup(ROWS_PREFIX);
+	rows_timer_set(rows, &rows->page_timer, page_interval_us(rows));
 }
 
 /* Once this host has peers, gossip tells the rest: pages only find those that
@@ -177,11 +181,12 @@
 void rows_page_read(struct rows *rows)
 {
 	if (has_peers(rows)) {
-		g_free(rows->page_first);
-		rows->page_first = key_of_random_member(rows);
-		stranger_check(rows);
+		g_free(rows->page_start_key);
+		rows->page_start_key = random_member_key(rows);
+		unknown_row_check(rows);
 	}
-	rows_get(rows, rows->page_first, PAGE_END, ROWS_PAGE, page_handle_read);
+	rows_get(rows, rows->page_start_key, PAGE_END, ROWS_PAGE,
+		 page_handle_read);
 }
 
 /*
@@ -189,11 +194,11 @@
  * failure domain comes back, some 1,700 hosts would all read one in the same
  * half second, most of what the platform gives to everybody.
  */
-void rows_page_begin(struct rows *rows)
+void rows_page_start(struct rows *rows)
 {
-	rows->has_begun_pages = true;
+	rows->pages_started = true;
 	if (has_peers(rows))
-		rows_timer_set(rows, &rows->page_timer, page_pause_us(rows));
+		rows_timer_set(rows, &rows->page_timer, page_interval_us(rows));
 	else
 		rows_page_read(rows);
 }
--- a/comfreydockd/member/rows_quarantine.c
+++ b/comfreydockd/member/rows_quarantine.c
@@ -6,18 +6,18 @@
 #include "rows_internal.h"
 
 /* The records of one host. */
-struct listing {
+struct host_records {
 	uint32_t host;
 	GPtrArray *records; /* of const struct quarantine_record */
 };
 
 static void list_record(const struct quarantine_record *record, void *data)
 {
-	struct listing *listing = data;
+	struct host_records *host_records = data;
 
 	if (quarantine_record_is_held(record) &&
-	    quarantine_record_names(record, listing->host))
-		g_ptr_array_add(listing->records, (gpointer)record);
+	    quarantine_record_names(record, host_records->host))
+		g_ptr_array_add(host_records->records, (gpointer)record);
 }
 
 static gint compare_keys(gconstpointer a, gconstpointer b)
@@ -47,16 +47,17 @@
 
 /* In the order of their keys: a row that only lists them in another order would be
  * written again. */
-static GPtrArray *records_of(const struct quarantine *quarantine, const char *host)
+static GPtrArray *records_for_host(const struct quarantine *quarantine,
+				   const char *host)
 {
-	struct listing listing = {
+	struct host_records host_records = {
 		.host = member_host_hash(host),
 		.records = g_ptr_array_new(),
 	};
 
-	quarantine_list(quarantine, list_record, &listing);
-	g_ptr_array_sort(listing.records, compare_keys);
-	return listing.records;
+	quarantine_list(quarantine, list_record, &host_records);
+	g_ptr_array_sort(host_records.records, compare_keys);
+	return host_records.records;
 }
 
 static json_object *records_to_json(const GPtrArray *records)
@@ -71,7 +72,7 @@
 void rows_quarantine_add(struct json_object *row,
 			 const struct quarantine *quarantine, const char *host)
 {
-	GPtrArray *records = records_of(quarantine, host);
+	GPtrArray *records = records_for_host(quarantine, host);
 
 	if (records->len > 0)
 		json_object_object_add(row, "quarantine",
@@ -105,8 +106,8 @@
 	       quarantine_record_is_valid(record);
 }
 
-static unsigned int take_records(json_object *list,
-				 struct quarantine *quarantine, int64_t now_us)
+static unsigned int merge_records(json_object *list,
+				  struct quarantine *quarantine, int64_t now_us)
 {
 	size_t length = MIN(json_object_array_length(list), ROWS_QUARANTINED_MAX);
 	unsigned int count = 0;
@@ -140,13 +141,13 @@
 	if (json_object_is_type(row, json_type_object) &&
 	    json_object_object_get_ex(row, "quarantine", &list) &&
 	    json_object_is_type(list, json_type_array))
-		count = take_records(list, quarantine, now_us);
+		count = merge_records(list, quarantine, now_us);
 	json_object_put(row);
 	json_tokener_free(tokener);
 	return count;
 }
 
-void rows_quarantine_take(struct rows *rows, const struct rows_row *row)
+void rows_quarantine_merge(struct rows *rows, const struct rows_row *row)
 {
 	struct quarantine *quarantine = rows->options.quarantine;
 	unsigned int before;
--- a/comfreydockd/member/swim.c
+++ b/comfreydockd/member/swim.c
@@ -2,8 +2,10 @@
 
 #include "swim_internal.h"
 
-#define FREEZE_HEALTH 4 /* doubt after a stop: later probes, longer waits */
-#define WHOLE_AGAIN_US (60 * US_PER_S) /* between passes after a merge */
+#define FREEZE_LOCAL_HEALTH \
+	4 /* doubt after a stop: later probes, longer waits */
+#define MERGE_SYNC_INTERVAL_US \
+	(60 * US_PER_S) /* between passes after a merge */
 #define US_PER_S ((int64_t)1000000)
 
 /* splitmix64; enough to choose whom to talk to. */
@@ -17,7 +19,7 @@
 	return limit ? (uint32_t)((z >> 32) * limit >> 32) : 0;
 }
 
-struct member *swim_pick(struct swim *swim, const char *except)
+struct member *swim_pick_peer(struct swim *swim, const char *except)
 {
 	const int tries = 16;
 
@@ -90,7 +92,7 @@
 	else if (!node->is_suspect ||
 		 node->suspected_incarnation != member->incarnation)
 		swim_suspect_start(swim, node);
-	if (!swim->is_quiet)
+	if (!swim->suppress_rumours)
 		swim_rumour_queue(swim, node);
 }
 
@@ -132,7 +134,8 @@
 	swim->page_budget_bytes = SWIM_PAGE_BYTES_PER_S;
 	swim->quarantine_budget_bytes = SWIM_QUARANTINE_BYTES_PER_S;
 	swim->next_probe_us = now_us + swim_random_below(swim, SWIM_PERIOD_US);
-	swim->next_push_us = now_us + swim_random_below(swim, SWIM_PUSH_US);
+	swim->next_push_us =
+		now_us + swim_random_below(swim, SWIM_PUSH_INTERVAL_US);
 	swim->next_sync_us = now_us + swim_random_below(swim, SWIM_PERIOD_US);
 	member_table_observe(swim->table, &observer);
 	member_table_update(swim->table, options->self, now_us);
@@ -166,7 +169,8 @@
 
 /* Takes this daemon's record to a higher incarnation than any that others may
  * have heard of. */
-static void self_raise(struct swim *swim, struct member *record, uint64_t above)
+static void self_raise_incarnation(struct swim *swim, struct member *record,
+				   uint64_t above)
 {
 	record->incarnation = MAX(above, swim->self->incarnation) + 1;
 	swim->suspected_by = 0;
@@ -175,7 +179,7 @@
 
 /* Others hold this daemon for suspect or dead, or know a record from an
  * earlier start whose incarnation was higher. */
-static void hear_of_self(struct swim *swim, const struct member *heard)
+static void handle_own_record(struct swim *swim, const struct member *heard)
 {
 	struct member record = *swim->self;
 
@@ -183,9 +187,10 @@
 	    (heard->incarnation == record.incarnation &&
 	     heard->state == MEMBER_ALIVE))
 		return;
-	if (heard->state != MEMBER_ALIVE && swim->health < SWIM_HEALTH_MAX)
-		swim->health++;
-	self_raise(swim, &record, heard->incarnation);
+	if (heard->state != MEMBER_ALIVE &&
+	    swim->local_health < SWIM_LOCAL_HEALTH_MAX)
+		swim->local_health++;
+	self_raise_incarnation(swim, &record, heard->incarnation);
 	if (swim->ops->handle_refuted)
 		swim->ops->handle_refuted(heard->state, swim->self->incarnation,
 					  swim->ops->data);
@@ -210,8 +215,8 @@
 	return true;
 }
 
-static void hear_of_other(struct swim *swim, const struct member *heard,
-			  uint32_t suspected_by)
+static void handle_peer_record(struct swim *swim, const struct member *heard,
+			       uint32_t suspected_by)
 {
 	struct member *known = member_table_find(swim->table, heard->host);
 	struct swim_node *node = known ? known->swim_data : NULL;
@@ -228,14 +233,15 @@
 
 /* Whether the sender holds a member for suspect or dead that has refuted it
  * since. */
-static bool heard_is_stale(const struct member *known, const struct member *heard)
+static bool record_is_outdated(const struct member *known,
+			       const struct member *heard)
 {
 	return known && heard->incarnation < known->incarnation &&
 	       (heard->state == MEMBER_SUSPECT || heard->state == MEMBER_DEAD);
 }
 
-static bool take_records(struct swim *swim, const Cfd__Gossip *message,
-			 const struct swim_endpoint *from)
+static bool apply_records(struct swim *swim, const Cfd__Gossip *message,
+			  const struct swim_endpoint *from)
 {
 	struct swim_packet correction;
 	struct member record;
@@ -246,7 +252,8 @@
 					&record))
 			return false;
 	}
-	swim->is_quiet = message->kind == CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY;
+	swim->suppress_rumours =
+		message->kind == CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY;
 	swim_packet_init(swim, &correction, CFD__GOSSIP_KIND__GOSSIP_PUSH, 0);
 	for (size_t i = 0; i < message->n_records; i++) {
 		const Cfd__MemberRecord *packed = message->records[i];
@@ -257,15 +264,15 @@
 			groups[j] = packed->groups[j];
 		record.groups = groups;
 		if (strcmp(record.host, swim->self->host) == 0)
-			hear_of_self(swim, &record);
+			handle_own_record(swim, &record);
 		else
-			hear_of_other(swim, &record, packed->suspected_by);
+			handle_peer_record(swim, &record, packed->suspected_by);
 		g_free(groups);
 		known = member_table_find(swim->table, record.host);
-		if (heard_is_stale(known, &record))
+		if (record_is_outdated(known, &record))
 			swim_packet_add(swim, &correction, known);
 	}
-	swim->is_quiet = false;
+	swim->suppress_rumours = false;
 	if (correction.message.n_records > 0 && swim->budget_bytes > 0)
 		swim_packet_send(swim, &correction, from->address, from->port);
 	return true;
@@ -273,25 +280,27 @@
 
 /* A stranger pings: others know this daemon from before its restart, while it
  * knows none of them and its seeds may be down. */
-static void meet_stranger(struct swim *swim, const struct swim_endpoint *from)
+static void ping_unknown_sender(struct swim *swim,
+				const struct swim_endpoint *from)
 {
-	if (swim->now_us < swim->next_meet_us)
+	if (swim->now_us < swim->next_unknown_ping_us)
 		return;
-	swim->next_meet_us = swim->now_us + SWIM_PUSH_US;
+	swim->next_unknown_ping_us = swim->now_us + SWIM_PUSH_INTERVAL_US;
 	swim_seed_ping(swim, from);
 }
 
 /* A first peer, or one that was held for dead and answers, may know much that
  * this daemon missed. */
-static void meet(struct swim *swim, const struct swim_endpoint *from,
-		 bool was_dead)
+static void sync_with_new_peer(struct swim *swim,
+			       const struct swim_endpoint *from, bool was_dead)
 {
-	bool is_due = !swim_sync_is_complete(swim) ||
-		      (was_dead &&
-		       swim->now_us - swim->sync.whole_at_us > WHOLE_AGAIN_US);
+	bool sync_is_due =
+		!swim_sync_is_complete(swim) ||
+		(was_dead && swim->now_us - swim->sync.full_sync_started_us >
+				     MERGE_SYNC_INTERVAL_US);
 
-	if (is_due && swim_has_peers(swim))
-		swim_sync_start_whole(swim, from);
+	if (sync_is_due && swim_has_peers(swim))
+		swim_sync_start_full(swim, from);
 }
 
 static void dispatch(struct swim *swim, const Cfd__Gossip *message,
@@ -303,7 +312,7 @@
 		break;
 	case CFD__GOSSIP_KIND__GOSSIP_ACK:
 		swim_probe_handle_ack(swim, message);
-		meet(swim, from, was_dead);
+		sync_with_new_peer(swim, from, was_dead);
 		break;
 	case CFD__GOSSIP_KIND__GOSSIP_NACK:
 		swim_probe_handle_nack(swim, message);
@@ -331,16 +340,16 @@
 	if (strcmp(message->from, swim->self->host) == 0)
 		return true; /* a seed that is this daemon's own address */
 	if (!swim_quarantine_is_valid(swim, message) ||
-	    !take_records(swim, message, from))
+	    !apply_records(swim, message, from))
 		return false;
-	swim_quarantine_take(swim, message);
+	swim_quarantine_merge(swim, message);
 	if (swim->ops->handle_config_head)
 		swim->ops->handle_config_head(message->from, message->config_head,
 					      swim_told_age_us(swim, message),
 					      swim->ops->data);
 	dispatch(swim, message, from, was_dead);
 	if (!member_table_find(swim->table, message->from))
-		meet_stranger(swim, from);
+		ping_unknown_sender(swim, from);
 	return true;
 }
 
@@ -367,11 +376,11 @@
  * to take that for the others' silence would declare all of them dead. What
  * was under way counts for nothing, and suspicions begin anew.
  */
-static void swim_thaw(struct swim *swim, int64_t gap_us)
+static void swim_resume_after_freeze(struct swim *swim, int64_t gap_us)
 {
 	swim->probe.is_active = false;
 	memset(swim->relays, 0, sizeof(swim->relays));
-	swim->health = MAX(swim->health, FREEZE_HEALTH);
+	swim->local_health = MAX(swim->local_health, FREEZE_LOCAL_HEALTH);
 	swim->next_probe_us =
 		swim->now_us + swim_random_below(swim, SWIM_PERIOD_US);
 	swim_suspect_restart_all(swim);
@@ -391,7 +400,7 @@
 
 	swim->now_us = MAX(swim->now_us, now_us);
 	swim->ticked_at_us = now_us;
-	swim->late_tick_us = gap_us > 2 * SWIM_TICK_US ? gap_us : 0;
+	swim->late_tick_gap_us = gap_us > 2 * SWIM_TICK_US ? gap_us : 0;
 	swim->budget_bytes =
 		budget_refill(swim->budget_bytes, SWIM_BYTES_PER_S, gap_us);
 	swim->page_budget_bytes = budget_refill(swim->page_budget_bytes,
@@ -400,7 +409,7 @@
 		budget_refill(swim->quarantine_budget_bytes,
 			      SWIM_QUARANTINE_BYTES_PER_S, gap_us);
 	if (gap_us > SWIM_FREEZE_US)
-		swim_thaw(swim, gap_us);
+		swim_resume_after_freeze(swim, gap_us);
 	if (swim->quarantine)
 		quarantine_tick(swim->quarantine, swim->now_us);
 	swim_rumour_tick(swim);
@@ -447,7 +456,7 @@
 	record.up_since_us = swim->now_us;
 	if (!swim_record_fits(swim, &record))
 		return false;
-	self_raise(swim, &record, 0);
+	self_raise_incarnation(swim, &record, 0);
 	return true;
 }
 
@@ -458,8 +467,8 @@
 	swim->now_us = MAX(swim->now_us, now_us);
 	swim->has_left = true;
 	record.state = MEMBER_LEFT;
-	self_raise(swim, &record, 0);
-	swim_rumour_farewell(swim);
+	self_raise_incarnation(swim, &record, 0);
+	swim_rumour_announce_leave(swim);
 }
 
 void swim_set_config_head(struct swim *swim, uint64_t head)
--- a/comfreydockd/member/swim_internal.h
+++ b/comfreydockd/member/swim_internal.h
@@ -26,7 +26,7 @@
 	uint32_t confirmers[SWIM_CONFIRMERS + 1];
 	uint8_t confirmer_count;
 	uint8_t transmits;
-	uint8_t last_pings;
+	uint8_t final_pings;
 	bool is_rumour;
 	bool is_urgent;
 	bool is_suspect;
@@ -55,21 +55,21 @@
 /* A ping sent for another. */
 struct swim_relay {
 	uint64_t seq; /* 0: free */
-	uint64_t for_seq;
-	struct swim_endpoint for_whom;
+	uint64_t requester_seq;
+	struct swim_endpoint requester;
 	int64_t nack_at_us;
 };
 
 struct swim_sync {
-	bool is_whole; /* a full pass, as fast as pages may come */
+	bool is_full; /* a full pass, as fast as pages may come */
 	unsigned int idle_passes; /* full ones in a row that brought little */
 	guint size_before; /* others known as the last full pass began */
 	struct swim_endpoint peer;
 	unsigned int next_bucket;
-	int64_t asked_at_us;
-	int64_t heard_at_us;
-	int64_t whole_at_us; /* when the last full pass began */
-	unsigned int asked_bucket;
+	int64_t requested_at_us;
+	int64_t last_reply_us;
+	int64_t full_sync_started_us; /* when the last full pass began */
+	unsigned int requested_bucket;
 	bool is_waiting; /* the last of the replies has not come */
 };
 
@@ -81,11 +81,11 @@
 	uint64_t random;
 	uint64_t seq;
 	uint64_t config_head;
-	int64_t late_tick_us; /* what passed before the last tick, if over two */
+	int64_t late_tick_gap_us; /* what passed before the last tick, if over two */
 	unsigned int head_transmits;
 	int64_t now_us;
 	int64_t ticked_at_us;
-	unsigned int health; /* 0: this daemon trusts itself */
+	unsigned int local_health; /* 0: this daemon trusts itself */
 	int64_t budget_bytes;
 	int64_t page_budget_bytes;
 	int64_t quarantine_budget_bytes;
@@ -109,9 +109,9 @@
 	int64_t next_sync_us;
 	int64_t next_reprobe_us;
 	int64_t next_seed_us;
-	int64_t next_meet_us;
+	int64_t next_unknown_ping_us;
 	/* While a record is taken in. */
-	bool is_quiet; /* from a page: not to be spread again */
+	bool suppress_rumours; /* from a page: not to be spread again */
 	uint32_t suspected_by;
 	bool has_left;
 };
@@ -130,7 +130,7 @@
 /* swim.c */
 uint32_t swim_random_below(struct swim *swim, uint32_t limit);
 /* A random member that may be alive, not the one named (or NULL). */
-struct member *swim_pick(struct swim *swim, const char *except);
+struct member *swim_pick_peer(struct swim *swim, const char *except);
 void swim_set_state(struct swim *swim, struct member *member,
 		    enum member_state state, uint32_t by);
 
@@ -155,14 +155,14 @@
 /* RETURN VALUE: false if a field is out of its bounds. */
 bool swim_quarantine_is_valid(const struct swim *swim,
 			      const Cfd__Gossip *message);
-void swim_quarantine_take(struct swim *swim, const Cfd__Gossip *message);
+void swim_quarantine_merge(struct swim *swim, const Cfd__Gossip *message);
 
 /* swim_rumour.c */
 void swim_rumour_queue(struct swim *swim, struct swim_node *node);
 void swim_rumour_drop(struct swim *swim, struct swim_node *node);
 void swim_rumour_fill(struct swim *swim, struct swim_packet *packet);
 void swim_rumour_tick(struct swim *swim);
-void swim_rumour_farewell(struct swim *swim);
+void swim_rumour_announce_leave(struct swim *swim);
 /* How often each daemon sends a change. */
 unsigned int swim_rumour_limit(const struct swim *swim);
 
@@ -188,7 +188,7 @@
 void swim_sync_tick(struct swim *swim);
 /* Whether the last full passes found that the table has what there is. */
 bool swim_sync_is_complete(const struct swim *swim);
-void swim_sync_start_whole(struct swim *swim, const struct swim_endpoint *peer);
+void swim_sync_start_full(struct swim *swim, const struct swim_endpoint *peer);
 void swim_sync_handle_request(struct swim *swim, const Cfd__Gossip *message,
 			      const struct swim_endpoint *from);
 void swim_sync_handle_reply(struct swim *swim, const Cfd__Gossip *message,
--- a/comfreydockd/member/swim_message.c
+++ b/comfreydockd/member/swim_message.c
@@ -26,7 +26,7 @@
 
 	if (since_tick_us > SWIM_TICK_US)
 		return since_tick_us;
-	return since_tick_us + swim->late_tick_us;
+	return since_tick_us + swim->late_tick_gap_us;
 }
 
 /*
@@ -140,7 +140,7 @@
 	cfd__gossip__pack(&packet->message, body);
 	if (packet->message.kind == CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY ||
 	    (packet->message.kind == CFD__GOSSIP_KIND__GOSSIP_SYNC &&
-	     swim->sync.is_whole))
+	     swim->sync.is_full))
 		swim->page_budget_bytes -= cost;
 	else
 		swim->budget_bytes -= cost;
--- a/comfreydockd/member/swim_probe.c
+++ b/comfreydockd/member/swim_probe.c
@@ -2,11 +2,11 @@
 
 #include "swim_internal.h"
 
-static void health_add(struct swim *swim, int change)
+static void local_health_adjust(struct swim *swim, int change)
 {
-	int health = (int)swim->health + change;
+	int local_health = (int)swim->local_health + change;
 
-	swim->health = CLAMP(health, 0, SWIM_HEALTH_MAX);
+	swim->local_health = CLAMP(local_health, 0, SWIM_LOCAL_HEALTH_MAX);
 }
 
 void swim_probe_ping(struct swim *swim, struct member *target, uint64_t seq)
@@ -53,8 +53,8 @@
 	struct swim_probe *probe = &swim->probe;
 	struct member *target = probe_next_target(swim);
 
-	swim->next_probe_us =
-		swim->now_us + SWIM_PERIOD_US * (int64_t)(swim->health + 1);
+	swim->next_probe_us = swim->now_us +
+			      SWIM_PERIOD_US * (int64_t)(swim->local_health + 1);
 	if (!target)
 		return;
 	*probe = (struct swim_probe){.is_active = true,
@@ -64,7 +64,7 @@
 	swim_probe_ping(swim, target, probe->seq);
 }
 
-static void probe_ask_others(struct swim *swim)
+static void probe_send_ping_reqs(struct swim *swim)
 {
 	struct member *target = member_table_find(swim->table, swim->probe.host);
 	struct swim_packet packet;
@@ -72,10 +72,10 @@
 	swim->probe.is_indirect = true;
 	if (!target)
 		return;
-	for (int i = 0; i < SWIM_MEDIATORS; i++) {
-		struct member *mediator = swim_pick(swim, target->host);
+	for (int i = 0; i < SWIM_PING_REQ_FANOUT; i++) {
+		struct member *relay_member = swim_pick_peer(swim, target->host);
 
-		if (!mediator)
+		if (!relay_member)
 			return;
 		swim_packet_init(swim, &packet, CFD__GOSSIP_KIND__GOSSIP_PING_REQ,
 				 swim->probe.seq);
@@ -83,8 +83,8 @@
 		packet.message.target_address = target->address;
 		packet.message.target_port = target->peer_port;
 		swim_rumour_fill(swim, &packet);
-		swim_packet_send(swim, &packet, mediator->address,
-				 mediator->peer_port);
+		swim_packet_send(swim, &packet, relay_member->address,
+				 relay_member->peer_port);
 		swim->probe.nacks_expected++;
 	}
 }
@@ -100,9 +100,10 @@
 	/* Mediators that don't even say "no answer" speak against this
 	 * daemon's own line rather than against the target. */
 	if (probe->nacks_expected == 0)
-		health_add(swim, 1);
+		local_health_adjust(swim, 1);
 	else if (probe->nacks < probe->nacks_expected)
-		health_add(swim, (int)(probe->nacks_expected - probe->nacks));
+		local_health_adjust(swim,
+				    (int)(probe->nacks_expected - probe->nacks));
 	if (!node)
 		return;
 	if (target->state == MEMBER_ALIVE)
@@ -121,9 +122,9 @@
 		if (relay->seq == 0 || swim->now_us < relay->nack_at_us)
 			continue;
 		swim_packet_init(swim, &packet, CFD__GOSSIP_KIND__GOSSIP_NACK,
-				 relay->for_seq);
-		swim_packet_send(swim, &packet, relay->for_whom.address,
-				 relay->for_whom.port);
+				 relay->requester_seq);
+		swim_packet_send(swim, &packet, relay->requester.address,
+				 relay->requester.port);
 		relay->seq = 0;
 	}
 }
@@ -131,12 +132,13 @@
 void swim_probe_tick(struct swim *swim)
 {
 	struct swim_probe *probe = &swim->probe;
-	int64_t timeout_us = SWIM_PING_TIMEOUT_US * (int64_t)(swim->health + 1);
+	int64_t timeout_us =
+		SWIM_PING_TIMEOUT_US * (int64_t)(swim->local_health + 1);
 
 	relays_tick(swim);
 	if (probe->is_active && !probe->is_acked && !probe->is_indirect &&
 	    swim->now_us >= probe->sent_at_us + timeout_us)
-		probe_ask_others(swim);
+		probe_send_ping_reqs(swim);
 	if (swim->now_us < swim->next_probe_us)
 		return;
 	if (probe->is_active && !probe->is_acked)
@@ -174,8 +176,8 @@
 	if (!swim_endpoint_is_valid(message->target_address, message->target_port))
 		return;
 	relay->seq = ++swim->seq;
-	relay->for_seq = message->seq;
-	relay->for_whom = *from;
+	relay->requester_seq = message->seq;
+	relay->requester = *from;
 	relay->nack_at_us = swim->now_us + SWIM_PING_TIMEOUT_US;
 	g_strlcpy(target.host, message->target, sizeof(target.host));
 	g_strlcpy(target.address, message->target_address,
@@ -190,12 +192,12 @@
 	struct swim_packet packet;
 
 	swim_packet_init(swim, &packet, CFD__GOSSIP_KIND__GOSSIP_ACK,
-			 relay->for_seq);
+			 relay->requester_seq);
 	/* The asker goes by the number; the target is named for its sake. */
 	packet.message.target = message->from;
 	swim_rumour_fill(swim, &packet);
-	swim_packet_send(swim, &packet, relay->for_whom.address,
-			 relay->for_whom.port);
+	swim_packet_send(swim, &packet, relay->requester.address,
+			 relay->requester.port);
 	relay->seq = 0;
 }
 
@@ -212,7 +214,7 @@
 	    probe->seq != message->seq || strcmp(who, probe->host) != 0)
 		return;
 	probe->is_acked = true;
-	health_add(swim, -1);
+	local_health_adjust(swim, -1);
 }
 
 void swim_probe_handle_nack(struct swim *swim, const Cfd__Gossip *message)
--- a/comfreydockd/member/swim_quarantine.c
+++ b/comfreydockd/member/swim_quarantine.c
@@ -8,8 +8,9 @@
 			       (int64_t)UINT32_MAX);
 }
 
-static void encode(const struct swim *swim, struct quarantine_record *from,
-		   Cfd__QuarantineRecord *to)
+static void quarantine_record_encode(const struct swim *swim,
+				     struct quarantine_record *from,
+				     Cfd__QuarantineRecord *to)
 {
 	cfd__quarantine_record__init(to);
 	to->key = from->key;
@@ -34,8 +35,8 @@
 	count = quarantine_tell(swim->quarantine, swim_rumour_limit(swim),
 				packet->quarantined, SWIM_QUARANTINED_MAX);
 	for (size_t i = 0; i < count; i++) {
-		encode(swim, &packet->quarantined[i],
-		       &packet->quarantine_records[i]);
+		quarantine_record_encode(swim, &packet->quarantined[i],
+					 &packet->quarantine_records[i]);
 		packet->quarantine_pointers[i] = &packet->quarantine_records[i];
 	}
 	message->quarantine = packet->quarantine_pointers;
@@ -48,8 +49,9 @@
 	packet->size = 0;
 }
 
-static bool decode(const struct swim *swim, const Cfd__QuarantineRecord *from,
-		   struct quarantine_record *to)
+static bool quarantine_record_decode(const struct swim *swim,
+				     const Cfd__QuarantineRecord *from,
+				     struct quarantine_record *to)
 {
 	if (from->n_crashes > QUARANTINE_CRASHES)
 		return false;
@@ -72,20 +74,21 @@
 	struct quarantine_record record;
 
 	for (size_t i = 0; i < message->n_quarantine; i++) {
-		if (!decode(swim, message->quarantine[i], &record))
+		if (!quarantine_record_decode(swim, message->quarantine[i],
+					      &record))
 			return false;
 	}
 	return true;
 }
 
-void swim_quarantine_take(struct swim *swim, const Cfd__Gossip *message)
+void swim_quarantine_merge(struct swim *swim, const Cfd__Gossip *message)
 {
 	struct quarantine_record record;
 
 	if (!swim->quarantine)
 		return;
 	for (size_t i = 0; i < message->n_quarantine; i++) {
-		decode(swim, message->quarantine[i], &record);
+		quarantine_record_decode(swim, message->quarantine[i], &record);
 		quarantine_merge(swim->quarantine, &record, swim->now_us);
 	}
 }
--- a/comfreydockd/member/swim_rumour.c
+++ b/comfreydockd/member/swim_rumour.c
@@ -2,7 +2,7 @@
 
 #include "swim_internal.h"
 
-#define FAREWELL_FANOUT 8
+#define LEAVE_FANOUT 8
 
 unsigned int swim_rumour_limit(const struct swim *swim)
 {
@@ -12,8 +12,8 @@
 	       (unsigned int)ceil(SWIM_RETRANSMIT_SCALE * scale);
 }
 
-static struct swim_node_list *list_of(struct swim *swim,
-				      const struct swim_node *node)
+static struct swim_node_list *rumour_list_of(struct swim *swim,
+					     const struct swim_node *node)
 {
 	return node->is_urgent ? &swim->urgent : &swim->rumours;
 }
@@ -22,7 +22,7 @@
 {
 	if (!node->is_rumour)
 		return;
-	TAILQ_REMOVE(list_of(swim, node), node, rumour_link);
+	TAILQ_REMOVE(rumour_list_of(swim, node), node, rumour_link);
 	node->is_rumour = false;
 }
 
@@ -40,7 +40,7 @@
 	node->is_urgent = rumour_is_urgent(swim, node->member);
 	node->is_rumour = true;
 	node->transmits = 0;
-	TAILQ_INSERT_HEAD(list_of(swim, node), node, rumour_link);
+	TAILQ_INSERT_HEAD(rumour_list_of(swim, node), node, rumour_link);
 }
 
 /* Takes news from the list's head until the packet is full. What was sent
@@ -92,9 +92,9 @@
 
 	if (swim->now_us < swim->next_push_us && !is_urgent)
 		return;
-	swim->next_push_us = swim->now_us + SWIM_PUSH_US;
+	swim->next_push_us = swim->now_us + SWIM_PUSH_INTERVAL_US;
 	for (int i = 0; has_news && i < SWIM_PUSH_FANOUT; i++) {
-		struct member *target = swim_pick(swim, NULL);
+		struct member *target = swim_pick_peer(swim, NULL);
 
 		if (!target || (swim->budget_bytes <= 0 && !is_urgent))
 			return;
@@ -104,10 +104,10 @@
 	}
 }
 
-void swim_rumour_farewell(struct swim *swim)
+void swim_rumour_announce_leave(struct swim *swim)
 {
-	for (int i = 0; i < FAREWELL_FANOUT; i++) {
-		struct member *target = swim_pick(swim, NULL);
+	for (int i = 0; i < LEAVE_FANOUT; i++) {
+		struct member *target = swim_pick_peer(swim, NULL);
 
 		if (target)
 			push_to(swim, target);
--- a/comfreydockd/member/swim_suspect.c
+++ b/comfreydockd/member/swim_suspect.c
@@ -5,9 +5,9 @@
 /* Before the end the suspect is asked itself, by all daemons in a small
  * cluster and by some in a large one: one that missed the refutation would
  * else declare a healthy host dead. */
-#define LAST_PINGS 3
-#define LAST_PING_US (500 * 1000) /* between them */
-#define LAST_PINGERS 16
+#define FINAL_PINGS 3
+#define FINAL_PING_INTERVAL_US (500 * 1000) /* between them */
+#define FINAL_PINGERS 16
 
 static int64_t suspect_min_us(const struct swim *swim)
 {
@@ -38,7 +38,7 @@
 	node->suspected_incarnation = node->member->incarnation;
 	node->confirmers[0] = swim->suspected_by;
 	node->confirmer_count = 1;
-	node->last_pings = 0;
+	node->final_pings = 0;
 	node->dead_at_us = swim->now_us + suspect_timeout_us(swim, node);
 	TAILQ_INSERT_TAIL(&swim->suspects, node, suspect_link);
 }
@@ -62,19 +62,20 @@
 	node->confirmers[node->confirmer_count++] = by;
 	node->dead_at_us =
 		MAX(node->suspected_at_us + suspect_timeout_us(swim, node),
-		    swim->now_us + (int64_t)LAST_PINGS * LAST_PING_US);
+		    swim->now_us + (int64_t)FINAL_PINGS * FINAL_PING_INTERVAL_US);
 	swim_rumour_queue(swim, node);
 }
 
-static void suspect_ask(struct swim *swim, struct swim_node *node)
+static void suspect_final_ping(struct swim *swim, struct swim_node *node)
 {
-	int64_t lead_us = (int64_t)(LAST_PINGS - node->last_pings) * LAST_PING_US;
+	int64_t lead_us = (int64_t)(FINAL_PINGS - node->final_pings) *
+			  FINAL_PING_INTERVAL_US;
 
-	if (node->last_pings == LAST_PINGS ||
+	if (node->final_pings == FINAL_PINGS ||
 	    swim->now_us < node->dead_at_us - lead_us)
 		return;
-	node->last_pings++;
-	if (swim_random_below(swim, swim->order->len) < LAST_PINGERS)
+	node->final_pings++;
+	if (swim_random_below(swim, swim->order->len) < FINAL_PINGERS)
 		swim_probe_ping(swim, node->member, ++swim->seq);
 }
 
@@ -85,7 +86,7 @@
 	while (node) {
 		struct swim_node *next = TAILQ_NEXT(node, suspect_link);
 
-		suspect_ask(swim, node);
+		suspect_final_ping(swim, node);
 		if (swim->now_us >= node->dead_at_us)
 			swim_set_state(swim, node->member, MEMBER_DEAD, 0);
 		node = next;
@@ -99,7 +100,7 @@
 	TAILQ_FOREACH (node, &swim->suspects, suspect_link) {
 		node->suspected_at_us = swim->now_us;
 		node->confirmer_count = 1;
-		node->last_pings = 0;
+		node->final_pings = 0;
 		node->dead_at_us = swim->now_us + suspect_timeout_us(swim, node);
 	}
 }
--- a/comfreydockd/member/swim_sync.c
+++ b/comfreydockd/member/swim_sync.c
@@ -2,26 +2,27 @@
 
 #include "swim_internal.h"
 
-#define WHOLE_PACKETS 8 /* replies to one request of a full pass */
-#define WHOLE_RETRY_US (300 * 1000)
-#define WHOLE_GIVE_UP_US (3 * 1000 * 1000)
-#define SYNC_US (1000 * 1000) /* between requests where all is well */
-#define WHOLE_NEXT_US (100 * 1000) /* between full passes of a growing table */
+#define FULL_SYNC_REPLIES_MAX 8 /* replies to one request of a full pass */
+#define FULL_SYNC_RETRY_US (300 * 1000)
+#define FULL_SYNC_TIMEOUT_US (3 * 1000 * 1000)
+#define SYNC_INTERVAL_US (1000 * 1000) /* between requests where all is well */
+#define FULL_SYNC_INTERVAL_US \
+	(100 * 1000) /* between full passes of a growing table */
 /* So many in a row that brought less than this share of the table have found that
  * there is no more; a single peer may know as little as this daemon. */
-#define WHOLE_IDLE_PASSES 3
-#define WHOLE_GROWTH 16
-#define SWEEP_STEP 64 /* members looked at in a tick */
+#define FULL_SYNC_IDLE_PASSES 3
+#define FULL_SYNC_GROWTH_DIVISOR 16
+#define SWEEP_MEMBERS_PER_TICK 64 /* members looked at in a tick */
 /* How many daemons at a time ping one lost host, whatever their number: all
  * of 22,000 would drown it as it restarts. */
 #define REPROBERS 8
-#define SEED_ALONE_US (1000 * 1000)
-#define SEED_US (60 * 1000 * 1000)
+#define SEED_INTERVAL_ALONE_US (1000 * 1000)
+#define SEED_INTERVAL_US (60 * 1000 * 1000)
 
-#define SPAN_MEMBERS 5 /* under one digest, so that some fit a page */
+#define MEMBERS_PER_DIGEST 5 /* under one digest, so that some fit a page */
 
-static uint64_t digest_of_span(const struct swim *swim, unsigned int bucket,
-			       unsigned int span)
+static uint64_t span_digest(const struct swim *swim, unsigned int bucket,
+			    unsigned int span)
 {
 	unsigned int end = MIN(bucket + span, MEMBER_BUCKETS);
 	uint64_t digest = 0;
@@ -31,15 +32,16 @@
 	return digest;
 }
 
-static unsigned int span_for(const struct swim *swim)
+static unsigned int span_for_table_size(const struct swim *swim)
 {
 	unsigned int size = swim->order->len + 1;
 
-	return CLAMP(SPAN_MEMBERS * MEMBER_BUCKETS / size, 1, MEMBER_BUCKETS);
+	return CLAMP(MEMBERS_PER_DIGEST * MEMBER_BUCKETS / size, 1,
+		     MEMBER_BUCKETS);
 }
 
 /* RETURN VALUE: the first bucket not asked for. */
-static unsigned int sync_ask(struct swim *swim, unsigned int max_packets)
+static unsigned int sync_send_request(struct swim *swim, unsigned int max_packets)
 {
 	struct swim_sync *sync = &swim->sync;
 	unsigned int bucket = sync->next_bucket;
@@ -50,15 +52,15 @@
 	packet.message.bucket = sync->next_bucket;
 	packet.message.max_packets = max_packets;
 	packet.message.digests = digests;
-	packet.message.span = span_for(swim);
+	packet.message.span = span_for_table_size(swim);
 	while (packet.message.n_digests < SWIM_DIGESTS &&
 	       bucket < MEMBER_BUCKETS) {
 		digests[packet.message.n_digests++] =
-			digest_of_span(swim, bucket, packet.message.span);
+			span_digest(swim, bucket, packet.message.span);
 		bucket += packet.message.span;
 	}
-	sync->asked_bucket = sync->next_bucket;
-	sync->asked_at_us = swim->now_us;
+	sync->requested_bucket = sync->next_bucket;
+	sync->requested_at_us = swim->now_us;
 	sync->is_waiting = true;
 	swim_packet_send(swim, &packet, sync->peer.address, sync->peer.port);
 	return bucket;
@@ -66,37 +68,37 @@
 
 bool swim_sync_is_complete(const struct swim *swim)
 {
-	return swim->sync.idle_passes >= WHOLE_IDLE_PASSES;
+	return swim->sync.idle_passes >= FULL_SYNC_IDLE_PASSES;
 }
 
-void swim_sync_start_whole(struct swim *swim, const struct swim_endpoint *peer)
+void swim_sync_start_full(struct swim *swim, const struct swim_endpoint *peer)
 {
 	struct swim_sync *sync = &swim->sync;
 
-	if (sync->is_whole)
+	if (sync->is_full)
 		return;
-	sync->is_whole = true;
+	sync->is_full = true;
 	sync->peer = *peer;
 	sync->next_bucket = 0;
-	sync->heard_at_us = swim->now_us;
-	sync->whole_at_us = swim->now_us;
+	sync->last_reply_us = swim->now_us;
+	sync->full_sync_started_us = swim->now_us;
 	sync->size_before = swim->order->len;
-	sync_ask(swim, WHOLE_PACKETS);
+	sync_send_request(swim, FULL_SYNC_REPLIES_MAX);
 }
 
-static void sync_whole_tick(struct swim *swim)
+static void sync_full_tick(struct swim *swim)
 {
 	struct swim_sync *sync = &swim->sync;
 
-	if (swim->now_us - sync->heard_at_us > WHOLE_GIVE_UP_US) {
-		sync->is_whole = false;
+	if (swim->now_us - sync->last_reply_us > FULL_SYNC_TIMEOUT_US) {
+		sync->is_full = false;
 		return;
 	}
 	if (swim->page_budget_bytes <= 0)
 		return;
 	if (!sync->is_waiting ||
-	    swim->now_us - sync->asked_at_us >= WHOLE_RETRY_US)
-		sync_ask(swim, WHOLE_PACKETS);
+	    swim->now_us - sync->requested_at_us >= FULL_SYNC_RETRY_US)
+		sync_send_request(swim, FULL_SYNC_REPLIES_MAX);
 }
 
 void swim_sync_tick(struct swim *swim)
@@ -104,23 +106,23 @@
 	struct swim_sync *sync = &swim->sync;
 	struct member *peer;
 
-	if (sync->is_whole) {
-		sync_whole_tick(swim);
+	if (sync->is_full) {
+		sync_full_tick(swim);
 		return;
 	}
 	if (swim->now_us < swim->next_sync_us || swim->budget_bytes <= 0)
 		return;
-	swim->next_sync_us = swim->now_us + SYNC_US;
-	peer = swim_pick(swim, NULL);
+	swim->next_sync_us = swim->now_us + SYNC_INTERVAL_US;
+	peer = swim_pick_peer(swim, NULL);
 	if (!peer)
 		return;
 	g_strlcpy(sync->peer.address, peer->address, sizeof(sync->peer.address));
 	sync->peer.port = peer->peer_port;
 	if (!swim_sync_is_complete(swim)) {
-		swim_sync_start_whole(swim, &sync->peer);
+		swim_sync_start_full(swim, &sync->peer);
 		return;
 	}
-	sync->next_bucket = sync_ask(swim, 1);
+	sync->next_bucket = sync_send_request(swim, 1);
 	if (sync->next_bucket >= MEMBER_BUCKETS)
 		sync->next_bucket = 0;
 }
@@ -177,7 +179,7 @@
 	struct sync_pages pages = {
 		.swim = swim,
 		.to = from,
-		.left = CLAMP(message->max_packets, 1, WHOLE_PACKETS)};
+		.left = CLAMP(message->max_packets, 1, FULL_SYNC_REPLIES_MAX)};
 	unsigned int span = CLAMP(message->span, 1, MEMBER_BUCKETS);
 	unsigned int bucket = message->bucket;
 
@@ -187,7 +189,7 @@
 	for (size_t i = 0; i < message->n_digests; i++) {
 		unsigned int end = MIN(bucket + span, MEMBER_BUCKETS);
 
-		if (digest_of_span(swim, bucket, span) == message->digests[i])
+		if (span_digest(swim, bucket, span) == message->digests[i])
 			bucket = end;
 		for (; bucket < end; bucket++) {
 			if (!pages_add_bucket(&pages, bucket))
@@ -202,47 +204,49 @@
  * the whole, all hosts that come back at the same time would know only some of
  * the upstreams for seconds, and rush to these.
  */
-static void sync_end_whole(struct swim *swim)
+static void sync_finish_full(struct swim *swim)
 {
 	struct swim_sync *sync = &swim->sync;
 	guint size = swim->order->len;
 
-	sync->is_whole = false;
+	sync->is_full = false;
 	sync->next_bucket = 0;
-	if (size > sync->size_before + size / WHOLE_GROWTH)
+	if (size > sync->size_before + size / FULL_SYNC_GROWTH_DIVISOR)
 		sync->idle_passes = 0;
 	else
 		sync->idle_passes++;
 	if (!swim_sync_is_complete(swim))
-		swim->next_sync_us = swim->now_us + WHOLE_NEXT_US / 2 +
-				     swim_random_below(swim, WHOLE_NEXT_US);
+		swim->next_sync_us =
+			swim->now_us + FULL_SYNC_INTERVAL_US / 2 +
+			swim_random_below(swim, FULL_SYNC_INTERVAL_US);
 }
 
 /* A slow pass goes on where the page ended, or the same few records at the
  * start of a wide span would come for ever. */
-static void sync_handle_page(struct swim_sync *sync, const Cfd__Gossip *message)
+static void sync_handle_incremental_page(struct swim_sync *sync,
+					 const Cfd__Gossip *message)
 {
-	if (message->bucket == sync->asked_bucket &&
+	if (message->bucket == sync->requested_bucket &&
 	    message->next_bucket < MEMBER_BUCKETS)
 		sync->next_bucket =
 			MAX(message->next_bucket, message->bucket + 1);
 }
 
-static void sync_handle_whole(struct swim *swim, const Cfd__Gossip *message)
+static void sync_handle_full_page(struct swim *swim, const Cfd__Gossip *message)
 {
 	struct swim_sync *sync = &swim->sync;
 
 	swim->page_budget_bytes -= (int64_t)cfd__gossip__get_packed_size(message);
-	sync->heard_at_us = swim->now_us;
+	sync->last_reply_us = swim->now_us;
 	if (message->bucket <= sync->next_bucket &&
 	    message->next_bucket > sync->next_bucket)
 		sync->next_bucket = message->next_bucket;
 	if (message->is_last)
 		sync->is_waiting = false;
 	if (sync->next_bucket >= MEMBER_BUCKETS)
-		sync_end_whole(swim);
+		sync_finish_full(swim);
 	else if (message->is_last && swim->page_budget_bytes > 0)
-		sync_ask(swim, WHOLE_PACKETS);
+		sync_send_request(swim, FULL_SYNC_REPLIES_MAX);
 }
 
 void swim_sync_handle_reply(struct swim *swim, const Cfd__Gossip *message,
@@ -253,10 +257,10 @@
 	if (from->port != sync->peer.port ||
 	    strcmp(from->address, sync->peer.address) != 0)
 		return;
-	if (sync->is_whole)
-		sync_handle_whole(swim, message);
+	if (sync->is_full)
+		sync_handle_full_page(swim, message);
 	else
-		sync_handle_page(sync, message);
+		sync_handle_incremental_page(sync, message);
 }
 
 void swim_seed_ping(struct swim *swim, const struct swim_endpoint *seed)
@@ -271,16 +275,19 @@
 
 static void seeds_tick(struct swim *swim)
 {
-	bool is_alone = !swim_has_peers(swim);
+	bool has_no_peers = !swim_has_peers(swim);
 
-	if (is_alone && swim->next_seed_us > swim->now_us + SEED_ALONE_US)
+	if (has_no_peers &&
+	    swim->next_seed_us > swim->now_us + SEED_INTERVAL_ALONE_US)
 		swim->next_seed_us = swim->now_us;
 	if (swim->seed_count == 0 || swim->now_us < swim->next_seed_us)
 		return;
 	swim->next_seed_us =
 		swim->now_us +
-		(is_alone ? SEED_ALONE_US :
-			    SEED_US / 2 + swim_random_below(swim, SEED_US));
+		(has_no_peers ?
+			 SEED_INTERVAL_ALONE_US :
+			 SEED_INTERVAL_US / 2 +
+				 swim_random_below(swim, SEED_INTERVAL_US));
 	swim_seed_ping(swim,
 		       &swim->seeds[swim_random_below(swim, swim->seed_count)]);
 }
@@ -292,10 +299,10 @@
  * daemons in an outage would leave each of them alone, and without a
  * configuration, until the platform is back.
  */
-static bool may_be_back(const struct member *member, int64_t age_us)
+static bool may_have_restarted(const struct member *member, int64_t age_us)
 {
 	return member->state == MEMBER_DEAD ||
-	       (member->state == MEMBER_LEFT && age_us < SWIM_TRY_LEFT_US);
+	       (member->state == MEMBER_LEFT && age_us < SWIM_REPROBE_LEFT_US);
 }
 
 /* RETURN VALUE: false if the member was forgotten. */
@@ -308,14 +315,14 @@
 		member_table_remove(swim->table, member->host);
 		return false;
 	}
-	if (swim->is_reprobe_due && may_be_back(member, age_us)) {
+	if (swim->is_reprobe_due && may_have_restarted(member, age_us)) {
 		swim->is_reprobe_due = false;
 		swim_probe_ping(swim, member, ++swim->seq);
 	}
 	return true;
 }
 
-static bool reprobe_draws(struct swim *swim)
+static bool reprobe_is_selected(struct swim *swim)
 {
 	return swim_random_below(swim, swim->order->len) <
 	       swim->lost_count * REPROBERS;
@@ -326,11 +333,13 @@
 {
 	seeds_tick(swim);
 	if (swim->now_us >= swim->next_reprobe_us) {
-		swim->next_reprobe_us = swim->now_us + SWIM_REPROBE_US / 2 +
-					swim_random_below(swim, SWIM_REPROBE_US);
-		swim->is_reprobe_due = swim->lost_count && reprobe_draws(swim);
+		swim->next_reprobe_us =
+			swim->now_us + SWIM_REPROBE_INTERVAL_US / 2 +
+			swim_random_below(swim, SWIM_REPROBE_INTERVAL_US);
+		swim->is_reprobe_due =
+			swim->lost_count && reprobe_is_selected(swim);
 	}
-	for (guint i = 0; i < MIN(SWEEP_STEP, swim->order->len); i++) {
+	for (guint i = 0; i < MIN(SWEEP_MEMBERS_PER_TICK, swim->order->len); i++) {
 		struct swim_node *node;
 
 		if (swim->sweep_cursor >= swim->order->len)
--- a/comfreydockd/reload.c
+++ b/comfreydockd/reload.c
@@ -12,7 +12,7 @@
 	char *file;
 	struct settings *settings;
 	ev_signal hang_up;
-	ev_timer look;
+	ev_timer poll_timer;
 	struct timespec changed;
 	off_t size;
 };
@@ -24,7 +24,8 @@
 }
 
 /* What is bound, advertised or written into rows at the start. */
-static bool has_same_place(const struct settings *a, const struct settings *b)
+static bool has_same_fixed_settings(const struct settings *a,
+				    const struct settings *b)
 {
 	return g_strcmp0(a->host, b->host) == 0 &&
 	       g_strcmp0(a->domain, b->domain) == 0 &&
@@ -42,8 +43,8 @@
 	       is_same_address(&a->metrics, &b->metrics);
 }
 
-enum reload_result settings_take_over(struct settings *settings,
-				      const struct settings *changed)
+enum reload_result settings_apply_reload(struct settings *settings,
+					 const struct settings *changed)
 {
 	settings->stop = changed->stop;
 	settings->drain_timeout_ms = changed->drain_timeout_ms;
@@ -52,7 +53,8 @@
 	settings->max_buffered_bytes = changed->max_buffered_bytes;
 	settings->log_format = changed->log_format;
 	settings->log_budget = changed->log_budget;
-	return has_same_place(settings, changed) ? RELOAD_DONE : RELOAD_PARTLY;
+	return has_same_fixed_settings(settings, changed) ? RELOAD_DONE :
+							    RELOAD_PARTLY;
 }
 
 void settings_start_log(const struct settings *settings)
@@ -72,7 +74,7 @@
 	findings_init(&findings);
 	changed = settings_load(reload->file, &findings);
 	if (changed) {
-		result = settings_take_over(reload->settings, changed);
+		result = settings_apply_reload(reload->settings, changed);
 		settings_start_log(reload->settings);
 	}
 	findings_print(&findings, stderr);
@@ -84,7 +86,7 @@
 }
 
 /* RETURN VALUE: whether the file is another one than at the last look. */
-static bool look(struct reload *reload)
+static bool file_has_changed(struct reload *reload)
 {
 	struct stat now;
 	bool differs;
@@ -106,17 +108,17 @@
 
 	(void)loop;
 	(void)events;
-	look(reload);
+	file_has_changed(reload);
 	reload_now(reload, "signal");
 }
 
-static void handle_look(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_poll(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct reload *reload = timer->data;
 
 	(void)loop;
 	(void)events;
-	if (look(reload))
+	if (file_has_changed(reload))
 		reload_now(reload, "changed");
 }
 
@@ -128,13 +130,14 @@
 	reload->loop = loop;
 	reload->file = g_strdup(file);
 	reload->settings = settings;
-	look(reload);
+	file_has_changed(reload);
 	ev_signal_init(&reload->hang_up, handle_hang_up, SIGHUP);
-	ev_timer_init(&reload->look, handle_look, RELOAD_LOOK_S, RELOAD_LOOK_S);
+	ev_timer_init(&reload->poll_timer, handle_poll, RELOAD_POLL_S,
+		      RELOAD_POLL_S);
 	reload->hang_up.data = reload;
-	reload->look.data = reload;
+	reload->poll_timer.data = reload;
 	ev_signal_start(loop, &reload->hang_up);
-	ev_timer_start(loop, &reload->look);
+	ev_timer_start(loop, &reload->poll_timer);
 	return reload;
 }
 
@@ -143,7 +146,7 @@
 	if (!reload)
 		return;
 	ev_signal_stop(reload->loop, &reload->hang_up);
-	ev_timer_stop(reload->loop, &reload->look);
+	ev_timer_stop(reload->loop, &reload->poll_timer);
 	g_free(reload->file);
 	g_free(reload);
 }
--- a/comfreydockd/settings.c
+++ b/comfreydockd/settings.c
@@ -50,7 +50,8 @@
 static const char *const log_formats[] = {"json", "text", "none", NULL};
 
 /* "IP:PORT" in one text, for settings that others fill in. */
-static bool read_at(struct schema *schema, struct settings_address *out)
+static bool read_combined_address(struct schema *schema,
+				  struct settings_address *out)
 {
 	char *at = schema_string(schema, "at", SCHEMA_OPTIONAL);
 	char *colon = at ? strrchr(at, ':') : NULL;
@@ -72,7 +73,7 @@
 
 static void read_address(struct schema *schema, struct settings_address *out)
 {
-	if (read_at(schema, out))
+	if (read_combined_address(schema, out))
 		return;
 	out->address = schema_string(schema, "address", SCHEMA_REQUIRED);
 	out->port = (uint16_t)schema_uint(schema, "port", SCHEMA_REQUIRED, 0, 0,
@@ -93,8 +94,8 @@
 	schema_finish(&child);
 }
 
-static char *read_beside(struct schema *schema, const char *key,
-			 enum schema_need need, gsize *size)
+static char *read_file_setting(struct schema *schema, const char *key,
+			       enum schema_need need, gsize *size)
 {
 	char *name = schema_string(schema, key, need);
 	GError *error = NULL;
@@ -129,7 +130,7 @@
 	has_token = admin.object &&
 		    json_object_object_get_ex(admin.object, "token_file", NULL);
 	settings->admin_token =
-		read_beside(&admin, "token_file", SCHEMA_OPTIONAL, &size);
+		read_file_setting(&admin, "token_file", SCHEMA_OPTIONAL, &size);
 	if (settings->admin_token && !*g_strstrip(settings->admin_token))
 		schema_error(&admin, "token_file", "the file holds no token");
 	/* Whoever reaches the admin port can change what is in force. */
@@ -147,17 +148,18 @@
  */
 static void read_advertise(struct schema *peer, struct settings *settings)
 {
-	struct settings_address *where = &settings->advertise;
+	struct settings_address *advertised = &settings->advertise;
 	struct schema advertise;
 
 	schema_init_child(&advertise, peer, "advertise", SCHEMA_OPTIONAL);
-	where->address = schema_string(&advertise, "address", SCHEMA_OPTIONAL);
-	where->port = (uint16_t)schema_uint(&advertise, "port", SCHEMA_OPTIONAL,
-					    0, 1, UINT16_MAX);
-	if (where->address && !address_is_ip_number(where->address))
+	advertised->address =
+		schema_string(&advertise, "address", SCHEMA_OPTIONAL);
+	advertised->port = (uint16_t)schema_uint(
+		&advertise, "port", SCHEMA_OPTIONAL, 0, 1, UINT16_MAX);
+	if (advertised->address && !address_is_ip_number(advertised->address))
 		schema_error(&advertise, "address",
 			     "an IP number is expected, not a name");
-	if (!where->address && settings->peer.address &&
+	if (!advertised->address && settings->peer.address &&
 	    address_is_any(settings->peer.address))
 		schema_error(peer, "address",
 			     "binds every address: advertise.address must "
@@ -171,8 +173,8 @@
 	char *key = schema_string(peer, "key", SCHEMA_OPTIONAL);
 	enum schema_need need = key ? SCHEMA_OPTIONAL : SCHEMA_REQUIRED;
 
-	settings->peer_key = (uint8_t *)read_beside(peer, "key_file", need,
-						    &settings->peer_key_size);
+	settings->peer_key = (uint8_t *)read_file_setting(
+		peer, "key_file", need, &settings->peer_key_size);
 	if (key && settings->peer_key) {
 		schema_error(peer, "key", "stands beside a key_file");
 		g_free(key);
@@ -255,7 +257,7 @@
  * Whoever directs callers notices within a third of it; what is in flight then
  * has the rest.
  */
-static void set_steps_of_grace(struct settings *settings, double grace_ms)
+static void set_steps_from_grace(struct settings *settings, double grace_ms)
 {
 	struct settings_stop *times = &settings->stop;
 
@@ -307,7 +309,7 @@
 	schema_init_child(&stop, root, "stop", SCHEMA_OPTIONAL);
 	grace_ms = MS_PER_S * schema_double(&stop, "grace_s", 0, STOP_STEP_MAX_S);
 	if (grace_ms > 0) {
-		set_steps_of_grace(settings, grace_ms);
+		set_steps_from_grace(settings, grace_ms);
 		schema_finish(&stop);
 		return;
 	}
@@ -326,7 +328,7 @@
 	schema_finish(&stop);
 }
 
-static char *resolve_beside(const char *file, char *name)
+static char *resolve_path(const char *file, char *name)
 {
 	char *directory;
 	char *path;
@@ -371,7 +373,7 @@
 	read_retry_budget(&root, settings);
 	settings->probes_per_s = (uint32_t)schema_uint(
 		&root, "probes_per_s", SCHEMA_OPTIONAL, 0, 0, PROBES_MAX_PER_S);
-	settings->config_file = resolve_beside(
+	settings->config_file = resolve_path(
 		doc->file, schema_string(&root, "config_file", SCHEMA_OPTIONAL));
 	schema_finish(&root);
 }
--- a/comfreydockd/stop.c
+++ b/comfreydockd/stop.c
@@ -12,21 +12,21 @@
 #include "common/clock.h"
 #include "common/log.h"
 
-#define CHECK_S 0.05
+#define CHECK_INTERVAL_S 0.05
 /* After the port is closed, what was accepted last still gets its answer. */
-#define LAST_CALLS_US (300 * US_PER_MS)
+#define IDLE_BEFORE_LEAVE_US (300 * US_PER_MS)
 /* What is told to callers at the very end needs so long to be written. */
-#define LAST_WORDS_US (100 * US_PER_MS)
+#define FINAL_ANSWERS_US (100 * US_PER_MS)
 /* The good-bye's way through gossip. */
 #define LEAVE_US (500 * US_PER_MS)
 
 enum stop_step {
-	STOP_NOT,
-	STOP_SERVES, /* everything, as before */
-	STOP_DRAINED,
-	STOP_CLOSES,
-	STOP_REFUSES,
-	STOP_TURNS_AWAY,
+	STOP_NOT_BEGUN,
+	STOP_SERVING, /* everything, as before */
+	STOP_DRAINING,
+	STOP_CLOSING,
+	STOP_REFUSING,
+	STOP_TURNING_AWAY,
 };
 
 struct stop {
@@ -35,15 +35,15 @@
 	struct rows *rows;
 	ev_timer check;
 	enum stop_step step;
-	int64_t since_us;
-	int64_t busy_us; /* when something was in flight last */
-	int64_t left_us; /* since the good-bye; 0: not said yet */
-	bool row_is_left;
+	int64_t begun_at_us;
+	int64_t last_busy_us; /* when something was in flight last */
+	int64_t leave_started_us; /* since the good-bye; 0: not said yet */
+	bool row_leave_done;
 	bool has_cancelled;
-	bool has_ended_all;
+	bool has_ended_calls;
 };
 
-static bool is_quiet(const struct stop *stop)
+static bool is_idle(const struct stop *stop)
 {
 	struct owner_status status;
 
@@ -57,39 +57,39 @@
 	struct stop *stop = data;
 
 	(void)is_deleted;
-	stop->row_is_left = true;
+	stop->row_leave_done = true;
 }
 
 static void leave(struct stop *stop, int64_t now)
 {
-	stop->left_us = now;
+	stop->leave_started_us = now;
 	gossip_leave(stop->daemon->gossip);
 	rows_leave(stop->rows, handle_row_left, stop);
 }
 
 /* Steps that are due; several at once where their times are the same. */
-static void advance(struct stop *stop, int64_t spent_us)
+static void advance_steps(struct stop *stop, int64_t elapsed_us)
 {
 	const struct settings_stop *times = &stop->daemon->settings->stop;
 
-	if (stop->step == STOP_SERVES &&
-	    spent_us >= times->drain_after_ms * US_PER_MS) {
-		stop->step = STOP_DRAINED;
+	if (stop->step == STOP_SERVING &&
+	    elapsed_us >= times->drain_after_ms * US_PER_MS) {
+		stop->step = STOP_DRAINING;
 		owner_stop(stop->daemon->owner);
 	}
-	if (stop->step == STOP_DRAINED &&
-	    spent_us >= times->close_after_ms * US_PER_MS) {
-		stop->step = STOP_CLOSES;
+	if (stop->step == STOP_DRAINING &&
+	    elapsed_us >= times->close_after_ms * US_PER_MS) {
+		stop->step = STOP_CLOSING;
 		listener_announce_close(stop->listener);
 	}
-	if (stop->step == STOP_CLOSES &&
-	    spent_us >= times->refuse_after_ms * US_PER_MS) {
-		stop->step = STOP_REFUSES;
+	if (stop->step == STOP_CLOSING &&
+	    elapsed_us >= times->refuse_after_ms * US_PER_MS) {
+		stop->step = STOP_REFUSING;
 		listener_quiesce(stop->listener);
 	}
-	if (stop->step == STOP_REFUSES &&
-	    spent_us >= times->turn_away_after_ms * US_PER_MS) {
-		stop->step = STOP_TURNS_AWAY;
+	if (stop->step == STOP_REFUSING &&
+	    elapsed_us >= times->turn_away_after_ms * US_PER_MS) {
+		stop->step = STOP_TURNING_AWAY;
 		listener_turn_away(stop->listener);
 	}
 }
@@ -99,7 +99,7 @@
  * and comes back to another daemon at once. Left to the end of the process,
  * their callers would see a connection that breaks, and not know.
  */
-static void cancel_rest(struct stop *stop)
+static void cancel_pending_calls(struct stop *stop)
 {
 	if (stop->has_cancelled)
 		return;
@@ -109,24 +109,24 @@
 
 /* What runs longer than the stop can wait: its callers learn that nobody knows
  * what became of it. */
-static void end_rest(struct stop *stop)
+static void end_running_calls(struct stop *stop)
 {
-	if (stop->has_ended_all)
+	if (stop->has_ended_calls)
 		return;
-	stop->has_ended_all = true;
+	stop->has_ended_calls = true;
 	entry_end_all(stop->daemon->entry);
 }
 
 /* Callers with a connection of before may still send on it after the good-bye,
  * so it ends only in a moment without work. */
-static bool may_end(const struct stop *stop, int64_t now, bool is_over)
+static bool may_exit(const struct stop *stop, int64_t now, bool must_exit)
 {
-	int64_t leave_us = now - stop->left_us;
+	int64_t leave_us = now - stop->leave_started_us;
 
-	if (is_over)
+	if (must_exit)
 		return true;
-	return stop->left_us && is_quiet(stop) && leave_us >= LEAVE_US &&
-	       (stop->row_is_left ||
+	return stop->leave_started_us && is_idle(stop) && leave_us >= LEAVE_US &&
+	       (stop->row_leave_done ||
 		leave_us >= stop->daemon->settings->stop.leave_ms * US_PER_MS);
 }
 
@@ -135,23 +135,24 @@
 	struct stop *stop = timer->data;
 	const struct settings *settings = stop->daemon->settings;
 	int64_t now = clock_mono_us();
-	int64_t spent_us = now - stop->since_us;
-	int64_t most_us = (settings->stop.refuse_after_ms +
-			   (int64_t)settings->drain_timeout_ms) *
-			  US_PER_MS;
-	bool is_late = spent_us >= most_us;
+	int64_t elapsed_us = now - stop->begun_at_us;
+	int64_t timeout_us = (settings->stop.refuse_after_ms +
+			      (int64_t)settings->drain_timeout_ms) *
+			     US_PER_MS;
+	bool has_timed_out = elapsed_us >= timeout_us;
 
 	(void)events;
-	advance(stop, spent_us);
-	if (stop->step < STOP_REFUSES || !is_quiet(stop))
-		stop->busy_us = now;
-	if (is_late)
-		cancel_rest(stop);
-	if (spent_us >= most_us + LEAVE_US - LAST_WORDS_US)
-		end_rest(stop);
-	if (!stop->left_us && (is_late || now - stop->busy_us >= LAST_CALLS_US))
+	advance_steps(stop, elapsed_us);
+	if (stop->step < STOP_REFUSING || !is_idle(stop))
+		stop->last_busy_us = now;
+	if (has_timed_out)
+		cancel_pending_calls(stop);
+	if (elapsed_us >= timeout_us + LEAVE_US - FINAL_ANSWERS_US)
+		end_running_calls(stop);
+	if (!stop->leave_started_us &&
+	    (has_timed_out || now - stop->last_busy_us >= IDLE_BEFORE_LEAVE_US))
 		leave(stop, now);
-	if (!may_end(stop, now, spent_us >= most_us + LEAVE_US))
+	if (!may_exit(stop, now, elapsed_us >= timeout_us + LEAVE_US))
 		return;
 	log_event(EV_DAEMON_STOPPED,
 		  LOG_INT("calls", entry_count(stop->daemon->entry)));
@@ -166,7 +167,7 @@
 	stop->daemon = daemon;
 	stop->listener = listener;
 	stop->rows = rows;
-	ev_timer_init(&stop->check, handle_check, 0.0, CHECK_S);
+	ev_timer_init(&stop->check, handle_check, 0.0, CHECK_INTERVAL_S);
 	stop->check.data = stop;
 	return stop;
 }
@@ -181,16 +182,16 @@
 
 void stop_begin(struct stop *stop)
 {
-	if (stop->step != STOP_NOT)
+	if (stop->step != STOP_NOT_BEGUN)
 		return;
-	stop->step = STOP_SERVES;
-	stop->since_us = clock_mono_us();
-	stop->busy_us = stop->since_us;
+	stop->step = STOP_SERVING;
+	stop->begun_at_us = clock_mono_us();
+	stop->last_busy_us = stop->begun_at_us;
 	log_event(EV_DAEMON_STOPPING);
 	ev_timer_start(stop->daemon->loop, &stop->check);
 }
 
 bool stop_has_begun(const struct stop *stop)
 {
-	return stop->step != STOP_NOT;
+	return stop->step != STOP_NOT_BEGUN;
 }
--- a/include/comfreydockd/member/rows.h
+++ b/include/comfreydockd/member/rows.h
@@ -41,16 +41,16 @@
 /* Before the first write: whoever starts at the same moment reads after it. A
  * start of 22,000 at once is refused for the most part and comes back later. */
 #define ROWS_START_JITTER_US ((int64_t)100 * 1000)
-#define ROWS_CHECK_US ((int64_t)600 * 1000 * 1000)
+#define ROWS_CHECK_INTERVAL_US ((int64_t)600 * 1000 * 1000)
 #define ROWS_BACKOFF_MIN_US ((int64_t)1000 * 1000)
 #define ROWS_BACKOFF_MAX_US ((int64_t)300 * 1000 * 1000)
 #define ROWS_STALE_US ((int64_t)6 * 3600 * 1000 * 1000) /* then deleted */
 #define ROWS_LEAVE_TRIES 4
 /* Where the store was set back all own rows are read within so long. */
-#define ROWS_RESTORED_US ((int64_t)60 * 1000 * 1000)
+#define ROWS_RESTORED_CHECK_MAX_US ((int64_t)60 * 1000 * 1000)
 #define ROWS_QUARANTINED_MAX 8
 /* A change of the quarantine is written with those that come just after it. */
-#define ROWS_QUARANTINE_US ((int64_t)200 * 1000)
+#define ROWS_QUARANTINE_DELAY_US ((int64_t)200 * 1000)
 
 enum rows_status {
 	ROWS_OK,
--- a/include/comfreydockd/member/swim.h
+++ b/include/comfreydockd/member/swim.h
@@ -36,10 +36,10 @@
 #define SWIM_TICK_US (50 * 1000)
 #define SWIM_PERIOD_US (1000 * 1000) /* of probes, where all is well */
 #define SWIM_PING_TIMEOUT_US (300 * 1000) /* then others are asked */
-#define SWIM_PUSH_US (250 * 1000) /* between rounds of news */
+#define SWIM_PUSH_INTERVAL_US (250 * 1000) /* between rounds of news */
 #define SWIM_PUSH_FANOUT 2
-#define SWIM_MEDIATORS 3
-#define SWIM_HEALTH_MAX 8 /* the period is stretched by it at most */
+#define SWIM_PING_REQ_FANOUT 3
+#define SWIM_LOCAL_HEALTH_MAX 8 /* the period is stretched by it at most */
 /* A change is sent BASE + SCALE * ln(size) times by each daemon that hears of
  * it. Sent to random others, it misses one of n with a chance below
  * exp(-BASE) * n^(1 - SCALE); the digests find the rest. */
@@ -55,9 +55,9 @@
 #define SWIM_PAGE_BYTES_PER_S 200000
 /* Beside the news: where hosts come and go by the hundred these use up theirs. */
 #define SWIM_QUARANTINE_BYTES_PER_S 1500
-#define SWIM_REPROBE_US (2 * 1000 * 1000) /* one dead member */
+#define SWIM_REPROBE_INTERVAL_US (2 * 1000 * 1000) /* one dead member */
 /* For so long one that left may be a restart: a rolling one takes minutes. */
-#define SWIM_TRY_LEFT_US ((int64_t)600 * 1000 * 1000)
+#define SWIM_REPROBE_LEFT_US ((int64_t)600 * 1000 * 1000)
 #define SWIM_FORGET_DEAD_US ((int64_t)24 * 3600 * 1000 * 1000)
 #define SWIM_FORGET_LEFT_US ((int64_t)3600 * 1000 * 1000)
 #define SWIM_HOP_MAX_US (100 * 1000) /* a packet's way, but for a few */
--- a/include/comfreydockd/reload.h
+++ b/include/comfreydockd/reload.h
@@ -17,7 +17,7 @@
 #include "comfreydockd/settings.h"
 
 /* A change without a signal is seen within this time. */
-#define RELOAD_LOOK_S 2.0
+#define RELOAD_POLL_S 2.0
 
 struct reload;
 
@@ -33,8 +33,8 @@
 };
 
 /* Takes over what may change. The new settings' own values stay theirs. */
-enum reload_result settings_take_over(struct settings *settings,
-				      const struct settings *changed);
+enum reload_result settings_apply_reload(struct settings *settings,
+					 const struct settings *changed);
 
 /* Starts the log, or goes on with another format and budget. */
 void settings_start_log(const struct settings *settings);
--- a/tests/rows_fixture.c
+++ b/tests/rows_fixture.c
@@ -45,13 +45,16 @@
 						   .size = strlen(stored->value),
 						   .version = stored->version};
 	}
-	if (fixture.store.mood == STORE_SILENT) {
-		g_assert_cmpuint(fixture.store.held_count, <, ROWS_ANSWERS_MAX);
-		fixture.store.held[fixture.store.held_count].handler = handler;
-		fixture.store.held[fixture.store.held_count++].data = call;
+	if (fixture.store.mode == STORE_HOLDS_READS) {
+		g_assert_cmpuint(fixture.store.held_answer_count, <,
+				 HELD_ANSWERS_MAX);
+		fixture.store.held_answers[fixture.store.held_answer_count].handler =
+			handler;
+		fixture.store.held_answers[fixture.store.held_answer_count++].data =
+			call;
 		return;
 	}
-	handler(fixture.store.mood == STORE_DOWN ? ROWS_UNAVAILABLE : ROWS_OK,
+	handler(fixture.store.mode == STORE_DOWN ? ROWS_UNAVAILABLE : ROWS_OK,
 		found, count, call);
 }
 
@@ -60,7 +63,7 @@
 {
 	struct stored *stored = g_tree_lookup(fixture.store.rows, key);
 
-	if (fixture.store.mood == STORE_DOWN)
+	if (fixture.store.mode == STORE_DOWN)
 		return ROWS_UNAVAILABLE;
 	if ((stored ? stored->version : 0) != version)
 		return ROWS_CONFLICT;
@@ -71,7 +74,7 @@
 		stored->version = ++fixture.store.next_version;
 		g_tree_insert(fixture.store.rows, g_strdup(key), stored);
 	}
-	return fixture.store.mood == STORE_LOSES_ANSWERS ? ROWS_UNKNOWN : ROWS_OK;
+	return fixture.store.mode == STORE_LOSES_ANSWERS ? ROWS_UNKNOWN : ROWS_OK;
 }
 
 static void store_put_if(void *data G_GNUC_UNUSED, const char *key,
@@ -121,7 +124,8 @@
 	return member;
 }
 
-void rows_meet(const char *host, uint64_t incarnation, enum member_state state)
+void rows_add_member(const char *host, uint64_t incarnation,
+		     enum member_state state)
 {
 	struct member member = record(host, incarnation, state);
 
@@ -171,7 +175,7 @@
 				       .handle_peer = handle_peer};
 
 	fixture.table = options.table = member_table_create();
-	rows_meet("surco-1", 50, MEMBER_ALIVE);
+	rows_add_member("surco-1", 50, MEMBER_ALIVE);
 	options.self = member_table_find(fixture.table, "surco-1");
 	fixture.quarantine = options.quarantine =
 		quarantine_create(QUARANTINE_TRIAL_US, handle_quarantine, NULL);
@@ -179,12 +183,12 @@
 	fixture.rows = rows_create(&options);
 }
 
-void rows_begin(enum store_mood mood)
+void rows_begin(enum store_mode mode)
 {
 	memset(&fixture.store, 0, sizeof(fixture.store));
 	fixture.store.rows =
 		g_tree_new_full(compare_keys, NULL, g_free, stored_free);
-	fixture.store.mood = mood;
+	fixture.store.mode = mode;
 	fixture.joined = g_string_new(NULL);
 	rows_start();
 }
--- a/tests/rows_fixture.h
+++ b/tests/rows_fixture.h
@@ -13,28 +13,28 @@
 #include "comfreydockd/member/rows.h"
 
 #define HOUR 3600
-#define ROWS_ANSWERS_MAX 4
+#define HELD_ANSWERS_MAX 4
 
-enum store_mood {
+enum store_mode {
 	STORE_UP,
 	STORE_DOWN,
 	STORE_LOSES_ANSWERS, /* of writes, which take effect */
-	STORE_SILENT, /* keeps a read's answer back */
+	STORE_HOLDS_READS, /* keeps a read's answer back */
 };
 
 /* The platform's table, and what was asked of it. */
 struct rows_fixture_store {
 	GTree *rows; /* key to value and version */
-	enum store_mood mood;
+	enum store_mode mode;
 	uint64_t next_version;
 	unsigned int reads;
 	unsigned int writes;
 	unsigned int deletes;
-	size_t held_count;
+	size_t held_answer_count;
 	struct {
 		rows_range_handler handler;
 		void *data;
-	} held[ROWS_ANSWERS_MAX];
+	} held_answers[HELD_ANSWERS_MAX];
 };
 
 struct rows_fixture {
@@ -47,7 +47,7 @@
 
 extern struct rows_fixture fixture;
 
-void rows_begin(enum store_mood mood);
+void rows_begin(enum store_mode mode);
 void rows_finish(void);
 
 /* As where the host loses its power, and comes back. */
@@ -57,7 +57,8 @@
 void rows_run(int seconds);
 
 /* A host that membership knows, and one that has a row. */
-void rows_meet(const char *host, uint64_t incarnation, enum member_state state);
+void rows_add_member(const char *host, uint64_t incarnation,
+		     enum member_state state);
 void rows_put_row(const char *host, uint64_t incarnation);
 
 /* The same, with what that host's quarantine holds. */
--- a/tests/swim_net.c
+++ b/tests/swim_net.c
@@ -51,21 +51,21 @@
 	g_queue_push_tail(&net.packets, packet);
 }
 
-static void net_head(const char *host G_GNUC_UNUSED, uint64_t head,
-		     int64_t told_age_us, void *data)
+static void net_handle_config_head(const char *host G_GNUC_UNUSED, uint64_t head,
+				   int64_t told_age_us, void *data)
 {
 	struct host *self = data;
 
 	if (told_age_us >= 0)
 		self->told_us = MAX(self->told_us, net.now_us - told_age_us);
 
-	if (head > self->head_heard) {
-		self->head_heard = head;
+	if (head > self->known_config_head) {
+		self->known_config_head = head;
 		swim_set_config_head(self->swim, head);
 	}
 }
 
-static int64_t net_told_age(uint64_t head G_GNUC_UNUSED, void *data)
+static int64_t net_config_told_age_us(uint64_t head G_GNUC_UNUSED, void *data)
 {
 	const struct host *self = data;
 
@@ -87,8 +87,8 @@
 	g_strlcpy(self.address, host->address, sizeof(self.address));
 	host->ops = (struct swim_ops){
 		.send = net_send,
-		.handle_config_head = net_head,
-		.config_told_age_us = net_told_age,
+		.handle_config_head = net_handle_config_head,
+		.config_told_age_us = net_config_told_age_us,
 		.data = host,
 	};
 	host->table = options.table = member_table_create();
@@ -170,9 +170,9 @@
 			(net.now_us / STEP_US + i) % (SWIM_TICK_US / STEP_US) ==
 			0;
 
-		if (host->swim && !host->is_frozen && (is_due || host->has_thawed))
+		if (host->swim && !host->is_frozen && (is_due || host->was_frozen))
 			swim_tick(host->swim, net.now_us);
-		host->has_thawed = host->is_frozen;
+		host->was_frozen = host->is_frozen;
 	}
 	net_deliver();
 }
@@ -205,7 +205,7 @@
 	return true;
 }
 
-bool net_anyone_holds_dead(int i)
+bool net_any_considers_dead(int i)
 {
 	for (int j = 0; j < net.count; j++) {
 		if (net.hosts[j].swim && state_of(j, i) == MEMBER_DEAD)
--- a/tests/swim_net.h
+++ b/tests/swim_net.h
@@ -14,7 +14,7 @@
 #include "comfreydockd/member/swim.h"
 
 #define HOSTS_MAX 40 /* in most tests */
-#define NET_ROOM 240
+#define NET_HOSTS_MAX 240
 #define STEP_US 10000
 #define SECOND 1000000LL
 #define PORT 7000
@@ -29,15 +29,15 @@
 	struct swim_ops ops;
 	uint64_t incarnation;
 	bool is_frozen;
-	bool has_thawed; /* in this step: its timers are due */
+	bool was_frozen; /* in this step: its timers are due */
 	int side; /* packets between two sides are lost */
 	uint64_t sent_bytes;
-	uint64_t head_heard;
+	uint64_t known_config_head;
 	int64_t told_us; /* as of then it knows of nothing newer; 0: never */
 };
 
 struct net {
-	struct host hosts[NET_ROOM];
+	struct host hosts[NET_HOSTS_MAX];
 	int count;
 	int64_t now_us;
 	int loss_percent;
@@ -59,7 +59,7 @@
 
 /* True if all that run hold all that run for alive, and the rest for gone. */
 bool net_agrees(void);
-bool net_anyone_holds_dead(int i);
+bool net_any_considers_dead(int i);
 
 /* MEMBER_LEFT: not known. */
 enum member_state state_of(int at, int of);
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -80,7 +80,7 @@
 	g_assert_true(sees(node, host, state));
 }
 
-static void test_daemons_find_each_other(void)
+static void test_daemons_discover_each_other(void)
 {
 	struct node a, b, c;
 	char *groups[] = {"lookup-desk", NULL};
@@ -131,7 +131,7 @@
  * given a wrong address, a release with another format, or noise. Taken in,
  * they would put foreign hosts into the table and calls would go there.
  */
-static void test_strangers_are_dropped(void)
+static void test_unauthenticated_packets_are_dropped(void)
 {
 	struct node a, b;
 	struct counters before;
@@ -158,7 +158,7 @@
 	node_stop(&b);
 }
 
-static void test_addresses_are_checked(void)
+static void test_join_addresses_are_validated(void)
 {
 	struct node a;
 
@@ -178,8 +178,10 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	log_init(LOG_FORMAT_NONE, "test");
-	g_test_add_func("/gossip/find", test_daemons_find_each_other);
-	g_test_add_func("/gossip/strangers", test_strangers_are_dropped);
-	g_test_add_func("/gossip/addresses", test_addresses_are_checked);
+	g_test_add_func("/gossip/discovery", test_daemons_discover_each_other);
+	g_test_add_func("/gossip/unauthenticated",
+			test_unauthenticated_packets_are_dropped);
+	g_test_add_func("/gossip/join-addresses",
+			test_join_addresses_are_validated);
 	return g_test_run();
 }
--- a/tests/test_member_table.c
+++ b/tests/test_member_table.c
@@ -19,8 +19,9 @@
 	return member;
 }
 
-static void take(struct member_table *table, const char *host,
-		 uint64_t incarnation, enum member_state state, bool changes)
+static void update_and_expect(struct member_table *table, const char *host,
+			      uint64_t incarnation, enum member_state state,
+			      bool changes)
 {
 	struct member member = record(host, incarnation, state);
 
@@ -32,30 +33,30 @@
  * been found dead. Were it believed, calls would be sent to a host that is
  * gone; only the host itself, with a higher incarnation, may come back.
  */
-static void test_old_word_never_wins(void)
+static void test_outdated_record_is_ignored(void)
 {
 	struct member_table *table = member_table_create();
 
-	take(table, "esja-1", 5, MEMBER_ALIVE, true);
-	take(table, "esja-1", 5, MEMBER_SUSPECT, true);
-	take(table, "esja-1", 5, MEMBER_ALIVE, false);
-	take(table, "esja-1", 5, MEMBER_DEAD, true);
-	take(table, "esja-1", 5, MEMBER_LEFT, false);
-	take(table, "esja-1", 4, MEMBER_ALIVE, false);
-	take(table, "esja-1", 6, MEMBER_ALIVE, true);
+	update_and_expect(table, "esja-1", 5, MEMBER_ALIVE, true);
+	update_and_expect(table, "esja-1", 5, MEMBER_SUSPECT, true);
+	update_and_expect(table, "esja-1", 5, MEMBER_ALIVE, false);
+	update_and_expect(table, "esja-1", 5, MEMBER_DEAD, true);
+	update_and_expect(table, "esja-1", 5, MEMBER_LEFT, false);
+	update_and_expect(table, "esja-1", 4, MEMBER_ALIVE, false);
+	update_and_expect(table, "esja-1", 6, MEMBER_ALIVE, true);
 	g_assert_cmpint(member_table_find(table, "esja-1")->state, ==,
 			MEMBER_ALIVE);
 	member_table_destroy(table);
 }
 
-static void test_groups_follow_the_record(void)
+static void test_group_index_follows_records(void)
 {
 	struct member_table *table = member_table_create();
 	struct member member = record("esja-1", 7, MEMBER_ALIVE);
 	char *one[] = {"lookup-desk", "lookup-desk", NULL};
 
-	take(table, "esja-1", 5, MEMBER_ALIVE, true);
-	take(table, "katla-1", 5, MEMBER_ALIVE, true);
+	update_and_expect(table, "esja-1", 5, MEMBER_ALIVE, true);
+	update_and_expect(table, "katla-1", 5, MEMBER_ALIVE, true);
 	g_assert_cmpuint(member_table_group(table, "archive-feed")->len, ==, 2);
 	member.groups = one;
 	g_assert_true(member_table_update(table, &member, 1000));
@@ -72,7 +73,7 @@
 	(*(int *)data)++;
 }
 
-static void test_observers_hear_changes_only(void)
+static void test_observers_are_called_on_changes_only(void)
 {
 	struct member_table *table = member_table_create();
 	int changes = 0;
@@ -81,8 +82,8 @@
 					   .data = &changes};
 
 	member_table_observe(table, &observer);
-	take(table, "esja-1", 5, MEMBER_ALIVE, true);
-	take(table, "esja-1", 5, MEMBER_ALIVE, false);
+	update_and_expect(table, "esja-1", 5, MEMBER_ALIVE, true);
+	update_and_expect(table, "esja-1", 5, MEMBER_ALIVE, false);
 	member_table_remove(table, "esja-1");
 	member_table_remove(table, "esja-1");
 	g_assert_cmpint(changes, ==, 2);
@@ -100,19 +101,19 @@
 
 /* Two tables that took the same records in another order, one of them with a
  * host that has died since, must not send each other records for ever. */
-static void test_digest_counts_the_living(void)
+static void test_digest_covers_live_members_only(void)
 {
 	struct member_table *a = member_table_create();
 	struct member_table *b = member_table_create();
 
-	take(a, "esja-1", 5, MEMBER_ALIVE, true);
-	take(a, "katla-1", 6, MEMBER_ALIVE, true);
-	take(b, "katla-1", 6, MEMBER_SUSPECT, true);
+	update_and_expect(a, "esja-1", 5, MEMBER_ALIVE, true);
+	update_and_expect(a, "katla-1", 6, MEMBER_ALIVE, true);
+	update_and_expect(b, "katla-1", 6, MEMBER_SUSPECT, true);
 	g_assert_cmpuint(digest_of_all(a), !=, digest_of_all(b));
-	take(b, "esja-1", 4, MEMBER_ALIVE, true);
-	take(b, "esja-1", 5, MEMBER_ALIVE, true);
-	take(b, "hekla-1", 1, MEMBER_ALIVE, true);
-	take(b, "hekla-1", 1, MEMBER_DEAD, true);
+	update_and_expect(b, "esja-1", 4, MEMBER_ALIVE, true);
+	update_and_expect(b, "esja-1", 5, MEMBER_ALIVE, true);
+	update_and_expect(b, "hekla-1", 1, MEMBER_ALIVE, true);
+	update_and_expect(b, "hekla-1", 1, MEMBER_DEAD, true);
 	g_assert_cmpuint(digest_of_all(a), ==, digest_of_all(b));
 	member_table_destroy(a);
 	member_table_destroy(b);
@@ -123,7 +124,7 @@
  * to learn of changes. If a host that moves from one group to another, or
  * goes for good, left the version as it was, calls would still be sent to it.
  */
-static void test_versions_tell_of_each_change(void)
+static void test_group_version_changes_with_members(void)
 {
 	struct member_table *table = member_table_create();
 	struct member member = record("esja-1", 6, MEMBER_ALIVE);
@@ -132,7 +133,7 @@
 	uint64_t archive;
 
 	g_assert_cmpuint(member_table_group_version(table, "lookup-desk"), ==, 0);
-	take(table, "esja-1", 5, MEMBER_ALIVE, true);
+	update_and_expect(table, "esja-1", 5, MEMBER_ALIVE, true);
 	lookup = member_table_group_version(table, "lookup-desk");
 	archive = member_table_group_version(table, "archive-feed");
 	g_assert_cmpuint(lookup, !=, 0);
@@ -143,12 +144,12 @@
 	g_assert_cmpuint(member_table_group_version(table, "archive-feed"), ==,
 			 0);
 	lookup = member_table_group_version(table, "lookup-desk");
-	take(table, "esja-1", 6, MEMBER_SUSPECT, true);
+	update_and_expect(table, "esja-1", 6, MEMBER_SUSPECT, true);
 	g_assert_cmpuint(member_table_group_version(table, "lookup-desk"), !=,
 			 lookup);
 	member_table_remove(table, "esja-1");
 	g_assert_cmpuint(member_table_group_version(table, "lookup-desk"), ==, 0);
-	take(table, "esja-1", 5, MEMBER_ALIVE, true);
+	update_and_expect(table, "esja-1", 5, MEMBER_ALIVE, true);
 	g_assert_cmpuint(member_table_group_version(table, "archive-feed"), !=,
 			 archive);
 	g_assert_cmpuint(member_table_group_version(table, "lookup-desk"), !=,
@@ -157,14 +158,14 @@
 }
 
 /* A change in one group must not have entries look at all others again. */
-static void test_a_change_leaves_other_groups(void)
+static void test_other_groups_keep_their_version(void)
 {
 	struct member_table *table = member_table_create();
 	struct member member = record("esja-2", 5, MEMBER_ALIVE);
 	char *other[] = {"videos", NULL};
 	uint64_t version;
 
-	take(table, "esja-1", 5, MEMBER_ALIVE, true);
+	update_and_expect(table, "esja-1", 5, MEMBER_ALIVE, true);
 	version = member_table_group_version(table, "lookup-desk");
 	member.groups = other;
 	member_table_update(table, &member, 1000);
@@ -177,14 +178,16 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/member_table/old-word", test_old_word_never_wins);
-	g_test_add_func("/member_table/groups", test_groups_follow_the_record);
+	g_test_add_func("/member_table/outdated-record",
+			test_outdated_record_is_ignored);
+	g_test_add_func("/member_table/groups", test_group_index_follows_records);
 	g_test_add_func("/member_table/observers",
-			test_observers_hear_changes_only);
-	g_test_add_func("/member_table/digest", test_digest_counts_the_living);
-	g_test_add_func("/member_table/versions",
-			test_versions_tell_of_each_change);
+			test_observers_are_called_on_changes_only);
+	g_test_add_func("/member_table/digest",
+			test_digest_covers_live_members_only);
+	g_test_add_func("/member_table/group-versions",
+			test_group_version_changes_with_members);
 	g_test_add_func("/member_table/other-groups",
-			test_a_change_leaves_other_groups);
+			test_other_groups_keep_their_version);
 	return g_test_run();
 }
--- a/tests/test_reload.c
+++ b/tests/test_reload.c
@@ -62,53 +62,52 @@
 	g_free(f->directory);
 }
 
-static void hang_up(void)
+static void send_sighup(void)
 {
 	raise(SIGHUP);
 	ev_run(EV_DEFAULT, EVRUN_NOWAIT);
 	ev_run(EV_DEFAULT, EVRUN_NOWAIT);
 }
 
-static void test_signal_takes_over(struct fixture *f, gconstpointer data)
+static void test_sighup_applies_settings(struct fixture *f, gconstpointer data)
 {
 	(void)data;
 	write_settings(f, "r", QUIET("2000"));
-	hang_up();
+	send_sighup();
 	g_assert_cmpuint(f->settings->drain_timeout_ms, ==, 2000);
 }
 
 /* Half of a file is written when the signal comes, or somebody mistyped. What
  * is in force must stay, whole. */
-static void test_faulty_file_changes_nothing(struct fixture *f, gconstpointer data)
+static void test_invalid_file_is_rejected(struct fixture *f, gconstpointer data)
 {
 	(void)data;
 	write_settings(f, "r", "\"soon\"");
-	hang_up();
+	send_sighup();
 	g_assert_cmpuint(f->settings->drain_timeout_ms, ==, 1000);
 	g_assert_true(g_file_set_contents(f->file, "{\"host\": ", -1, NULL));
-	hang_up();
+	send_sighup();
 	g_assert_cmpuint(f->settings->drain_timeout_ms, ==, 1000);
 	g_unlink(f->file);
-	hang_up();
+	send_sighup();
 	g_assert_cmpuint(f->settings->drain_timeout_ms, ==, 1000);
 }
 
 /* A host can't move while its daemon runs; the rest is taken. */
-static void test_place_waits_for_the_next_start(struct fixture *f,
-						gconstpointer data)
+static void test_fixed_settings_need_restart(struct fixture *f, gconstpointer data)
 {
 	struct settings changed = *f->settings;
 
 	(void)data;
 	changed.drain_timeout_ms = 5;
-	g_assert_cmpint(settings_take_over(f->settings, &changed), ==,
+	g_assert_cmpint(settings_apply_reload(f->settings, &changed), ==,
 			RELOAD_DONE);
 	write_settings(f, "elsewhere", QUIET("3000"));
-	hang_up();
+	send_sighup();
 	g_assert_cmpuint(f->settings->drain_timeout_ms, ==, 3000);
 	g_assert_cmpstr(f->settings->region, ==, "r");
 	changed.region = (char *)"elsewhere";
-	g_assert_cmpint(settings_take_over(f->settings, &changed), ==,
+	g_assert_cmpint(settings_apply_reload(f->settings, &changed), ==,
 			RELOAD_PARTLY);
 }
 
@@ -117,13 +116,13 @@
  * operator lowers the budget of the daemons as they run; a restart would end
  * the fault before it was understood.
  */
-static void test_log_budget_is_taken_over(struct fixture *f, gconstpointer data)
+static void test_log_budget_is_applied(struct fixture *f, gconstpointer data)
 {
 	uint64_t before;
 
 	(void)data;
 	write_settings(f, "r", LOUD);
-	hang_up();
+	send_sighup();
 	before = counters.log_lines;
 	for (unsigned int i = 0; i < 1000; i++)
 		log_event(EV_ENTRY_FAILED, LOG_TRACE("t"), LOG_INT("number", i));
@@ -131,7 +130,7 @@
 	g_assert_cmpuint(counters.log_lines - before, >, 0);
 	g_assert_cmpuint(counters.log_lines - before, <=, 30);
 	write_settings(f, "r", QUIET("1000"));
-	hang_up();
+	send_sighup();
 	before = counters.log_lines;
 	log_event(EV_DAEMON_STARTED);
 	g_assert_cmpuint(counters.log_lines, ==, before);
@@ -144,9 +143,9 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	log_init(LOG_FORMAT_NONE, "test");
-	ADD("/reload/signal", test_signal_takes_over);
-	ADD("/reload/faulty", test_faulty_file_changes_nothing);
-	ADD("/reload/log-budget", test_log_budget_is_taken_over);
-	ADD("/reload/place", test_place_waits_for_the_next_start);
+	ADD("/reload/signal", test_sighup_applies_settings);
+	ADD("/reload/invalid", test_invalid_file_is_rejected);
+	ADD("/reload/log-budget", test_log_budget_is_applied);
+	ADD("/reload/fixed-settings", test_fixed_settings_need_restart);
 	return g_test_run();
 }
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -6,7 +6,7 @@
 #include "common/log.h"
 #include "rows_fixture.h"
 
-static void note_left(bool is_deleted, void *data)
+static void store_leave_result(bool is_deleted, void *data)
 {
 	*(int *)data = is_deleted;
 }
@@ -15,7 +15,7 @@
  * The platform loses the answer to the first write, which took effect. A
  * daemon that wrote again without looking would meet a conflict for ever.
  */
-static void test_lost_answer_is_resolved(void)
+static void test_lost_write_answer_is_resolved(void)
 {
 	int left = -1;
 
@@ -23,7 +23,7 @@
 	rows_run(120);
 	g_assert_nonnull(rows_stored("hosts/surco-1"));
 	g_assert_cmpuint(fixture.store.writes, ==, 1);
-	rows_leave(fixture.rows, note_left, &left);
+	rows_leave(fixture.rows, store_leave_result, &left);
 	rows_run(5);
 	g_assert_cmpint(left, ==, 1);
 	g_assert_null(rows_stored("hosts/surco-1"));
@@ -37,18 +37,18 @@
  * asked every second, their load would keep it down; if they gave up, hosts
  * that start later would not find them.
  */
-static void test_outage_is_waited_out(void)
+static void test_store_outage_backs_off(void)
 {
 	int left = -1;
 
 	rows_begin(STORE_DOWN);
 	rows_run(6 * HOUR);
 	g_assert_cmpuint(fixture.store.reads, <, 2 * 6 * HOUR / 150 + 40);
-	fixture.store.mood = STORE_UP;
+	fixture.store.mode = STORE_UP;
 	rows_run(600);
 	g_assert_nonnull(rows_stored("hosts/surco-1"));
-	fixture.store.mood = STORE_DOWN;
-	rows_leave(fixture.rows, note_left, &left);
+	fixture.store.mode = STORE_DOWN;
+	rows_leave(fixture.rows, store_leave_result, &left);
 	rows_run(10);
 	g_assert_cmpint(left, ==, 0);
 	rows_finish();
@@ -67,7 +67,7 @@
 	rows_run(5);
 	g_assert_cmpuint(fixture.joined->len, >, 0);
 	rows_run(60);
-	rows_meet("surco-2", 5, MEMBER_ALIVE);
+	rows_add_member("surco-2", 5, MEMBER_ALIVE);
 	rows_run(60);
 	fixture.store.reads = 0;
 	rows_run(6 * HOUR);
@@ -81,11 +81,11 @@
  * each read a page nevertheless, the platform would be asked for all of them
  * in one half second, and operators' applies would wait behind that.
  */
-static void test_a_host_with_peers_reads_no_page_at_once(void)
+static void test_host_with_peers_delays_first_page(void)
 {
 	rows_begin(STORE_UP);
 	rows_put_row("zarate-1", 5);
-	rows_meet("surco-2", 5, MEMBER_ALIVE);
+	rows_add_member("surco-2", 5, MEMBER_ALIVE);
 	rows_run(4);
 	g_assert_cmpuint(fixture.joined->len, ==, 0);
 	rows_run(60);
@@ -102,15 +102,15 @@
  * writes its own row. Were the old word still acted on, the successor's row
  * would be deleted and daemons that start would not find it.
  */
-static void test_stale_rows_go_by_incarnation(void)
+static void test_stale_rows_are_deleted_by_incarnation(void)
 {
 	rows_begin(STORE_UP);
 	rows_put_row("callao-1", 5);
 	rows_put_row("callao-2", 9);
 	rows_put_row("callao-3", 5);
-	rows_meet("callao-1", 5, MEMBER_DEAD);
-	rows_meet("callao-2", 5, MEMBER_DEAD);
-	rows_meet("callao-3", 5, MEMBER_ALIVE);
+	rows_add_member("callao-1", 5, MEMBER_DEAD);
+	rows_add_member("callao-2", 5, MEMBER_DEAD);
+	rows_add_member("callao-3", 5, MEMBER_ALIVE);
 	rows_run(5 * HOUR);
 	g_assert_nonnull(rows_stored("hosts/callao-1"));
 	rows_run(3 * HOUR);
@@ -120,12 +120,12 @@
 	rows_finish();
 }
 
-static void test_unknown_hosts_row_goes_after_hours(void)
+static void test_unknown_hosts_row_is_deleted(void)
 {
 	rows_begin(STORE_UP);
 	rows_put_row("callao-3", 5);
 	rows_put_row("callao-4", 5);
-	rows_meet("callao-3", 5, MEMBER_ALIVE);
+	rows_add_member("callao-3", 5, MEMBER_ALIVE);
 	rows_run(5 * HOUR);
 	g_assert_nonnull(rows_stored("hosts/callao-4"));
 	rows_run(4 * HOUR);
@@ -138,7 +138,7 @@
  * its row now and then. On waking, the old one must neither overwrite nor, on
  * leaving, delete that row, or daemons that start would not find the new host.
  */
-static void test_later_start_keeps_its_row(void)
+static void test_row_of_later_start_is_kept(void)
 {
 	int left = -1;
 
@@ -148,7 +148,7 @@
 		rows_run(300);
 	}
 	g_assert_cmpuint(fixture.store.writes, ==, 0);
-	rows_leave(fixture.rows, note_left, &left);
+	rows_leave(fixture.rows, store_leave_result, &left);
 	rows_run(5);
 	g_assert_cmpint(left, ==, 1);
 	g_assert_cmpuint(fixture.store.deletes, ==, 0);
@@ -160,7 +160,7 @@
  * earlier one looks newer. It never changes again, and must be replaced, or
  * the host could be found only at an address it no longer has.
  */
-static void test_earlier_starts_row_is_replaced(void)
+static void test_row_of_earlier_start_is_replaced(void)
 {
 	rows_begin(STORE_UP);
 	rows_put_row("surco-1", 60);
@@ -185,13 +185,13 @@
 
 /* Guards against hosts without a row for minutes after the store was set back: who
  * starts meanwhile finds none of them. */
-static void test_a_row_that_the_copy_lacks_is_written(void)
+static void test_row_is_rewritten_after_restore(void)
 {
 	rows_begin(STORE_UP);
 	rows_run(120);
 	g_tree_remove(fixture.store.rows, "hosts/surco-1");
 	rows_note_restored(fixture.rows);
-	rows_run((int)(ROWS_RESTORED_US / US_PER_S) + 1);
+	rows_run((int)(ROWS_RESTORED_CHECK_MAX_US / US_PER_S) + 1);
 	g_assert_nonnull(rows_stored("hosts/surco-1"));
 	rows_finish();
 }
@@ -199,18 +199,18 @@
 /* The daemon ends while the platform is slow; the answer comes afterwards. */
 static void test_late_answer_is_dropped(void)
 {
-	rows_begin(STORE_SILENT);
+	rows_begin(STORE_HOLDS_READS);
 	rows_run(1);
-	g_assert_cmpuint(fixture.store.held_count, >, 0);
+	g_assert_cmpuint(fixture.store.held_answer_count, >, 0);
 	rows_destroy(fixture.rows);
 	fixture.rows = NULL;
-	for (size_t i = 0; i < fixture.store.held_count; i++)
-		fixture.store.held[i].handler(ROWS_OK, NULL, 0,
-					      fixture.store.held[i].data);
+	for (size_t i = 0; i < fixture.store.held_answer_count; i++)
+		fixture.store.held_answers[i].handler(
+			ROWS_OK, NULL, 0, fixture.store.held_answers[i].data);
 	rows_finish();
 }
 
-static void test_malformed_rows_are_refused(void)
+static void test_malformed_rows_are_rejected(void)
 {
 	static const char *const bad[] = {
 		"",
@@ -238,20 +238,20 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	log_init(LOG_FORMAT_NONE, "test");
-	g_test_add_func("/rows/lost-answer", test_lost_answer_is_resolved);
-	g_test_add_func("/rows/outage", test_outage_is_waited_out);
+	g_test_add_func("/rows/lost-answer", test_lost_write_answer_is_resolved);
+	g_test_add_func("/rows/outage", test_store_outage_backs_off);
 	g_test_add_func("/rows/pages", test_peers_are_found_page_by_page);
-	g_test_add_func("/rows/no-page",
-			test_a_host_with_peers_reads_no_page_at_once);
-	g_test_add_func("/rows/stale", test_stale_rows_go_by_incarnation);
-	g_test_add_func("/rows/unknown", test_unknown_hosts_row_goes_after_hours);
-	g_test_add_func("/rows/later-start", test_later_start_keeps_its_row);
+	g_test_add_func("/rows/delayed-page",
+			test_host_with_peers_delays_first_page);
+	g_test_add_func("/rows/stale",
+			test_stale_rows_are_deleted_by_incarnation);
+	g_test_add_func("/rows/unknown-host", test_unknown_hosts_row_is_deleted);
+	g_test_add_func("/rows/later-start", test_row_of_later_start_is_kept);
 	g_test_add_func("/rows/earlier-start",
-			test_earlier_starts_row_is_replaced);
+			test_row_of_earlier_start_is_replaced);
 	g_test_add_func("/rows/deleted", test_deleted_row_is_written_again);
-	g_test_add_func("/rows/restored",
-			test_a_row_that_the_copy_lacks_is_written);
+	g_test_add_func("/rows/restored", test_row_is_rewritten_after_restore);
 	g_test_add_func("/rows/late-answer", test_late_answer_is_dropped);
-	g_test_add_func("/rows/malformed", test_malformed_rows_are_refused);
+	g_test_add_func("/rows/malformed", test_malformed_rows_are_rejected);
 	return g_test_run();
 }
--- a/tests/test_rows_quarantine.c
+++ b/tests/test_rows_quarantine.c
@@ -5,10 +5,10 @@
 #include "common/log.h"
 #include "rows_fixture.h"
 
-#define DEADLY 7
+#define CRASHING_KEY 7
 
 /* Three crashes: one beside this daemon, two elsewhere. */
-static void hold_in(struct quarantine *quarantine, uint64_t key)
+static void quarantine_key_in(struct quarantine *quarantine, uint64_t key)
 {
 	static const char *const hosts[] = {"surco-1", "surco-2", "callao-1"};
 
@@ -19,39 +19,40 @@
 			clock_mono_us());
 }
 
-static void hold(uint64_t key)
+static void quarantine_key(uint64_t key)
 {
-	hold_in(fixture.quarantine, key);
+	quarantine_key_in(fixture.quarantine, key);
 }
 
 /* Guards against requests that end upstreams anew after all daemons that knew them
  * were gone at once. */
-static void test_what_is_held_outlives_a_power_loss(void)
+static void test_quarantine_survives_power_loss(void)
 {
 	rows_begin(STORE_UP);
 	rows_run(10);
-	hold(DEADLY);
+	quarantine_key(CRASHING_KEY);
 	rows_run(2);
 	rows_stop();
 	rows_start();
 	g_assert_cmpuint(quarantine_held(fixture.quarantine), ==, 0);
 	rows_run(2);
 	g_assert_cmpuint(quarantine_held(fixture.quarantine), ==, 1);
-	g_assert_cmpint(
-		quarantine_judge(fixture.quarantine, DEADLY, clock_mono_us()).verdict,
-		==, QUARANTINE_HELD);
+	g_assert_cmpint(quarantine_judge(fixture.quarantine, CRASHING_KEY,
+					 clock_mono_us())
+				.verdict,
+			==, QUARANTINE_HELD);
 	rows_finish();
 }
 
 /* Guards against a request that is refused after a power loss though it had been
  * cleared. */
-static void test_what_was_cleared_does_not_come_back(void)
+static void test_cleared_request_stays_cleared(void)
 {
 	rows_begin(STORE_UP);
 	rows_run(10);
-	hold(DEADLY);
+	quarantine_key(CRASHING_KEY);
 	rows_run(2);
-	quarantine_note_answer(fixture.quarantine, DEADLY, clock_mono_us());
+	quarantine_note_answer(fixture.quarantine, CRASHING_KEY, clock_mono_us());
 	rows_run(2);
 	rows_stop();
 	rows_start();
@@ -62,14 +63,14 @@
 
 /* Guards against a daemon that has lost all its peers, and lets a request through
  * that ended upstreams at theirs. */
-static void test_who_has_no_peers_learns_from_their_rows(void)
+static void test_isolated_daemon_reads_peer_rows(void)
 {
 	struct quarantine *other =
 		quarantine_create(QUARANTINE_TRIAL_US, NULL, NULL);
 
 	rows_begin(STORE_UP);
 	rows_run(10);
-	hold_in(other, DEADLY);
+	quarantine_key_in(other, CRASHING_KEY);
 	rows_put_row_with("surco-2", 5, other);
 	rows_run(3);
 	g_assert_cmpuint(quarantine_held(fixture.quarantine), ==, 1);
@@ -78,10 +79,10 @@
 }
 
 /* Guards against a store that is asked by each host for each crash anywhere. */
-static void test_only_hosts_of_the_crashes_write(void)
+static void test_unaffected_hosts_write_no_row(void)
 {
 	rows_begin(STORE_UP);
-	rows_meet("surco-2", 5, MEMBER_ALIVE);
+	rows_add_member("surco-2", 5, MEMBER_ALIVE);
 	rows_run(10);
 	fixture.store.reads = fixture.store.writes = 0;
 	for (uint64_t key = 1; key <= QUARANTINE_RECORDS_MAX; key++) {
@@ -96,7 +97,7 @@
 }
 
 /* Guards against a row that grows with each request that is held. */
-static void test_the_row_is_bounded(void)
+static void test_row_size_is_bounded(void)
 {
 	enum {
 		ROW_BYTES_MAX = 2048
@@ -106,7 +107,7 @@
 	rows_run(10);
 	fixture.store.writes = 0;
 	for (uint64_t key = 1; key <= QUARANTINE_RECORDS_MAX; key++)
-		hold(key);
+		quarantine_key(key);
 	rows_run(10);
 	g_assert_cmpuint(fixture.store.writes, ==, 1);
 	g_assert_cmpuint(strlen(rows_stored("hosts/surco-1")), <, ROW_BYTES_MAX);
@@ -115,7 +116,7 @@
 	rows_finish();
 }
 
-static void test_malformed_quarantine_is_left_out(void)
+static void test_malformed_quarantine_is_skipped(void)
 {
 	static const char *const bad[] = {
 		"{}",
@@ -145,15 +146,15 @@
 	g_test_init(&argc, &argv, NULL);
 	log_init(LOG_FORMAT_NONE, "test");
 	g_test_add_func("/rows-quarantine/power-loss",
-			test_what_is_held_outlives_a_power_loss);
+			test_quarantine_survives_power_loss);
 	g_test_add_func("/rows-quarantine/cleared",
-			test_what_was_cleared_does_not_come_back);
+			test_cleared_request_stays_cleared);
 	g_test_add_func("/rows-quarantine/no-peers",
-			test_who_has_no_peers_learns_from_their_rows);
-	g_test_add_func("/rows-quarantine/elsewhere",
-			test_only_hosts_of_the_crashes_write);
-	g_test_add_func("/rows-quarantine/bounded", test_the_row_is_bounded);
+			test_isolated_daemon_reads_peer_rows);
+	g_test_add_func("/rows-quarantine/unaffected-hosts",
+			test_unaffected_hosts_write_no_row);
+	g_test_add_func("/rows-quarantine/bounded", test_row_size_is_bounded);
 	g_test_add_func("/rows-quarantine/malformed",
-			test_malformed_quarantine_is_left_out);
+			test_malformed_quarantine_is_skipped);
 	return g_test_run();
 }
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -106,7 +106,7 @@
 		       "peer.advertise.address: an IP number is expected");
 }
 
-static void test_mistakes_are_named(void)
+static void test_errors_name_the_setting(void)
 {
 	assert_refused("\"127.0.0.2:8081\"", "\"localhost:8081\"",
 		       "peer.join: \"localhost:8081\" is not IP:PORT");
@@ -198,7 +198,7 @@
 }
 
 /* Any address may be given as one text, which the page says once for all. */
-static bool is_told_once(const char *key)
+static bool is_documented_once(const char *key)
 {
 	return strcmp(key, "at") == 0;
 }
@@ -214,7 +214,7 @@
 
 		if (json_object_is_type(value, json_type_object))
 			assert_documented(page, value, below);
-		else if (!is_told_once(key) && !strstr(page, quoted))
+		else if (!is_documented_once(key) && !strstr(page, quoted))
 			g_error("docs/settings.md does not tell of %s", name);
 		g_free(below);
 		g_free(quoted);
@@ -252,7 +252,7 @@
 	g_test_add_func("/settings/sample", test_sample_is_valid);
 	g_test_add_func("/settings/open-admin", test_open_admin_needs_token);
 	g_test_add_func("/settings/advertise", test_advertised_address);
-	g_test_add_func("/settings/mistakes", test_mistakes_are_named);
+	g_test_add_func("/settings/errors", test_errors_name_the_setting);
 	g_test_add_func("/settings/template", test_template_is_valid);
 	g_test_add_func("/settings/documented", test_settings_are_documented);
 	return g_test_run();
--- a/tests/test_swim.c
+++ b/tests/test_swim.c
@@ -7,7 +7,7 @@
  * A host loses its power. Until the others know, calls go to it and wait for
  * nothing; the others hold it dead after a few seconds.
  */
-static void test_kill_is_detected(void)
+static void test_killed_host_is_detected(void)
 {
 	double joined_s, detected_s;
 
@@ -38,7 +38,7 @@
  * A peer with the right key sends what no peer should: a release with a fault,
  * say. It must neither end the daemon nor get past the bounds of a record.
  */
-static void test_garbled_bodies_do_no_harm(void)
+static void test_corrupted_messages_are_handled(void)
 {
 	uint8_t body[SWIM_BODY_MAX];
 	unsigned int taken = 0;
@@ -66,7 +66,7 @@
  * A fifth of all packets is lost, so that probes of healthy hosts fail all the
  * time. A host held dead for that would lose its calls while it stands idle.
  */
-static void test_loss_kills_nobody(void)
+static void test_packet_loss_causes_no_false_deaths(void)
 {
 	net_start(12);
 	net_settle(10 * SECOND);
@@ -74,7 +74,7 @@
 	for (int s = 0; s < 300; s++) {
 		net_run(SECOND);
 		for (int i = 0; i < net.count; i++)
-			g_assert_false(net_anyone_holds_dead(i));
+			g_assert_false(net_any_considers_dead(i));
 	}
 	net_stop();
 }
@@ -84,7 +84,7 @@
  * To itself all others seem silent; were it to say so, its word would take
  * healthy hosts out of use everywhere.
  */
-static void test_frozen_wakes_gently(void)
+static void test_resumed_host_declares_nobody_dead(void)
 {
 	uint64_t before;
 
@@ -98,7 +98,7 @@
 	for (int s = 0; s < 30; s++) {
 		net_run(SECOND);
 		for (int i = 0; i < net.count; i++)
-			g_assert_true(i == 3 || !net_anyone_holds_dead(i));
+			g_assert_true(i == 3 || !net_any_considers_dead(i));
 	}
 	g_assert_true(net_agrees());
 	g_assert_cmpuint(swim_self(net.hosts[3].swim)->incarnation, >, before);
@@ -110,7 +110,7 @@
  * dead. When the line is back nobody restarts anything; the halves must find
  * each other by themselves, or each goes on with half of the hosts.
  */
-static void test_halves_merge(void)
+static void test_partition_heals(void)
 {
 	double merged_s;
 
@@ -137,7 +137,7 @@
 	for (int i = 0; i < net.count; i++) {
 		while (member_table_find(net.hosts[i].table, net.hosts[of].name)
 				       ->service_state != state ||
-		       net.hosts[i].head_heard < head) {
+		       net.hosts[i].known_config_head < head) {
 			net_step();
 			g_assert_cmpint(net.now_us - began_us, <, 10 * SECOND);
 		}
@@ -149,7 +149,7 @@
  * An operator drains an upstream, and applies a configuration. Entries that
  * don't hear of the drain go on to send calls there, each a wasted trip.
  */
-static void test_drain_and_head_spread(void)
+static void test_drain_and_config_head_spread(void)
 {
 	char *groups[] = {"reservas", NULL};
 	struct swim *swim;
@@ -166,7 +166,7 @@
 	g_assert_true(swim_announce(swim, MEMBER_SERVICE_DRAINING, groups, 9,
 				    500, net.now_us));
 	drained_us = run_until_all_see(7, MEMBER_SERVICE_DRAINING, 0);
-	net.hosts[7].head_heard = 42;
+	net.hosts[7].known_config_head = 42;
 	swim_set_config_head(swim, 42);
 	head_us = run_until_all_see(7, MEMBER_SERVICE_DRAINING, 42);
 	g_test_message("40 hosts: up %.2f s, drain %.2f s, head %.2f s",
@@ -178,7 +178,7 @@
 }
 
 /* One host knows, and has told for 5 s. RETURN VALUE: as of when. */
-static int64_t begin_with_word(void)
+static int64_t start_with_confirmed_head(void)
 {
 	int64_t told_us;
 
@@ -190,7 +190,7 @@
 	return told_us;
 }
 
-static void expect_word_not_younger(int64_t told_us)
+static void expect_confirmation_not_newer(int64_t told_us)
 {
 	for (int i = 0; i < HOSTS_MAX; i++)
 		g_assert_cmpint(net.hosts[i].told_us, <=, told_us);
@@ -201,33 +201,33 @@
  * others take its word, with the age that it has by then: made younger on its way, a
  * side without the platform would tell itself for ever that it is up to date.
  */
-static void test_word_spreads_and_ages(void)
+static void test_head_confirmation_spreads_and_ages(void)
 {
-	int64_t told_us = begin_with_word();
+	int64_t told_us = start_with_confirmed_head();
 
-	expect_word_not_younger(told_us);
+	expect_confirmation_not_newer(told_us);
 	for (int i = 0; i < HOSTS_MAX; i++)
 		g_assert_cmpint(net.hosts[i].told_us, >=, told_us - 2 * SECOND);
 	net_run(60 * SECOND);
-	expect_word_not_younger(told_us);
+	expect_confirmation_not_newer(told_us);
 	net_stop();
 }
 
 /* One is stopped for 20 s, and all that was said to it meanwhile waits for it. What it
  * reads first said "5 s ago" 20 s ago, and it is not to pass that on as fresh. */
-static void test_word_waits_for_a_stopped_host(void)
+static void test_head_confirmation_ages_in_socket_queue(void)
 {
-	int64_t told_us = begin_with_word();
+	int64_t told_us = start_with_confirmed_head();
 
 	net.hosts[3].is_frozen = true;
 	net_run(20 * SECOND);
 	net.hosts[3].is_frozen = false;
 	net_run(5 * SECOND);
-	expect_word_not_younger(told_us);
+	expect_confirmation_not_newer(told_us);
 	net_stop();
 }
 
-static void test_leaver_is_not_held_dead(void)
+static void test_leaving_host_is_not_declared_dead(void)
 {
 	net_start(12);
 	net_settle(10 * SECOND);
@@ -246,7 +246,7 @@
  * Its callers would be refused until the platform is back, unless the others
  * look for it.
  */
-static void test_restarted_leaver_is_found(void)
+static void test_restarted_host_is_rediscovered(void)
 {
 	net_start(12);
 	net_settle(10 * SECOND);
@@ -265,7 +265,7 @@
  * starts with a lower incarnation. If it kept that, the others would take its
  * word for old and hold it dead for ever.
  */
-static void test_lower_incarnation_overtakes(void)
+static void test_restart_with_lower_incarnation_is_accepted(void)
 {
 	net_start(6);
 	net_settle(10 * SECOND);
@@ -281,7 +281,7 @@
 
 /* A daemon that restarted while both of its seeds are gone for good knows
  * nobody, and finds peers by the platform's rows only: each is told of one. */
-static void net_tell_of_rows(void)
+static void join_from_platform_rows(void)
 {
 	int row = 0;
 
@@ -299,7 +299,7 @@
  * lost and late. Afterwards, with the network whole, all must agree: a healthy
  * host that stays dead to some has lost its calls for good.
  */
-static void test_random_faults_settle(void)
+static void test_membership_converges_after_random_faults(void)
 {
 	for (int round = 0; round < 12; round++) {
 		net_start(g_test_rand_int_range(3, 12));
@@ -326,7 +326,7 @@
 			net.hosts[i].side = 0;
 			net.hosts[i].is_frozen = false;
 		}
-		net_tell_of_rows();
+		join_from_platform_rows();
 		net_settle(240 * SECOND);
 		net_run(60 * SECOND);
 		g_assert_true(net_agrees());
@@ -334,15 +334,15 @@
 	}
 }
 
-#define RETURN_WITHIN_US (300LL * 1000)
-#define RETURN_JOINS 16
+#define RESTART_WINDOW_US (300LL * 1000)
+#define RESTART_JOINS 16
 
-static void start_returning(int i)
+static void restart_host(int i)
 {
 	char *groups[] = {"lookup-desk", NULL};
 
 	host_start(i);
-	host_join_some(i, RETURN_JOINS);
+	host_join_some(i, RESTART_JOINS);
 	swim_announce(net.hosts[i].swim, MEMBER_SERVICE_UP, groups, 11, 0,
 		      net.now_us);
 }
@@ -360,19 +360,19 @@
 
 /* Guards against daemons that know too few upstreams for seconds, where all hosts
  * come back at the same time and nobody has a table to pass on. */
-static void test_all_return_at_once(void)
+static void test_simultaneous_restart_converges(void)
 {
 	int64_t began_us;
-	int fewest = NET_ROOM;
+	int fewest = NET_HOSTS_MAX;
 	int sum = 0;
 
 	net_start(0);
-	net.count = NET_ROOM;
+	net.count = NET_HOSTS_MAX;
 	net.has_no_seeds = true;
 	began_us = net.now_us;
 	for (int i = 0; i < net.count; i++) {
-		start_returning(i);
-		while (net.now_us - began_us < i * RETURN_WITHIN_US / net.count)
+		restart_host(i);
+		while (net.now_us - began_us < i * RESTART_WINDOW_US / net.count)
 			net_step();
 	}
 	net_run(2 * SECOND);
@@ -415,7 +415,7 @@
  * moment. Neither the storm of news nor the pages may take more of the line
  * than stated, or gossip would slow down the calls it is there for.
  */
-static void test_join_and_storm_are_bounded(void)
+static void test_join_and_update_burst_bandwidth(void)
 {
 	uint64_t sent;
 	int64_t began_us;
@@ -446,20 +446,26 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/swim/kill", test_kill_is_detected);
+	g_test_add_func("/swim/kill", test_killed_host_is_detected);
 	g_test_add_func("/swim/domain", test_lost_domain_is_detected);
-	g_test_add_func("/swim/garbled", test_garbled_bodies_do_no_harm);
-	g_test_add_func("/swim/loss", test_loss_kills_nobody);
-	g_test_add_func("/swim/frozen", test_frozen_wakes_gently);
-	g_test_add_func("/swim/halves", test_halves_merge);
-	g_test_add_func("/swim/drain", test_drain_and_head_spread);
-	g_test_add_func("/swim/word", test_word_spreads_and_ages);
-	g_test_add_func("/swim/word-waits", test_word_waits_for_a_stopped_host);
-	g_test_add_func("/swim/leave", test_leaver_is_not_held_dead);
-	g_test_add_func("/swim/restart", test_restarted_leaver_is_found);
-	g_test_add_func("/swim/lower", test_lower_incarnation_overtakes);
-	g_test_add_func("/swim/random", test_random_faults_settle);
-	g_test_add_func("/swim/all-return", test_all_return_at_once);
-	g_test_add_func("/swim/bounded", test_join_and_storm_are_bounded);
+	g_test_add_func("/swim/corrupted", test_corrupted_messages_are_handled);
+	g_test_add_func("/swim/packet-loss",
+			test_packet_loss_causes_no_false_deaths);
+	g_test_add_func("/swim/frozen", test_resumed_host_declares_nobody_dead);
+	g_test_add_func("/swim/partition", test_partition_heals);
+	g_test_add_func("/swim/drain", test_drain_and_config_head_spread);
+	g_test_add_func("/swim/head-confirmation",
+			test_head_confirmation_spreads_and_ages);
+	g_test_add_func("/swim/head-confirmation-queued",
+			test_head_confirmation_ages_in_socket_queue);
+	g_test_add_func("/swim/leave", test_leaving_host_is_not_declared_dead);
+	g_test_add_func("/swim/restart", test_restarted_host_is_rediscovered);
+	g_test_add_func("/swim/lower-incarnation",
+			test_restart_with_lower_incarnation_is_accepted);
+	g_test_add_func("/swim/random-faults",
+			test_membership_converges_after_random_faults);
+	g_test_add_func("/swim/simultaneous-restart",
+			test_simultaneous_restart_converges);
+	g_test_add_func("/swim/bandwidth", test_join_and_update_burst_bandwidth);
 	return g_test_run();
 }
--- a/tests/test_swim_quarantine.c
+++ b/tests/test_swim_quarantine.c
@@ -2,15 +2,16 @@
 
 #include "swim_net.h"
 
-#define DEADLY 7
-#define SPREAD_US (2 * SECOND) /* well within the time that daemons have */
-#define RELEARN_US (5 * SECOND)
+#define CRASHING_KEY 7
+#define SPREAD_LIMIT_US \
+	(2 * SECOND) /* well within the time that daemons have */
+#define RELEARN_LIMIT_US (5 * SECOND)
 
-static void mark(int i, int count)
+static void note_crashes(int i, int count)
 {
 	for (int j = 0; j < count; j++)
 		quarantine_note_crash(
-			net.hosts[i].quarantine, DEADLY,
+			net.hosts[i].quarantine, CRASHING_KEY,
 			quarantine_crash_id(member_host_hash(net.hosts[i].name),
 					    (uint64_t)j),
 			net.now_us);
@@ -27,20 +28,20 @@
 }
 
 /* Marks the same request at three hosts. */
-static void mark_thrice(void)
+static void note_crash_on_three_hosts(void)
 {
 	for (int i = 0; i < QUARANTINE_CRASHES; i++)
-		mark(i * 3, 1);
+		note_crashes(i * 3, 1);
 }
 
 /* Guards against marks that stay where the crash was: each daemon would let the
  * request end three upstreams more. */
-static void test_marks_add_up_everywhere(void)
+static void test_marks_spread_to_all_hosts(void)
 {
 	net_start(HOSTS_MAX);
 	net_settle(20 * SECOND);
-	mark_thrice();
-	net_run(SPREAD_US);
+	note_crash_on_three_hosts();
+	net_run(SPREAD_LIMIT_US);
 	g_assert_cmpint(count_holding(), ==, net.count);
 	net_stop();
 }
@@ -57,65 +58,65 @@
 
 /* Guards against marks that wait for the news of hundreds of hosts that have just
  * started, while the request comes again. */
-static void test_marks_add_up_among_hundreds(void)
+static void test_marks_spread_in_large_cluster(void)
 {
 	double took_s;
 
-	net_start(NET_ROOM);
+	net_start(NET_HOSTS_MAX);
 	net_settle(60 * SECOND);
-	mark_thrice();
-	took_s = spread_s(2 * SPREAD_US);
+	note_crash_on_three_hosts();
+	took_s = spread_s(2 * SPREAD_LIMIT_US);
 	g_test_message("%d hosts: %.2f s", net.count, took_s);
 	g_assert_cmpint(count_holding(), ==, net.count);
 	net_stop();
 }
 
-static void test_marks_add_up_over_loss(void)
+static void test_marks_spread_despite_packet_loss(void)
 {
 	net_start(HOSTS_MAX);
 	net_settle(20 * SECOND);
 	net.loss_percent = 20;
 	net.delay_max_us = 50000;
-	mark_thrice();
-	net_run(2 * SPREAD_US);
+	note_crash_on_three_hosts();
+	net_run(2 * SPREAD_LIMIT_US);
 	g_assert_cmpint(count_holding(), ==, net.count);
 	net_stop();
 }
 
 /* Guards against a daemon that has forgotten by its restart what all others hold,
  * and lets the request end the upstream beside it. */
-static void test_a_restarted_daemon_learns(void)
+static void test_restarted_daemon_receives_marks(void)
 {
 	net_start(HOSTS_MAX);
 	net_settle(20 * SECOND);
-	mark_thrice();
+	note_crash_on_three_hosts();
 	net_run(30 * SECOND);
 	host_kill(5);
 	host_start(5);
-	net_run(SPREAD_US);
+	net_run(SPREAD_LIMIT_US);
 	g_assert_cmpuint(quarantine_held(net.hosts[5].quarantine), ==, 1);
 	net_stop();
 }
 
 /* Guards against a daemon that was cut off while the others learned. */
-static void test_who_was_cut_off_learns(void)
+static void test_partitioned_daemon_receives_marks(void)
 {
 	net_start(HOSTS_MAX);
 	net_settle(20 * SECOND);
 	net.hosts[HOSTS_MAX - 1].side = 1;
 	net_run(10 * SECOND);
-	mark_thrice();
+	note_crash_on_three_hosts();
 	net_run(30 * SECOND);
 	g_assert_cmpint(count_holding(), ==, net.count - 1);
 	net.hosts[HOSTS_MAX - 1].side = 0;
-	net_run(RELEARN_US);
+	net_run(RELEARN_LIMIT_US);
 	g_assert_cmpint(count_holding(), ==, net.count);
 	net_stop();
 }
 
 /* Guards against news of crashes that take the line from calls, or drown the news
  * of who is alive. */
-static void test_a_flood_of_marks_is_bounded(void)
+static void test_quarantine_bandwidth_is_bounded(void)
 {
 	uint64_t before;
 
@@ -141,15 +142,17 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/swim-quarantine/everywhere",
-			test_marks_add_up_everywhere);
-	g_test_add_func("/swim-quarantine/hundreds",
-			test_marks_add_up_among_hundreds);
-	g_test_add_func("/swim-quarantine/loss", test_marks_add_up_over_loss);
+	g_test_add_func("/swim-quarantine/all-hosts",
+			test_marks_spread_to_all_hosts);
+	g_test_add_func("/swim-quarantine/large-cluster",
+			test_marks_spread_in_large_cluster);
+	g_test_add_func("/swim-quarantine/packet-loss",
+			test_marks_spread_despite_packet_loss);
 	g_test_add_func("/swim-quarantine/restart",
-			test_a_restarted_daemon_learns);
-	g_test_add_func("/swim-quarantine/cut-off", test_who_was_cut_off_learns);
-	g_test_add_func("/swim-quarantine/bounded",
-			test_a_flood_of_marks_is_bounded);
+			test_restarted_daemon_receives_marks);
+	g_test_add_func("/swim-quarantine/partition",
+			test_partitioned_daemon_receives_marks);
+	g_test_add_func("/swim-quarantine/bandwidth",
+			test_quarantine_bandwidth_is_bounded);
 	return g_test_run();
 }
