--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -46,17 +46,17 @@
 };
 
 /* RETURN VALUE: false if the line is to be left out. */
-static bool log_limiter_allows(struct log_limiter *bound, int64_t now_us)
+static bool log_limiter_allows(struct log_limiter *limiter, int64_t now_us)
 {
-	if (now_us - bound->window_start_us >= LOG_WINDOW_US) {
-		bound->window_start_us = now_us;
-		bound->lines = 0;
+	if (now_us - limiter->window_start_us >= LOG_WINDOW_US) {
+		limiter->window_start_us = now_us;
+		limiter->lines = 0;
 	}
-	if (bound->lines < LOG_LINES_MAX) {
-		bound->lines++;
+	if (limiter->lines < LOG_LINES_MAX) {
+		limiter->lines++;
 		return true;
 	}
-	bound->suppressed++;
+	limiter->suppressed++;
 	return false;
 }
 
--- a/comfreydockd/member/rows_page.c
+++ b/comfreydockd/member/rows_page.c
@@ -118,7 +118,7 @@
 };
 
 static void page_process_row(struct rows *rows, const struct rows_row *row,
-			     struct page_limits *left)
+			     struct page_limits *remaining)
 {
 	struct member *known;
 	struct member written;
@@ -128,16 +128,17 @@
 		counters.rows_malformed++;
 		return;
 	}
-	if (left->has_no_peers)
+	if (remaining->has_no_peers)
 		rows_quarantine_merge(rows, row);
 	known = member_table_find(rows->options.table, written.host);
-	if (!known && left->peers > 0) {
-		left->peers--;
+	if (!known && remaining->peers > 0) {
+		remaining->peers--;
 		unknown_row_watch(rows, row);
 		rows->options.handle_peer(written.address, written.peer_port,
 					  rows->options.data);
-	} else if (known && left->deletes > 0 && row_is_stale(known, &written)) {
-		left->deletes--;
+	} else if (known && remaining->deletes > 0 &&
+		   row_is_stale(known, &written)) {
+		remaining->deletes--;
 		delete_stale(rows, row->key, row->version);
 	}
 }
@@ -153,8 +154,8 @@
 static void page_handle_read(struct rows *rows, enum rows_status status,
 			     const struct rows_row *found, size_t count)
 {
-	struct page_limits left = {.peers = PAGE_JOINS_MAX,
-				   .deletes = PAGE_DELETES_MAX};
+	struct page_limits remaining = {.peers = PAGE_JOINS_MAX,
+					.deletes = PAGE_DELETES_MAX};
 	size_t first = count > 0 ? (size_t)g_rand_int(rows->rand) % count : 0;
 
 	if (rows->is_leaving)
@@ -166,9 +167,9 @@
 		return;
 	}
 	rows->page_backoff_us = 0;
-	left.has_no_peers = !has_peers(rows);
+	remaining.has_no_peers = !has_peers(rows);
 	for (size_t i = 0; i < count; i++)
-		page_process_row(rows, &found[(first + i) % count], &left);
+		page_process_row(rows, &found[(first + i) % count], &remaining);
 	g_free(rows->page_start_key);
 	rows->page_start_key = count == ROWS_PAGE ?
 				       key_after(found[count - 1].key) :
--- a/comfreydockd/member/swim.c
+++ b/comfreydockd/member/swim.c
@@ -179,20 +179,21 @@
 
 /* Others hold this daemon for suspect or dead, or know a record from an
  * earlier start whose incarnation was higher. */
-static void handle_own_record(struct swim *swim, const struct member *heard)
+static void handle_own_record(struct swim *swim, const struct member *received)
 {
 	struct member record = *swim->self;
 
-	if (swim->has_left || heard->incarnation < record.incarnation ||
-	    (heard->incarnation == record.incarnation &&
-	     heard->state == MEMBER_ALIVE))
+	if (swim->has_left || received->incarnation < record.incarnation ||
+	    (received->incarnation == record.incarnation &&
+	     received->state == MEMBER_ALIVE))
 		return;
-	if (heard->state != MEMBER_ALIVE &&
+	if (received->state != MEMBER_ALIVE &&
 	    swim->local_health < SWIM_LOCAL_HEALTH_MAX)
 		swim->local_health++;
-	self_raise_incarnation(swim, &record, heard->incarnation);
+	self_raise_incarnation(swim, &record, received->incarnation);
 	if (swim->ops->handle_refuted)
-		swim->ops->handle_refuted(heard->state, swim->self->incarnation,
+		swim->ops->handle_refuted(received->state,
+					  swim->self->incarnation,
 					  swim->ops->data);
 }
 
@@ -202,42 +203,43 @@
  * known that could end. Forgotten dead, too, would never go away if daemons
  * told each other of them anew. */
 static bool complete_record(const struct member *known,
-			    const struct member *heard, struct member *record)
+			    const struct member *received, struct member *record)
 {
-	if (!known && (heard->state >= MEMBER_DEAD || !heard->address[0]))
+	if (!known && (received->state >= MEMBER_DEAD || !received->address[0]))
 		return false;
-	*record = *heard;
-	if (heard->address[0])
+	*record = *received;
+	if (received->address[0])
 		return true;
 	*record = *known;
-	record->state = heard->state;
-	record->incarnation = heard->incarnation;
+	record->state = received->state;
+	record->incarnation = received->incarnation;
 	return true;
 }
 
-static void handle_peer_record(struct swim *swim, const struct member *heard,
+static void handle_peer_record(struct swim *swim, const struct member *received,
 			       uint32_t suspected_by)
 {
-	struct member *known = member_table_find(swim->table, heard->host);
+	struct member *known = member_table_find(swim->table, received->host);
 	struct swim_node *node = known ? known->swim_data : NULL;
 	struct member record;
 
-	if (!complete_record(known, heard, &record))
+	if (!complete_record(known, received, &record))
 		return;
 	swim->suspected_by = suspected_by;
 	if (!member_table_update(swim->table, &record, swim->now_us) && node &&
-	    node->is_suspect && heard->state == MEMBER_SUSPECT &&
-	    heard->incarnation == known->incarnation)
+	    node->is_suspect && received->state == MEMBER_SUSPECT &&
+	    received->incarnation == known->incarnation)
 		swim_suspect_confirm(swim, node, suspected_by);
 }
 
 /* Whether the sender holds a member for suspect or dead that has refuted it
  * since. */
 static bool record_is_outdated(const struct member *known,
-			       const struct member *heard)
+			       const struct member *received)
 {
-	return known && heard->incarnation < known->incarnation &&
-	       (heard->state == MEMBER_SUSPECT || heard->state == MEMBER_DEAD);
+	return known && received->incarnation < known->incarnation &&
+	       (received->state == MEMBER_SUSPECT ||
+		received->state == MEMBER_DEAD);
 }
 
 static bool apply_records(struct swim *swim, const Cfd__Gossip *message,
--- a/comfreydockd/member/swim_message.c
+++ b/comfreydockd/member/swim_message.c
@@ -20,7 +20,7 @@
 
 /* For how long a packet that is read now may have waited. After a stop the tick comes
  * before the packets that waited all the while, so what it found counts for them. */
-static int64_t waited_us(const struct swim *swim)
+static int64_t queue_delay_us(const struct swim *swim)
 {
 	int64_t since_tick_us = MAX(swim->now_us - swim->ticked_at_us, 0);
 
@@ -39,7 +39,7 @@
 	if (!message->config_told_ms)
 		return -1;
 	return (int64_t)message->config_told_ms * 1000 + SWIM_HOP_MAX_US +
-	       waited_us(swim);
+	       queue_delay_us(swim);
 }
 
 void swim_packet_init(struct swim *swim, struct swim_packet *packet,
--- a/comfreydockd/member/swim_probe.c
+++ b/comfreydockd/member/swim_probe.c
@@ -150,17 +150,17 @@
 			    const struct swim_endpoint *from)
 {
 	struct member *sender = member_table_find(swim->table, message->from);
-	bool for_anybody = message->target[0] == '\0';
+	bool has_no_target = message->target[0] == '\0';
 	struct swim_packet packet;
 
 	/* An address may have passed to another host since. */
-	if (!for_anybody && strcmp(message->target, swim->self->host) != 0)
+	if (!has_no_target && strcmp(message->target, swim->self->host) != 0)
 		return;
 	swim_packet_init(swim, &packet, CFD__GOSSIP_KIND__GOSSIP_ACK,
 			 message->seq);
 	if (sender && sender->state != MEMBER_ALIVE)
 		swim_packet_add(swim, &packet, sender);
-	if (for_anybody)
+	if (has_no_target)
 		swim_packet_add(swim, &packet, swim->self);
 	swim_rumour_fill(swim, &packet);
 	swim_packet_send(swim, &packet, from->address, from->port);
--- a/comfreydockd/member/swim_sync.c
+++ b/comfreydockd/member/swim_sync.c
@@ -132,7 +132,7 @@
 	struct swim *swim;
 	const struct swim_endpoint *to;
 	struct swim_packet packet;
-	unsigned int left; /* that may still be sent */
+	unsigned int remaining; /* that may still be sent */
 };
 
 static void pages_begin(struct sync_pages *pages, unsigned int bucket)
@@ -152,7 +152,7 @@
 	pages->packet.message.is_last = is_last;
 	swim_packet_send(pages->swim, &pages->packet, pages->to->address,
 			 pages->to->port);
-	pages->left--;
+	pages->remaining--;
 }
 
 /* RETURN VALUE: false if no page is left; the last was sent. */
@@ -164,8 +164,8 @@
 		      bucket_link) {
 		if (swim_packet_add(pages->swim, &pages->packet, member))
 			continue;
-		pages_send(pages, bucket, pages->left == 1);
-		if (pages->left == 0)
+		pages_send(pages, bucket, pages->remaining == 1);
+		if (pages->remaining == 0)
 			return false;
 		pages_begin(pages, bucket);
 		swim_packet_add(pages->swim, &pages->packet, member);
@@ -176,10 +176,10 @@
 void swim_sync_handle_request(struct swim *swim, const Cfd__Gossip *message,
 			      const struct swim_endpoint *from)
 {
-	struct sync_pages pages = {
-		.swim = swim,
-		.to = from,
-		.left = CLAMP(message->max_packets, 1, FULL_SYNC_REPLIES_MAX)};
+	struct sync_pages pages = {.swim = swim,
+				   .to = from,
+				   .remaining = CLAMP(message->max_packets, 1,
+						      FULL_SYNC_REPLIES_MAX)};
 	unsigned int span = CLAMP(message->span, 1, MEMBER_BUCKETS);
 	unsigned int bucket = message->bucket;
 
--- a/comfreydockd/reload.c
+++ b/comfreydockd/reload.c
@@ -11,9 +11,9 @@
 	struct ev_loop *loop;
 	char *file;
 	struct settings *settings;
-	ev_signal hang_up;
+	ev_signal sighup;
 	ev_timer poll_timer;
-	struct timespec changed;
+	struct timespec modified_at;
 	off_t size;
 };
 
@@ -94,15 +94,15 @@
 	/* Gone for a moment, as while it is replaced. */
 	if (stat(reload->file, &now) < 0)
 		return false;
-	differs = now.st_mtim.tv_sec != reload->changed.tv_sec ||
-		  now.st_mtim.tv_nsec != reload->changed.tv_nsec ||
+	differs = now.st_mtim.tv_sec != reload->modified_at.tv_sec ||
+		  now.st_mtim.tv_nsec != reload->modified_at.tv_nsec ||
 		  now.st_size != reload->size;
-	reload->changed = now.st_mtim;
+	reload->modified_at = now.st_mtim;
 	reload->size = now.st_size;
 	return differs;
 }
 
-static void handle_hang_up(struct ev_loop *loop, ev_signal *signal, int events)
+static void handle_sighup(struct ev_loop *loop, ev_signal *signal, int events)
 {
 	struct reload *reload = signal->data;
 
@@ -131,12 +131,12 @@
 	reload->file = g_strdup(file);
 	reload->settings = settings;
 	file_has_changed(reload);
-	ev_signal_init(&reload->hang_up, handle_hang_up, SIGHUP);
+	ev_signal_init(&reload->sighup, handle_sighup, SIGHUP);
 	ev_timer_init(&reload->poll_timer, handle_poll, RELOAD_POLL_S,
 		      RELOAD_POLL_S);
-	reload->hang_up.data = reload;
+	reload->sighup.data = reload;
 	reload->poll_timer.data = reload;
-	ev_signal_start(loop, &reload->hang_up);
+	ev_signal_start(loop, &reload->sighup);
 	ev_timer_start(loop, &reload->poll_timer);
 	return reload;
 }
@@ -145,7 +145,7 @@
 {
 	if (!reload)
 		return;
-	ev_signal_stop(reload->loop, &reload->hang_up);
+	ev_signal_stop(reload->loop, &reload->sighup);
 	ev_timer_stop(reload->loop, &reload->poll_timer);
 	g_free(reload->file);
 	g_free(reload);
--- a/tests/swim_net.c
+++ b/tests/swim_net.c
@@ -39,7 +39,7 @@
 	g_assert_cmpuint(size, <=, SWIM_BODY_MAX);
 	memcpy(samples[sample_count % SAMPLES].body, body, size);
 	samples[sample_count++ % SAMPLES].size = size;
-	if (to < 0 || net.hosts[to].side != from->side ||
+	if (to < 0 || net.hosts[to].partition != from->partition ||
 	    g_test_rand_int_range(0, 100) < net.loss_percent)
 		return;
 	packet = g_new0(struct packet, 1);
--- a/tests/swim_net.h
+++ b/tests/swim_net.h
@@ -30,7 +30,7 @@
 	uint64_t incarnation;
 	bool is_frozen;
 	bool was_frozen; /* in this step: its timers are due */
-	int side; /* packets between two sides are lost */
+	int partition; /* packets between two sides are lost */
 	uint64_t sent_bytes;
 	uint64_t known_config_head;
 	int64_t told_us; /* as of then it knows of nothing newer; 0: never */
--- a/tests/test_swim.c
+++ b/tests/test_swim.c
@@ -117,13 +117,13 @@
 	net_start(12);
 	net_settle(10 * SECOND);
 	for (int i = 0; i < 6; i++)
-		net.hosts[i].side = 1;
+		net.hosts[i].partition = 1;
 	net_run(3600 * SECOND);
 	for (int i = 0; i < 12; i++)
 		g_assert_cmpint(state_of(0, i), ==,
 				i < 6 ? MEMBER_ALIVE : MEMBER_DEAD);
 	for (int i = 0; i < 6; i++)
-		net.hosts[i].side = 0;
+		net.hosts[i].partition = 0;
 	merged_s = net_settle(60 * SECOND);
 	g_test_message("halves of 6 merged in %.2f s", merged_s);
 	net_stop();
@@ -317,13 +317,13 @@
 			else if (what == 2)
 				host->is_frozen = !host->is_frozen;
 			else
-				host->side = !host->side;
+				host->partition = !host->partition;
 			net_run(g_test_rand_int_range(0, 10) * SECOND);
 		}
 		net.loss_percent = 0;
 		net.delay_max_us = 2000;
 		for (int i = 0; i < net.count; i++) {
-			net.hosts[i].side = 0;
+			net.hosts[i].partition = 0;
 			net.hosts[i].is_frozen = false;
 		}
 		join_from_platform_rows();
--- a/tests/test_swim_quarantine.c
+++ b/tests/test_swim_quarantine.c
@@ -103,12 +103,12 @@
 {
 	net_start(HOSTS_MAX);
 	net_settle(20 * SECOND);
-	net.hosts[HOSTS_MAX - 1].side = 1;
+	net.hosts[HOSTS_MAX - 1].partition = 1;
 	net_run(10 * SECOND);
 	note_crash_on_three_hosts();
 	net_run(30 * SECOND);
 	g_assert_cmpint(count_holding(), ==, net.count - 1);
-	net.hosts[HOSTS_MAX - 1].side = 0;
+	net.hosts[HOSTS_MAX - 1].partition = 0;
 	net_run(RELEARN_LIMIT_US);
 	g_assert_cmpint(count_holding(), ==, net.count);
 	net_stop();
