--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -17,13 +17,14 @@
 #include "common/log.h"
 #include "gossip_packet.h"
 
-#define RECEIVE_MAX 64 /* packets in one turn of the loop */
+#define RECEIVE_MAX 64 /* packets per event loop iteration */
 #define RECEIVE_BUFFER_BYTES (512 * 1024)
 #define LOG_WINDOW_US (10 * US_PER_S)
-#define LOG_LINES_MAX 20 /* of one kind in a window */
+#define LOG_LINES_MAX 20 /* of one kind per window */
 
-/* Bounds the lines of one kind: strangers' packets, or a failure domain's
- * hosts, come by the thousands and would fill the log. */
+/* Limits the log lines of one kind. Unauthenticated packets, or the state
+ * changes when a failure domain is lost, come by the thousands and would fill
+ * the log. */
 struct log_limiter {
 	int64_t window_start_us;
 	unsigned int lines;
@@ -45,7 +46,7 @@
 	struct log_limiter change_log;
 };
 
-/* RETURN VALUE: false if the line is to be left out. */
+/* RETURN VALUE: false if the limit is reached and the line must be omitted. */
 static bool log_limiter_allows(struct log_limiter *limiter, int64_t now_us)
 {
 	if (now_us - limiter->window_start_us >= LOG_WINDOW_US) {
@@ -73,8 +74,8 @@
 				  body, size, packet);
 	counters.gossip_packets_out++;
 	counters.gossip_bytes_out += size;
-	/* A lost packet is made good by the next; there is nothing to wait
-	 * for where the socket's buffer is full. */
+	/* If the socket's buffer is full, the packet is dropped without a
+	 * retry: gossip tolerates loss, and later packets repeat the news. */
 	if (sendto(gossip->fd, packet, size, 0, &to.any, to_size) < 0)
 		counters.gossip_send_failed++;
 }
@@ -129,7 +130,9 @@
 				   ev_io *watcher, int events G_GNUC_UNUSED)
 {
 	struct gossip *gossip = watcher->data;
-	uint8_t data[GOSSIP_PACKET_MAX + 1]; /* longer: cut, and refused */
+	/* One byte more than the maximum: a longer packet is truncated and then
+	 * refused. */
+	uint8_t data[GOSSIP_PACKET_MAX + 1];
 	union socket_address from;
 
 	gossip->now_us = clock_mono_us();
@@ -219,7 +222,8 @@
 		    0);
 	if (fd < 0)
 		return -1;
-	/* Best effort: the default holds fewer packets of a joiner's. */
+	/* Best effort: the default buffer holds too few of the sync replies
+	 * that a joining daemon receives. */
 	setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof(bytes));
 	if (bind(fd, &at.any, size) < 0) {
 		int error = errno;
--- a/comfreydockd/member/gossip_packet.c
+++ b/comfreydockd/member/gossip_packet.c
@@ -21,8 +21,8 @@
 		tag[i] = digest[i];
 }
 
-/* Takes the same time wherever the tags differ, so that a stranger cannot
- * guess one byte after the other. */
+/* Compares in constant time, so that an attacker cannot use the response time
+ * to guess a tag byte by byte. */
 static bool tag_equals(const uint8_t *a, const uint8_t *b)
 {
 	uint8_t difference = 0;
--- a/comfreydockd/member/gossip_packet.h
+++ b/comfreydockd/member/gossip_packet.h
@@ -1,9 +1,10 @@
 /*
  * NAME
- *	gossip_packet - the envelope of gossip's packets
+ *	gossip_packet - envelope of gossip packets
  *
  * DESCRIPTION
- *	A body in an envelope of version, body and tag.
+ *	Wraps a message body in an envelope of format version, body and
+ *	authentication tag, and verifies and unwraps received envelopes.
  */
 #ifndef COMFREYDOCKD_MEMBER_GOSSIP_PACKET_H
 #define COMFREYDOCKD_MEMBER_GOSSIP_PACKET_H
@@ -24,12 +25,14 @@
 	GOSSIP_PACKET_WRONG_TAG,
 };
 
-/* RETURN VALUE: the packet's size. */
+/* Writes the envelope of the body into packet.
+ * RETURN VALUE: the size of the packet in bytes. */
 size_t gossip_packet_seal(const uint8_t *key, size_t key_size,
 			  const uint8_t *body, size_t size,
 			  uint8_t packet[GOSSIP_PACKET_MAX]);
 
-/* On GOSSIP_PACKET_OK *opened is the caller's; else it is NULL. */
+/* On GOSSIP_PACKET_OK the caller owns *opened and frees it with
+ * cfd__packet__free_unpacked(); otherwise *opened is NULL. */
 enum gossip_packet_status gossip_packet_open(const uint8_t *key, size_t key_size,
 					     const uint8_t *packet, size_t size,
 					     Cfd__Packet **opened);
--- a/comfreydockd/member/member_table.c
+++ b/comfreydockd/member/member_table.c
@@ -12,7 +12,7 @@
 	struct member_list all;
 	GHashTable *by_host; /* member->host to member */
 	GHashTable *by_group; /* interned group to struct group */
-	uint64_t version; /* of the group that changed last */
+	uint64_t version; /* highest version given to any group */
 	GPtrArray *empty;
 	GArray *observers;
 	struct member_bucket buckets[MEMBER_BUCKETS];
@@ -121,7 +121,8 @@
 	return XXH3_64bits(member->host, strlen(member->host)) % MEMBER_BUCKETS;
 }
 
-/* Adds a live member to its bucket's digest, or takes it out again. */
+/* Adds a live member to its bucket's digest or, on the second call, removes
+ * it. Dead members and those that left don't count. */
 static void member_table_toggle_digest(struct member_table *table,
 				       const struct member *member)
 {
@@ -159,8 +160,9 @@
 	}
 }
 
-/* Never the same number twice, so that a group which was empty for a while is
- * not taken for the one before. */
+/* Gives each group of the member a new version. Versions come from one counter
+ * for all groups and are never reused. A group that was deleted when it became
+ * empty and was then created again thus can't be mistaken for the old one. */
 static void member_table_bump_group_versions(struct member_table *table,
 					     const struct member *member)
 {
@@ -180,7 +182,8 @@
 	return false;
 }
 
-/* One allocation, strings shared, each group once. */
+/* Copies the list without duplicates. The strings are interned, so only the
+ * array must be freed. */
 static char **groups_intern(char **groups)
 {
 	guint count = groups ? g_strv_length(groups) : 0;
@@ -261,7 +264,8 @@
 	struct member *member = g_new0(struct member, 1);
 
 	g_strlcpy(member->host, host, sizeof(member->host));
-	/* Not counted in the digest before its record was taken. */
+	/* Dead members don't count in the digest, so the caller can toggle the
+	 * digest before and after it applies the first record. */
 	member->state = MEMBER_DEAD;
 	TAILQ_INSERT_TAIL(&table->all, member, link);
 	g_hash_table_insert(table->by_host, member->host, member);
--- a/comfreydockd/member/rows.c
+++ b/comfreydockd/member/rows.c
@@ -1,7 +1,8 @@
 #include "common/clock.h"
 #include "rows_internal.h"
 
-/* If the own row could not be written by then. */
+/* The first page is read after the own row was written, or at a random time
+ * below this if the row could not be written by then. */
 #define FIRST_PAGE_DELAY_MAX_US (1000 * US_PER_MS)
 
 int64_t rows_random_us(struct rows *rows, int64_t below_us)
@@ -134,7 +135,8 @@
 		return;
 	ev_timer_stop(rows->options.loop, &rows->own_timer);
 	ev_timer_stop(rows->options.loop, &rows->page_timer);
-	/* Left to the store's answers; their list's head goes away here. */
+	/* The store still answers each call, and the answer frees it. The list
+	 * head is freed here, so the calls are unlinked first. */
 	while ((call = LIST_FIRST(&rows->calls))) {
 		LIST_REMOVE(call, link);
 		call->rows = NULL;
--- a/comfreydockd/member/rows_internal.h
+++ b/comfreydockd/member/rows_internal.h
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	rows_internal - what the parts of rows share
+ *	rows_internal - types and functions shared by the rows_*.c files
  */
 #ifndef COMFREYDOCKD_MEMBER_ROWS_INTERNAL_H
 #define COMFREYDOCKD_MEMBER_ROWS_INTERNAL_H
@@ -12,7 +12,7 @@
 /* A call that the store has not answered yet. */
 struct rows_call {
 	LIST_ENTRY(rows_call) link;
-	struct rows *rows; /* NULL: destroyed meanwhile */
+	struct rows *rows; /* NULL if destroyed in the meantime */
 	void (*handle_rows)(struct rows *rows, enum rows_status status,
 			    const struct rows_row *found, size_t count);
 	void (*handle_done)(struct rows *rows, enum rows_status status);
@@ -24,21 +24,22 @@
 	struct rows_options options;
 	struct rows_call_list calls;
 	GRand *rand;
-	/* The own row. */
+	/* This host's own row. */
 	ev_timer own_timer;
 	bool own_in_flight;
 	bool own_was_read;
-	bool own_check_pending; /* a check came due while one was under way */
+	bool own_check_pending; /* a check was requested during another */
 	char *own_key;
-	uint64_t own_incarnation; /* in the row */
-	uint64_t higher_row_version; /* of a row with a higher incarnation */
+	uint64_t own_incarnation; /* to write to the row */
+	/* Version of an own row that was last seen with a higher incarnation. */
+	uint64_t higher_row_version;
 	int64_t own_backoff_us;
-	/* Pages of others' rows. */
+	/* Pages of other hosts' rows. */
 	ev_timer page_timer;
 	bool pages_started;
 	char *page_start_key;
 	int64_t page_backoff_us;
-	/* A row whose host nobody here has met. */
+	/* The watched row of a host that the member table doesn't know. */
 	char *unknown_row_key;
 	uint64_t unknown_row_version;
 	int64_t unknown_since_us;
@@ -51,7 +52,12 @@
 /* rows.c */
 int64_t rows_random_us(struct rows *rows, int64_t below_us);
 void rows_timer_set(struct rows *rows, ev_timer *timer, int64_t us);
-/* A random time below twice the last, from MIN to MAX; doubles the last. */
+/*
+ * Doubles *backoff_us within ROWS_BACKOFF_MIN_US and ROWS_BACKOFF_MAX_US.
+ *
+ * RETURN VALUE
+ *	A random delay between half and one and a half times the new backoff.
+ */
 int64_t rows_backoff(struct rows *rows, int64_t *backoff_us);
 void rows_get(struct rows *rows, const char *first, const char *end,
 	      unsigned int limit,
@@ -67,16 +73,19 @@
 
 /* rows_quarantine.c */
 
-/* Adds what is held after a crash at that host; nothing where there is none. */
+/* Adds the records held after a crash on that host to the row's JSON object.
+ * Adds nothing if there are none. */
 void rows_quarantine_add(struct json_object *row,
 			 const struct quarantine *quarantine, const char *host);
 
-/* Takes what a row has of another start, or of another host. */
+/* Merges the records of a row into the quarantine. The row is that of an
+ * earlier start of this host, or of another host. */
 void rows_quarantine_merge(struct rows *rows, const struct rows_row *row);
 
 /* rows_page.c */
 
-/* The first page, if it is needed. */
+/* Reads the first page at once if this host has no peers; otherwise only
+ * schedules one. */
 void rows_page_start(struct rows *rows);
 void rows_page_read(struct rows *rows);
 
--- a/comfreydockd/member/rows_own.c
+++ b/comfreydockd/member/rows_own.c
@@ -49,8 +49,9 @@
 	log_event(EV_ROW_WRITTEN, LOG_STR("key", rows->own_key),
 		  LOG_INT("incarnation", rows->own_incarnation));
 	rows->own_backoff_us = 0;
-	/* Two daemons that start at the same moment both write before they
-	 * read: so one of them at least finds the other. */
+	/* The first page is read only after the own row was written. Of two
+	 * daemons that start at the same moment, at least one then finds the
+	 * row of the other. */
 	if (!rows->pages_started)
 		rows_timer_set(rows, &rows->page_timer, 0);
 	own_schedule_check(
@@ -69,9 +70,16 @@
 		own_handle_failure(rows, status);
 }
 
-/* A row with a higher incarnation is a later start's, which this process,
- * stopped meanwhile, must not overwrite; or an earlier start's, whose clock
- * went ahead. That one doesn't change until the next check. */
+/*
+ * Decides about an own row with a higher incarnation than this daemon's. It
+ * may come from a later start on this host; then this process was suspended in
+ * the meantime and must not overwrite it. Or it comes from an earlier start
+ * while the host's clock was ahead; such a row is unchanged at the next check
+ * and is replaced.
+ *
+ * RETURN VALUE
+ *	true if this daemon must leave the row alone.
+ */
 static bool own_yields(struct rows *rows, const struct rows_row *row,
 		       uint64_t incarnation)
 {
@@ -116,7 +124,8 @@
 	g_free(text);
 }
 
-/* What this host held before it was started again, as after a power loss. */
+/* The first read restores the records that this host held in quarantine before
+ * it restarted, for example after a power loss. */
 static void own_merge_quarantine(struct rows *rows, const struct rows_row *row)
 {
 	if (!rows->own_was_read && row)
--- a/comfreydockd/member/rows_page.c
+++ b/comfreydockd/member/rows_page.c
@@ -7,8 +7,8 @@
 
 #define PAGE_END "hosts0" /* the first key after the prefix */
 #define PAGE_INTERVAL_US US_PER_S /* between pages while there are no peers */
-#define PAGE_JOINS_MAX 16 /* joined from a page */
-#define PAGE_DELETES_MAX 4 /* from a page */
+#define PAGE_JOINS_MAX 16 /* hosts joined per page */
+#define PAGE_DELETES_MAX 4 /* stale rows deleted per page */
 
 static bool has_peers(struct rows *rows)
 {
@@ -22,7 +22,8 @@
 	return false;
 }
 
-/* Host ids have no character below '!', so no key lies between the two. */
+/* Returns a key directly after the given one. Host ids have no character below
+ * '!', so no other key sorts between the two. */
 static char *key_after(const char *key)
 {
 	return g_strconcat(key, "!", NULL);
@@ -43,7 +44,8 @@
 static void page_handle_deleted(struct rows *rows G_GNUC_UNUSED,
 				enum rows_status status)
 {
-	/* A conflict: the host wrote anew, or another was quicker. */
+	/* A conflict is no failure: the host has written its row again, or
+	 * another daemon has deleted it. */
 	if (status == ROWS_OK)
 		counters.rows_stale_deleted++;
 }
@@ -96,9 +98,12 @@
 	}
 }
 
-/* One row of a host that the table doesn't know is watched at a time. If its
- * host stays unknown for long, although all that read it try to join it, it
- * died while nobody who knew it is left. */
+/*
+ * Watches one row at a time whose host the member table doesn't know. Each
+ * daemon that reads such a row tries to join its host. If the host still stays
+ * unknown for ROWS_STALE_US, it has died and no daemon that knew it is left, so
+ * the row is deleted.
+ */
 static void unknown_row_check(struct rows *rows)
 {
 	char *end;
@@ -110,11 +115,11 @@
 	g_free(end);
 }
 
-/* What may still be done for one page. */
+/* Limits the work done for one page; counts down. */
 struct page_limits {
 	unsigned int peers;
 	unsigned int deletes;
-	bool has_no_peers; /* nobody else tells what the quarantine holds */
+	bool has_no_peers; /* so only rows hold the peers' quarantine */
 };
 
 static void page_process_row(struct rows *rows, const struct rows_row *row,
@@ -177,8 +182,9 @@
 	rows_timer_set(rows, &rows->page_timer, page_interval_us(rows));
 }
 
-/* Once this host has peers, gossip tells the rest: pages only find those that
- * no gossip reaches, and the stale. */
+/* While this host has no peers, pages are read in order. Once it has peers,
+ * gossip finds the other hosts, and a page from a random point only finds stale
+ * rows and hosts that gossip doesn't reach. */
 void rows_page_read(struct rows *rows)
 {
 	if (has_peers(rows)) {
@@ -191,9 +197,10 @@
 }
 
 /*
- * A host that met its peers by the settings needs no page to find any. When a
- * failure domain comes back, some 1,700 hosts would all read one in the same
- * half second, most of what the platform gives to everybody.
+ * A host that found its peers through the settings needs no page at once. When
+ * a failure domain of some 1,700 hosts returns, all of them would read a page
+ * within the same half second, which is most of the read capacity that the
+ * platform has for all its clients.
  */
 void rows_page_start(struct rows *rows)
 {
--- a/comfreydockd/member/rows_quarantine.c
+++ b/comfreydockd/member/rows_quarantine.c
@@ -5,9 +5,9 @@
 #include "common/log.h"
 #include "rows_internal.h"
 
-/* The records of one host. */
+/* The held records that name a crash on one host. */
 struct host_records {
-	uint32_t host;
+	uint32_t host; /* its member_host_hash() */
 	GPtrArray *records; /* of const struct quarantine_record */
 };
 
@@ -45,8 +45,8 @@
 	return object;
 }
 
-/* In the order of their keys: a row that only lists them in another order would be
- * written again. */
+/* Sorts the records by key. A row that lists the same records in another order
+ * would differ and be written again. */
 static GPtrArray *records_for_host(const struct quarantine *quarantine,
 				   const char *host)
 {
--- a/comfreydockd/member/swim.c
+++ b/comfreydockd/member/swim.c
@@ -2,13 +2,13 @@
 
 #include "swim_internal.h"
 
-#define FREEZE_LOCAL_HEALTH \
-	4 /* doubt after a stop: later probes, longer waits */
-#define MERGE_SYNC_INTERVAL_US \
-	(60 * US_PER_S) /* between passes after a merge */
+/* Local health after a freeze: probes become rarer and timeouts longer. */
+#define FREEZE_LOCAL_HEALTH 4
+/* Between full passes that start because a dead peer answers. */
+#define MERGE_SYNC_INTERVAL_US (60 * US_PER_S)
 #define US_PER_S ((int64_t)1000000)
 
-/* splitmix64; enough to choose whom to talk to. */
+/* The splitmix64 generator. It is not secure, which is fine for choosing peers. */
 uint32_t swim_random_below(struct swim *swim, uint32_t limit)
 {
 	uint64_t z = (swim->random += 0x9e3779b97f4a7c15ULL);
@@ -54,8 +54,9 @@
 	member->swim_data = node;
 	if (strcmp(member->host, swim->self->host) == 0)
 		return node;
-	/* At a random place of this round's rest, so that a newcomer is not
-	 * probed by all others at the same end of their lists. */
+	/* Inserts the node at a random place in the rest of this probe round.
+	 * Appended by all daemons, a new member would be probed by all of them
+	 * at the end of their rounds. */
 	g_ptr_array_add(swim->order, node);
 	swim->probe_cursor = MIN(swim->probe_cursor, swim->order->len - 1);
 	other = swim->probe_cursor +
@@ -167,8 +168,7 @@
 	member_table_update(swim->table, &record, swim->now_us);
 }
 
-/* Takes this daemon's record to a higher incarnation than any that others may
- * have heard of. */
+/* Raises this daemon's incarnation above any that other daemons may know. */
 static void self_raise_incarnation(struct swim *swim, struct member *record,
 				   uint64_t above)
 {
@@ -177,8 +177,8 @@
 	member_table_update(swim->table, record, swim->now_us);
 }
 
-/* Others hold this daemon for suspect or dead, or know a record from an
- * earlier start whose incarnation was higher. */
+/* Refutes a record that says that this daemon is suspect or dead, or one from
+ * an earlier start with a higher incarnation. */
 static void handle_own_record(struct swim *swim, const struct member *received)
 {
 	struct member record = *swim->self;
@@ -197,11 +197,14 @@
 					  swim->ops->data);
 }
 
-/* Completes a short record by what is known.
+/*
+ * Completes a short record with the fields known from the member table.
  *
- * RETURN VALUE: false if the record says nothing to this daemon: nothing is
- * known that could end. Forgotten dead, too, would never go away if daemons
- * told each other of them anew. */
+ * RETURN VALUE
+ *	false if the record must be ignored: a short one of an unknown host, or
+ *	one of an unknown host that is dead or has left. If daemons accepted
+ *	the latter, they would send each other forgotten members forever.
+ */
 static bool complete_record(const struct member *known,
 			    const struct member *received, struct member *record)
 {
@@ -232,8 +235,8 @@
 		swim_suspect_confirm(swim, node, suspected_by);
 }
 
-/* Whether the sender holds a member for suspect or dead that has refuted it
- * since. */
+/* RETURN VALUE: true if the sender says that a member is suspect or dead, and
+ * the member has refuted that since with a higher incarnation. */
 static bool record_is_outdated(const struct member *known,
 			       const struct member *received)
 {
@@ -280,8 +283,9 @@
 	return true;
 }
 
-/* A stranger pings: others know this daemon from before its restart, while it
- * knows none of them and its seeds may be down. */
+/* Pings a sender that this daemon doesn't know. After a restart the other
+ * daemons still know this one, while it knows none of them and its seeds may
+ * be down. */
 static void ping_unknown_sender(struct swim *swim,
 				const struct swim_endpoint *from)
 {
@@ -291,8 +295,9 @@
 	swim_seed_ping(swim, from);
 }
 
-/* A first peer, or one that was held for dead and answers, may know much that
- * this daemon missed. */
+/* Starts a full sync with a peer that may know much that this daemon missed:
+ * any peer while the table is incomplete, and one that was taken for dead and
+ * answers. */
 static void sync_with_new_peer(struct swim *swim,
 			       const struct swim_endpoint *from, bool was_dead)
 {
@@ -340,7 +345,7 @@
 	bool was_dead = sender && sender->state == MEMBER_DEAD;
 
 	if (strcmp(message->from, swim->self->host) == 0)
-		return true; /* a seed that is this daemon's own address */
+		return true; /* one of the seeds is this daemon itself */
 	if (!swim_quarantine_is_valid(swim, message) ||
 	    !apply_records(swim, message, from))
 		return false;
@@ -374,9 +379,10 @@
 }
 
 /*
- * After a stop (SIGSTOP, a paused virtual machine) every answer is overdue, and
- * to take that for the others' silence would declare all of them dead. What
- * was under way counts for nothing, and suspicions begin anew.
+ * Resets the failure detector after this process was suspended (SIGSTOP, a
+ * paused virtual machine). By then every answer is overdue, and this daemon
+ * would declare all other members dead. So it discards the running probes and
+ * restarts all suspicions.
  */
 static void swim_resume_after_freeze(struct swim *swim, int64_t gap_us)
 {
--- a/comfreydockd/member/swim_internal.h
+++ b/comfreydockd/member/swim_internal.h
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	swim_internal - what the parts of swim share
+ *	swim_internal - types and functions shared by the swim_*.c files
  */
 #ifndef COMFREYDOCKD_MEMBER_SWIM_INTERNAL_H
 #define COMFREYDOCKD_MEMBER_SWIM_INTERNAL_H
@@ -12,10 +12,10 @@
 #define SWIM_SEEDS_MAX 64
 #define SWIM_RELAYS_MAX 32
 #define SWIM_RECORDS_MAX 48
-#define SWIM_QUARANTINED_MAX 8 /* in one packet */
-#define SWIM_DIGESTS 64 /* in one sync request */
+#define SWIM_QUARANTINED_MAX 8 /* quarantine records per packet */
+#define SWIM_DIGESTS 64 /* per sync request */
 
-/* swim's part of a member. */
+/* Protocol state of one member; its swim_data. */
 struct swim_node {
 	TAILQ_ENTRY(swim_node) rumour_link;
 	TAILQ_ENTRY(swim_node) suspect_link;
@@ -31,7 +31,7 @@
 	bool is_urgent;
 	bool is_suspect;
 	bool is_lost;
-	bool is_live; /* alive or suspect, and another */
+	bool is_live; /* alive or suspect, and not this host */
 };
 
 TAILQ_HEAD(swim_node_list, swim_node);
@@ -52,25 +52,25 @@
 	unsigned int nacks;
 };
 
-/* A ping sent for another. */
+/* A ping sent on behalf of another daemon (an indirect probe). */
 struct swim_relay {
-	uint64_t seq; /* 0: free */
+	uint64_t seq; /* of the relayed ping; 0: free */
 	uint64_t requester_seq;
 	struct swim_endpoint requester;
 	int64_t nack_at_us;
 };
 
 struct swim_sync {
-	bool is_full; /* a full pass, as fast as pages may come */
-	unsigned int idle_passes; /* full ones in a row that brought little */
-	guint size_before; /* others known as the last full pass began */
+	bool is_full; /* a full pass runs, as fast as the page budget allows */
+	unsigned int idle_passes; /* full passes in a row that added little */
+	guint size_before; /* other members known when the full pass began */
 	struct swim_endpoint peer;
 	unsigned int next_bucket;
 	int64_t requested_at_us;
 	int64_t last_reply_us;
 	int64_t full_sync_started_us; /* when the last full pass began */
 	unsigned int requested_bucket;
-	bool is_waiting; /* the last of the replies has not come */
+	bool is_waiting; /* for the last reply to a request */
 };
 
 struct swim {
@@ -81,15 +81,17 @@
 	uint64_t random;
 	uint64_t seq;
 	uint64_t config_head;
-	int64_t late_tick_gap_us; /* what passed before the last tick, if over two */
+	/* Time between the last two ticks if over 2 * SWIM_TICK_US, else 0. */
+	int64_t late_tick_gap_us;
 	unsigned int head_transmits;
 	int64_t now_us;
 	int64_t ticked_at_us;
-	unsigned int local_health; /* 0: this daemon trusts itself */
+	/* Lifeguard's local health multiplier. 0: this daemon is healthy. */
+	unsigned int local_health;
 	int64_t budget_bytes;
 	int64_t page_budget_bytes;
 	int64_t quarantine_budget_bytes;
-	GPtrArray *order; /* nodes of all others, shuffled */
+	GPtrArray *order; /* nodes of all other members, in probe order */
 	guint probe_cursor;
 	guint sweep_cursor;
 	unsigned int lost_count;
@@ -110,9 +112,10 @@
 	int64_t next_reprobe_us;
 	int64_t next_seed_us;
 	int64_t next_unknown_ping_us;
-	/* While a record is taken in. */
-	bool suppress_rumours; /* from a page: not to be spread again */
-	uint32_t suspected_by;
+	/* Valid while received records are applied. A record from a sync page
+	 * must not be spread as a rumour again. */
+	bool suppress_rumours;
+	uint32_t suspected_by; /* member_host_hash() of the suspecting host */
 	bool has_left;
 };
 
@@ -129,13 +132,15 @@
 
 /* swim.c */
 uint32_t swim_random_below(struct swim *swim, uint32_t limit);
-/* A random member that may be alive, not the one named (or NULL). */
+/* RETURN VALUE: a random alive or suspect member other than except, which may
+ * be NULL; NULL if none was found. */
 struct member *swim_pick_peer(struct swim *swim, const char *except);
 void swim_set_state(struct swim *swim, struct member *member,
 		    enum member_state state, uint32_t by);
 
 /* swim_message.c */
-/* RETURN VALUE: -1 where the sender does not know. */
+/* RETURN VALUE: how long ago the sender's config head was confirmed as the
+ * newest; -1 if the sender doesn't know. */
 int64_t swim_told_age_us(const struct swim *swim, const Cfd__Gossip *message);
 void swim_packet_init(struct swim *swim, struct swim_packet *packet,
 		      Cfd__GossipKind kind, uint64_t seq);
@@ -144,15 +149,15 @@
 void swim_packet_send(struct swim *swim, struct swim_packet *packet,
 		      const char *address, uint16_t port);
 bool swim_record_fits(struct swim *swim, struct member *member);
-/* A short record, of a host that isn't alive, has an empty address.
- * RETURN VALUE: false if a field is out of its bounds. */
+/* A short record (of a host that isn't alive) has an empty address.
+ * RETURN VALUE: false if a field is out of bounds. */
 bool swim_record_decode(const Cfd__MemberRecord *record, int64_t now_us,
 			struct member *member);
 bool swim_endpoint_is_valid(const char *address, uint32_t port);
 
 /* swim_quarantine.c */
 void swim_quarantine_fill(struct swim *swim, struct swim_packet *packet);
-/* RETURN VALUE: false if a field is out of its bounds. */
+/* RETURN VALUE: false if a field of a record is out of bounds. */
 bool swim_quarantine_is_valid(const struct swim *swim,
 			      const Cfd__Gossip *message);
 void swim_quarantine_merge(struct swim *swim, const Cfd__Gossip *message);
@@ -163,7 +168,7 @@
 void swim_rumour_fill(struct swim *swim, struct swim_packet *packet);
 void swim_rumour_tick(struct swim *swim);
 void swim_rumour_announce_leave(struct swim *swim);
-/* How often each daemon sends a change. */
+/* RETURN VALUE: how many times each daemon sends a change. */
 unsigned int swim_rumour_limit(const struct swim *swim);
 
 /* swim_probe.c */
@@ -181,12 +186,13 @@
 void swim_suspect_stop(struct swim *swim, struct swim_node *node);
 void swim_suspect_confirm(struct swim *swim, struct swim_node *node, uint32_t by);
 void swim_suspect_tick(struct swim *swim);
-/* This process was stopped: all suspicions begin anew. */
+/* Restarts the timeout of each suspicion after this process was suspended. */
 void swim_suspect_restart_all(struct swim *swim);
 
 /* swim_sync.c */
 void swim_sync_tick(struct swim *swim);
-/* Whether the last full passes found that the table has what there is. */
+/* RETURN VALUE: true if the last full passes added so little that the table is
+ * taken to be complete. */
 bool swim_sync_is_complete(const struct swim *swim);
 void swim_sync_start_full(struct swim *swim, const struct swim_endpoint *peer);
 void swim_sync_handle_request(struct swim *swim, const Cfd__Gossip *message,
--- a/comfreydockd/member/swim_message.c
+++ b/comfreydockd/member/swim_message.c
@@ -18,8 +18,9 @@
 	return (uint32_t)MIN(age_us / 1000 + 1, (int64_t)UINT32_MAX);
 }
 
-/* For how long a packet that is read now may have waited. After a stop the tick comes
- * before the packets that waited all the while, so what it found counts for them. */
+/* RETURN VALUE: how long a packet that is read now may have waited in the
+ * socket. After a freeze the tick runs before the waiting packets are read, so
+ * the gap that the tick found counts for them. */
 static int64_t queue_delay_us(const struct swim *swim)
 {
 	int64_t since_tick_us = MAX(swim->now_us - swim->ticked_at_us, 0);
@@ -30,9 +31,10 @@
 }
 
 /*
- * Left out, what a packet waited and its way, a word would get younger with each hop,
- * and daemons that lost the platform would tell each other for ever that they are up
- * to date.
+ * Adds the time on the network and in the socket's queue to the age in the
+ * message. Without them the age would shrink with each hop, and daemons that
+ * lost the platform would forever confirm to each other that their
+ * configuration is up to date.
  */
 int64_t swim_told_age_us(const struct swim *swim, const Cfd__Gossip *message)
 {
@@ -113,8 +115,8 @@
 		return false;
 	if (packet->size == 0)
 		packet->size = cfd__gossip__get_packed_size(&packet->message);
-	/* Where a failure domain is lost, its hosts' records are the news of
-	 * the minute; short, three times as many fit a packet. */
+	/* When a failure domain is lost, many records of its hosts must spread
+	 * at once. Three times as many short records fit into a packet. */
 	if (member->state == MEMBER_ALIVE ||
 	    packet->message.kind == CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY)
 		record_encode(swim, member, record);
--- a/comfreydockd/member/swim_probe.c
+++ b/comfreydockd/member/swim_probe.c
@@ -15,8 +15,9 @@
 
 	swim_packet_init(swim, &packet, CFD__GOSSIP_KIND__GOSSIP_PING, seq);
 	packet.message.target = target->host;
-	/* Whoever is suspected must hear of it first of all, to refute it;
-	 * it may in turn hold this daemon for dead. */
+	/* A suspect member must learn of its suspicion first, so that it can
+	 * refute. It may also take this daemon for dead, so the packet carries
+	 * this daemon's record too. */
 	if (target->state != MEMBER_ALIVE) {
 		swim_packet_add(swim, &packet, target);
 		swim_packet_add(swim, &packet, swim->self);
@@ -97,8 +98,8 @@
 	uint32_t by = member_host_hash(swim->self->host);
 
 	probe->is_active = false;
-	/* Mediators that don't even say "no answer" speak against this
-	 * daemon's own line rather than against the target. */
+	/* If the relays don't send a NACK either, the fault is rather in this
+	 * daemon's own network connection than in the target. */
 	if (probe->nacks_expected == 0)
 		local_health_adjust(swim, 1);
 	else if (probe->nacks < probe->nacks_expected)
@@ -153,7 +154,7 @@
 	bool has_no_target = message->target[0] == '\0';
 	struct swim_packet packet;
 
-	/* An address may have passed to another host since. */
+	/* The address may belong to another host by now. */
 	if (!has_no_target && strcmp(message->target, swim->self->host) != 0)
 		return;
 	swim_packet_init(swim, &packet, CFD__GOSSIP_KIND__GOSSIP_ACK,
@@ -193,7 +194,8 @@
 
 	swim_packet_init(swim, &packet, CFD__GOSSIP_KIND__GOSSIP_ACK,
 			 relay->requester_seq);
-	/* The asker goes by the number; the target is named for its sake. */
+	/* The requester matches the ACK by its sequence number and by the name
+	 * of the target, which isn't the sender of this packet. */
 	packet.message.target = message->from;
 	swim_rumour_fill(swim, &packet);
 	swim_packet_send(swim, &packet, relay->requester.address,
--- a/comfreydockd/member/swim_quarantine.c
+++ b/comfreydockd/member/swim_quarantine.c
@@ -23,6 +23,8 @@
 	to->asked_age_ms = age_ms(swim, from->asked_us);
 }
 
+/* Adds the records that are still to be spread, as far as budget and packet
+ * size allow. */
 void swim_quarantine_fill(struct swim *swim, struct swim_packet *packet)
 {
 	Cfd__Gossip *message = &packet->message;
--- a/comfreydockd/member/swim_rumour.c
+++ b/comfreydockd/member/swim_rumour.c
@@ -26,8 +26,9 @@
 	node->is_rumour = false;
 }
 
-/* What keeps calls off a host, and what clears this host of a false
- * suspicion, must not wait behind a storm of other news. */
+/* RETURN VALUE: true for news that must not wait behind a burst of others:
+ * what keeps calls away from a host, and what refutes a false suspicion of
+ * this host. */
 static bool rumour_is_urgent(const struct swim *swim, const struct member *member)
 {
 	return member == swim->self || member->state == MEMBER_LEFT ||
@@ -43,8 +44,9 @@
 	TAILQ_INSERT_HEAD(rumour_list_of(swim, node), node, rumour_link);
 }
 
-/* Takes news from the list's head until the packet is full. What was sent
- * goes to the tail until it was sent often enough. */
+/* Adds rumours from the head of the list until the packet is full. A rumour
+ * that was sent moves to the tail, or leaves the list once it has reached the
+ * retransmit limit. */
 static void fill_from(struct swim *swim, struct swim_packet *packet,
 		      struct swim_node_list *list)
 {
--- a/comfreydockd/member/swim_suspect.c
+++ b/comfreydockd/member/swim_suspect.c
@@ -2,11 +2,11 @@
 
 #include "swim_internal.h"
 
-/* Before the end the suspect is asked itself, by all daemons in a small
- * cluster and by some in a large one: one that missed the refutation would
- * else declare a healthy host dead. */
+/* Before a suspicion times out, the suspect is pinged directly, by all daemons
+ * in a small cluster and by FINAL_PINGERS on average in a large one. Without
+ * that, a daemon that missed the refutation would declare a healthy host dead. */
 #define FINAL_PINGS 3
-#define FINAL_PING_INTERVAL_US (500 * 1000) /* between them */
+#define FINAL_PING_INTERVAL_US (500 * 1000)
 #define FINAL_PINGERS 16
 
 static int64_t suspect_min_us(const struct swim *swim)
@@ -16,8 +16,9 @@
 	return (int64_t)(scale * SWIM_SUSPECT_ALPHA * SWIM_PERIOD_US);
 }
 
-/* The more others suspect as well, the sooner the end: one daemon with a bad
- * line alone must leave a healthy host much time to refute. */
+/* The timeout shrinks with each daemon that confirms the suspicion. A single
+ * daemon with a bad network connection must leave a healthy host much time to
+ * refute. */
 static int64_t suspect_timeout_us(const struct swim *swim,
 				  const struct swim_node *node)
 {
--- a/comfreydockd/member/swim_sync.c
+++ b/comfreydockd/member/swim_sync.c
@@ -2,24 +2,25 @@
 
 #include "swim_internal.h"
 
-#define FULL_SYNC_REPLIES_MAX 8 /* replies to one request of a full pass */
+#define FULL_SYNC_REPLIES_MAX 8 /* replies per request of a full pass */
 #define FULL_SYNC_RETRY_US (300 * 1000)
 #define FULL_SYNC_TIMEOUT_US (3 * 1000 * 1000)
-#define SYNC_INTERVAL_US (1000 * 1000) /* between requests where all is well */
-#define FULL_SYNC_INTERVAL_US \
-	(100 * 1000) /* between full passes of a growing table */
-/* So many in a row that brought less than this share of the table have found that
- * there is no more; a single peer may know as little as this daemon. */
+#define SYNC_INTERVAL_US (1000 * 1000) /* between incremental requests */
+/* Between full passes while the table grows. */
+#define FULL_SYNC_INTERVAL_US (100 * 1000)
+/* The table counts as complete after this many full passes in a row that each
+ * added no more than 1/FULL_SYNC_GROWTH_DIVISOR of it. One pass isn't enough,
+ * as its peer may know as little as this daemon. */
 #define FULL_SYNC_IDLE_PASSES 3
 #define FULL_SYNC_GROWTH_DIVISOR 16
-#define SWEEP_MEMBERS_PER_TICK 64 /* members looked at in a tick */
-/* How many daemons at a time ping one lost host, whatever their number: all
- * of 22,000 would drown it as it restarts. */
+#define SWEEP_MEMBERS_PER_TICK 64
+/* How many daemons at a time ping one lost host, whatever the cluster's size.
+ * Pings from all of 22,000 daemons would overload a host that restarts. */
 #define REPROBERS 8
 #define SEED_INTERVAL_ALONE_US (1000 * 1000)
 #define SEED_INTERVAL_US (60 * 1000 * 1000)
 
-#define MEMBERS_PER_DIGEST 5 /* under one digest, so that some fit a page */
+#define MEMBERS_PER_DIGEST 5 /* on average; a page holds those of a few */
 
 static uint64_t span_digest(const struct swim *swim, unsigned int bucket,
 			    unsigned int span)
@@ -40,7 +41,8 @@
 		     MEMBER_BUCKETS);
 }
 
-/* RETURN VALUE: the first bucket not asked for. */
+/* Sends the digests from next_bucket on and asks for the buckets that differ.
+ * RETURN VALUE: the first bucket that the request doesn't cover. */
 static unsigned int sync_send_request(struct swim *swim, unsigned int max_packets)
 {
 	struct swim_sync *sync = &swim->sync;
@@ -127,12 +129,12 @@
 		sync->next_bucket = 0;
 }
 
-/* The pages of one answer. */
+/* The reply packets ("pages") to one sync request. */
 struct sync_pages {
 	struct swim *swim;
 	const struct swim_endpoint *to;
 	struct swim_packet packet;
-	unsigned int remaining; /* that may still be sent */
+	unsigned int remaining; /* pages that may still be sent */
 };
 
 static void pages_begin(struct sync_pages *pages, unsigned int bucket)
@@ -140,7 +142,8 @@
 	swim_packet_init(pages->swim, &pages->packet,
 			 CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY, 0);
 	pages->packet.message.bucket = bucket;
-	/* Both have their final size before the records are counted. */
+	/* Sets both to values of the largest encoded size before the records
+	 * are added up. */
 	pages->packet.message.next_bucket = MEMBER_BUCKETS;
 	pages->packet.message.is_last = true;
 }
@@ -155,7 +158,8 @@
 	pages->remaining--;
 }
 
-/* RETURN VALUE: false if no page is left; the last was sent. */
+/* Adds the members of a bucket and sends each page that is full.
+ * RETURN VALUE: false if the last page was sent. */
 static bool pages_add_bucket(struct sync_pages *pages, unsigned int bucket)
 {
 	struct member *member;
@@ -200,9 +204,10 @@
 }
 
 /*
- * A peer that has just started itself knows few hosts. Were its table taken for
- * the whole, all hosts that come back at the same time would know only some of
- * the upstreams for seconds, and rush to these.
+ * Repeats the full pass with other peers until the table stops growing. A peer
+ * that has just started knows few hosts itself. If its table were taken for
+ * complete, hosts that restart at the same time would know only some of the
+ * upstreams for seconds and overload these.
  */
 static void sync_finish_full(struct swim *swim)
 {
@@ -221,8 +226,8 @@
 			swim_random_below(swim, FULL_SYNC_INTERVAL_US);
 }
 
-/* A slow pass goes on where the page ended, or the same few records at the
- * start of a wide span would come for ever. */
+/* An incremental pass continues where the page ended. Otherwise a wide span
+ * would return the same few records from its start forever. */
 static void sync_handle_incremental_page(struct swim_sync *sync,
 					 const Cfd__Gossip *message)
 {
@@ -293,11 +298,11 @@
 }
 
 /*
- * A daemon that restarts while the platform is away finds nobody: it has no
- * memory, and the rows can't be read. Those that knew the one before it try its
- * address. Were the ones left out that said good-bye, a planned restart of all
- * daemons in an outage would leave each of them alone, and without a
- * configuration, until the platform is back.
+ * A daemon that restarts during an outage of the platform finds no peers: it
+ * keeps no state on disk, and the rows can't be read. So daemons that knew it
+ * before ping its address, also if it left properly. Otherwise a planned
+ * restart of all daemons during an outage would leave each of them alone, and
+ * without a configuration, until the platform is back.
  */
 static bool may_have_restarted(const struct member *member, int64_t age_us)
 {
@@ -328,7 +333,8 @@
 	       swim->lost_count * REPROBERS;
 }
 
-/* Looks for members to forget, and for a lost one that is back. */
+/* Removes members that have been dead or gone for long, pings one lost member
+ * that may have restarted, and pings a seed if one is due. */
 void swim_sweep_tick(struct swim *swim)
 {
 	seeds_tick(swim);
