--- a/include/comfreydockd/member/gossip.h
+++ b/include/comfreydockd/member/gossip.h
@@ -1,15 +1,17 @@
 /*
  * NAME
- *	gossip - swim over UDP on the daemon's loop
+ *	gossip - the SWIM protocol over UDP on the daemon's event loop
  *
  * DESCRIPTION
- *	Binds the UDP port with the number of the daemon's TCP port for peers,
- *	feeds swim with packets and time, and sends what it wants sent.
+ *	Binds a UDP port with the same number as the daemon's TCP port for
+ *	peers, passes received packets and the time to swim, and sends the
+ *	packets that swim produces.
  *
- *	Each packet carries a version and the first 16 bytes of its
- *	HMAC-SHA256 under settings->peer_key. A stranger's, a damaged or
- *	another version's packet is dropped, counted, and logged at most some
- *	times a minute. Without a key anybody on the network may take part.
+ *	Each packet carries a format version and the first 16 bytes of its
+ *	HMAC-SHA256 under settings->peer_key. A packet with another key or
+ *	version, or a damaged one, is dropped and counted; the log lines about
+ *	dropped packets are rate-limited. Without a key, anybody on the network
+ *	can join the cluster.
  */
 #ifndef COMFREYDOCKD_MEMBER_GOSSIP_H
 #define COMFREYDOCKD_MEMBER_GOSSIP_H
@@ -20,7 +22,7 @@
 struct gossip;
 
 struct gossip_handlers {
-	/* As in struct swim_ops; both may be NULL. */
+	/* Same as in struct swim_ops; both may be NULL. */
 	void (*handle_config_head)(const char *host, uint64_t head,
 				   int64_t told_age_us, void *data);
 	int64_t (*config_told_age_us)(uint64_t head, void *data);
@@ -28,9 +30,10 @@
 };
 
 /*
- * Needs the daemon's loop, settings, incarnation, admin_port and an empty
- * member table, adds this host's record and joins the settings' peers.
- * The handlers must outlive it. Port 0: the kernel chooses.
+ * Adds this host's record to the member table and joins the peers named in the
+ * settings. The daemon's loop, settings, incarnation and admin_port must be set
+ * and its member table empty. The handlers must outlive the gossip object. With
+ * port 0 the kernel chooses a port.
  *
  * RETURN VALUE
  *	NULL with errno set if the port can't be bound.
@@ -40,14 +43,17 @@
 void gossip_destroy(struct gossip *gossip);
 uint16_t gossip_port(const struct gossip *gossip);
 
-/* RETURN VALUE: false if it is not "IP:PORT" or "[IP]:PORT". */
+/* Joins the cluster through a peer.
+ * RETURN VALUE: false if peer is not "IP:PORT" or "[IP]:PORT". */
 bool gossip_join(struct gossip *gossip, const char *peer);
 
-/* RETURN VALUE: false if the groups' names are too long in all. */
+/* Announces this host's upstream to the cluster.
+ * RETURN VALUE: false if the group names together are too long. */
 bool gossip_announce_self(struct gossip *gossip, enum member_service_state state,
 			  char **groups, uint32_t slots, uint32_t warm_ms);
 
-/* Says good-bye; run the loop for some 500 ms more so that it spreads. */
+/* Announces that this host leaves. The caller must run the loop for about
+ * 500 ms more, so that the announcement spreads. */
 void gossip_leave(struct gossip *gossip);
 void gossip_set_config_head(struct gossip *gossip, uint64_t head);
 
--- a/include/comfreydockd/member/member.h
+++ b/include/comfreydockd/member/member.h
@@ -1,12 +1,13 @@
 /*
  * NAME
- *	member - what this daemon knows of every other
+ *	member - table of all daemons in the cluster
  *
  * DESCRIPTION
- *	One record for each daemon, its upstream included. Records come from
- *	gossip, from the platform's rows and from the settings; gossip changes
- *	their state. A record is soft state: nothing that must be agreed
- *	depends on it, and an owner refuses what a stale record sends it.
+ *	Holds one record per daemon, which includes the state of its upstream.
+ *	Records come from gossip, from the platform's rows and from the
+ *	settings; gossip changes their state. A record is soft state: nothing
+ *	that needs agreement depends on it, and an owner refuses requests that
+ *	were sent to it because of a stale record.
  */
 #ifndef COMFREYDOCKD_MEMBER_MEMBER_H
 #define COMFREYDOCKD_MEMBER_MEMBER_H
@@ -27,7 +28,7 @@
 	MEMBER_LEFT,
 };
 
-/* What the upstream beside a daemon said of itself. */
+/* State that the upstream on a daemon's host has announced. */
 enum member_service_state {
 	MEMBER_SERVICE_NONE, /* nothing announced yet */
 	MEMBER_SERVICE_UP,
@@ -38,7 +39,7 @@
 	TAILQ_ENTRY(member) link; /* all members */
 	char host[MEMBER_HOST_MAX]; /* the host's id, unique */
 	uint64_t incarnation; /* grows with each start and refutation */
-	char address[MEMBER_ADDRESS_MAX]; /* IP number */
+	char address[MEMBER_ADDRESS_MAX]; /* IP address */
 	uint16_t peer_port; /* TCP: frames; UDP: gossip */
 	uint16_t admin_port;
 	const char *domain; /* failure domain; interned */
@@ -48,22 +49,22 @@
 	enum member_service_state service_state;
 	char **groups; /* announced, interned; NULL: none */
 	uint32_t slots;
-	uint32_t warm_ms; /* declared time of a cold start */
-	int64_t up_since_us; /* when service_state became UP, as seen here */
-	void *entry_data; /* the entry role's per-upstream state */
-	void *swim_data; /* swim's own */
+	uint32_t warm_ms; /* warm-up time that the upstream declared */
+	int64_t up_since_us; /* local time when service_state became UP */
+	void *entry_data; /* per-upstream state of the entry */
+	void *swim_data; /* protocol state of swim */
 	LIST_ENTRY(member) bucket_link;
 };
 
 TAILQ_HEAD(member_list, member);
 LIST_HEAD(member_bucket, member);
 
-/* Buckets by hash of the host, each with a digest, so that two daemons find
- * where their tables differ without sending them. At 22,000 hosts a bucket has
- * five or six. */
+/* Members are hashed by host into buckets, each with a digest. Two daemons
+ * compare digests to find where their tables differ without sending the tables.
+ * With 22,000 hosts a bucket holds five or six. */
 #define MEMBER_BUCKETS 4096
 
-/* True if new work may be sent there. */
+/* RETURN VALUE: true if new requests may be sent to the member's upstream. */
 static inline bool member_is_usable(const struct member *member)
 {
 	return (member->state == MEMBER_ALIVE || member->state == MEMBER_SUSPECT) &&
@@ -72,50 +73,54 @@
 
 struct member_table;
 
-/* Called after a record was added or changed in state, service or address,
- * and before it is freed (removed). */
 struct member_observer {
+	/* Called after a record was added or replaced by a newer one. */
 	void (*handle_changed)(struct member *member, void *data);
+	/* Called before a removed record is freed. */
 	void (*handle_removed)(struct member *member, void *data);
 	void *data;
 };
 
-/* A short name for a host on the wire; two may share one. */
+/* Short id of a host in messages; two hosts may share one. */
 uint32_t member_host_hash(const char *host);
 
 struct member_table *member_table_create(void);
 void member_table_destroy(struct member_table *table);
 void member_table_observe(struct member_table *table,
 			  const struct member_observer *observer);
-/* Takes out the observers with this data. */
+/* Removes the observers with this data. */
 void member_table_unobserve(struct member_table *table, const void *data);
 struct member *member_table_find(struct member_table *table, const char *host);
 struct member_list *member_table_all(struct member_table *table);
 size_t member_table_size(const struct member_table *table);
 
-/* Members that announced the group, whatever their state; an array of
- * struct member that is the table's and valid until the next change. Never
- * NULL. */
+/*
+ * RETURN VALUE
+ *	The members that announced the group, in whatever state; never NULL.
+ *	The array of struct member belongs to the table and is valid until the
+ *	next change.
+ */
 const GPtrArray *member_table_group(struct member_table *table,
 				    const char *group);
 
 /*
- * Another number after each change of any member that announces the group,
- * or that did so until this change. Who keeps something made from the group
- * compares numbers: told of each change instead, an entry would look through
- * all its services for each of 22,000 hosts.
+ * The version of a group changes with each change of a member that announces
+ * the group, or that announced it until this change. A caller that caches data
+ * derived from the group compares versions. An entry that was notified of each
+ * change instead would have to search all its services for each of 22,000 hosts.
  *
  * RETURN VALUE
- *	0 if nobody announces it.
+ *	The version; 0 if no member announces the group.
  */
 uint64_t member_table_group_version(struct member_table *table,
 				    const char *group);
 
 /*
- * Takes a record from anywhere. A higher incarnation wins; at the same one
- * DEAD and LEFT beat SUSPECT beats ALIVE. The argument is copied; its
- * up_since_us, if not 0, is when it became UP, and its state_since_us, entry's
- * and swim's data are not looked at.
+ * Applies a record from any source. A higher incarnation takes precedence; at
+ * the same incarnation DEAD and LEFT take precedence over SUSPECT, and SUSPECT
+ * over ALIVE. The record is copied. Its up_since_us, if not 0, is the time when
+ * the upstream became UP; its state_since_us, entry_data and swim_data are
+ * ignored.
  *
  * RETURN VALUE
  *	true if the table changed.
@@ -127,8 +132,9 @@
 struct member_bucket *member_table_bucket(struct member_table *table,
 					  unsigned int bucket);
 
-/* Equal where both know the same live members at the same incarnations. The
- * dead don't count: each daemon forgets them at its own time. */
+/* Digest of a bucket. It is equal in two tables that hold the same live members
+ * with the same incarnations. Dead members and those that left don't count,
+ * because each daemon removes them at a different time. */
 uint64_t member_table_digest(const struct member_table *table,
 			     unsigned int bucket);
 
--- a/include/comfreydockd/member/rows.h
+++ b/include/comfreydockd/member/rows.h
@@ -1,31 +1,35 @@
 /*
  * NAME
- *	rows - one row a host in the platform's table
+ *	rows - membership rows, one per host, in the platform's table
  *
  * DESCRIPTION
- *	The row tells daemons that start whom to join; whether a host is alive
- *	is not kept there. Key "hosts/HOST", value a JSON object of host,
- *	incarnation, address, peer_port, admin_port, domain and region, none of
- *	which changes while a daemon runs; and the requests that the quarantine
- *	holds after a crash here, ROWS_QUARANTINED_MAX at most.
+ *	A daemon that starts finds peers to join in the rows. A row doesn't say
+ *	whether its host is alive. Its key is "hosts/HOST" and its value a JSON
+ *	object. The fields host, incarnation, address, peer_port, admin_port,
+ *	domain and region don't change while the daemon runs. The field
+ *	quarantine lists the requests that the quarantine holds after a crash
+ *	on this host, ROWS_QUARANTINED_MAX at most.
  *
- *	The quarantine is told by peers. Where all hosts of an installation
- *	lost their power at once, nobody is left to tell: then each host that
- *	saw a crash finds in its own row what was held. A daemon that has no
- *	peers, as one that is cut off from them, takes it from theirs.
+ *	A daemon normally learns the quarantine's records from its peers. After
+ *	a power loss of all hosts of an installation no peer has them any more;
+ *	then each host that saw a crash restores the held requests from its own
+ *	row. A daemon without peers, for example one cut off by the network,
+ *	takes the records from the rows of other hosts.
  *
- *	The own row is read, and written if it is missing or differs, at a
- *	random moment after the start and then at a low rate. A lost answer is
- *	resolved by reading again. While the store is out, tries grow rarer up
- *	to ROWS_BACKOFF_MAX_US, and nothing else waits for them. Other rows are
- *	read page by page until this host has peers, then one page at a time
- *	from a random point. Rows of hosts that have been dead for long, or
- *	that nobody has met for long, are deleted on the condition that they
- *	did not change: two daemons that do so at once do no harm.
+ *	The daemon reads its own row at a random moment after the start and
+ *	then at a low rate, and writes it if it is missing or differs. After a
+ *	lost answer it reads the row again. While the store is unavailable, the
+ *	time between attempts grows up to ROWS_BACKOFF_MAX_US, and nothing else
+ *	waits for them. The daemon reads other rows page by page until it has
+ *	peers, then one page at a time from a random point. It deletes the rows
+ *	of hosts that have been dead, or unknown to all, for ROWS_STALE_US. A
+ *	deletion requires that the row did not change, so two daemons that
+ *	delete the same row do no harm.
  *
- *	Worked out for 22,000 hosts: own rows and pages make 73 reads a second
- *	in all, and watched rows up to 37 more; a long outage sees 147 tries a
- *	second. A start of all at once makes 367 writes a second for a minute.
+ *	Calculated load for 22,000 hosts: 73 reads per second for own rows and
+ *	pages, and up to 37 more for watched rows; 147 attempts per second in a
+ *	long outage; 367 writes per second for a minute if all hosts start at
+ *	once.
  */
 #ifndef COMFREYDOCKD_MEMBER_ROWS_H
 #define COMFREYDOCKD_MEMBER_ROWS_H
@@ -37,26 +41,30 @@
 
 #define ROWS_TABLE "hosts"
 #define ROWS_PREFIX ROWS_TABLE "/"
-#define ROWS_PAGE 50
-/* Before the first write: whoever starts at the same moment reads after it. A
- * start of 22,000 at once is refused for the most part and comes back later. */
+#define ROWS_PAGE 50 /* rows */
+/* Longest delay before the first write. It is short, so that daemons that start
+ * at the same moment read after this write. If 22,000 daemons start at once,
+ * the platform refuses most of the calls, and the daemons retry later. */
 #define ROWS_START_JITTER_US ((int64_t)100 * 1000)
 #define ROWS_CHECK_INTERVAL_US ((int64_t)600 * 1000 * 1000)
 #define ROWS_BACKOFF_MIN_US ((int64_t)1000 * 1000)
 #define ROWS_BACKOFF_MAX_US ((int64_t)300 * 1000 * 1000)
-#define ROWS_STALE_US ((int64_t)6 * 3600 * 1000 * 1000) /* then deleted */
+/* Rows of hosts that were dead or unknown for so long are deleted. */
+#define ROWS_STALE_US ((int64_t)6 * 3600 * 1000 * 1000)
 #define ROWS_LEAVE_TRIES 4
-/* Where the store was set back all own rows are read within so long. */
+/* After the store was restored from a copy, each daemon checks its own row
+ * within this time. */
 #define ROWS_RESTORED_CHECK_MAX_US ((int64_t)60 * 1000 * 1000)
 #define ROWS_QUARANTINED_MAX 8
-/* A change of the quarantine is written with those that come just after it. */
+/* Delay before a change of the quarantine is written, so that one write covers
+ * the changes that follow shortly after. */
 #define ROWS_QUARANTINE_DELAY_US ((int64_t)200 * 1000)
 
 enum rows_status {
 	ROWS_OK,
-	ROWS_CONFLICT, /* the row is not at the version given */
-	ROWS_UNAVAILABLE, /* nothing was done */
-	ROWS_UNKNOWN, /* the answer was lost: it may have been done */
+	ROWS_CONFLICT, /* the row doesn't have the given version */
+	ROWS_UNAVAILABLE, /* the call took no effect */
+	ROWS_UNKNOWN, /* the answer was lost; the call may have taken effect */
 };
 
 struct rows_row {
@@ -71,13 +79,16 @@
 				   void *data);
 typedef void (*rows_done_handler)(enum rows_status status, void *data);
 
-/* The store answers each call once, at once or later. */
+/* The store calls the handler exactly once per call, either before the call
+ * returns or later. */
 struct rows_store_ops {
-	/* Rows from first on, before end, in order of their keys. */
+	/* Reads up to limit rows with keys from first to before end, in the
+	 * order of their keys. */
 	void (*get_range)(void *store, const char *first, const char *end,
 			  unsigned int limit, rows_range_handler handler,
 			  void *data);
-	/* Writes if the row has that version; 0: if there is none. */
+	/* Writes the row if it has this version; with version 0, if it doesn't
+	 * exist. */
 	void (*put_if)(void *store, const char *key, const char *value,
 		       uint64_t version, rows_done_handler handler, void *data);
 	void (*delete_if)(void *store, const char *key, uint64_t version,
@@ -90,40 +101,42 @@
 	void *store;
 	struct member_table *table;
 	const struct member *self; /* the table's record of this host */
-	struct quarantine *quarantine; /* NULL: none is kept */
+	struct quarantine *quarantine; /* NULL: rows have no quarantine */
 	uint64_t seed;
-	/* A row of a host that the table doesn't know. */
+	/* Called with the address in a row whose host the table doesn't know. */
 	void (*handle_peer)(const char *address, uint16_t port, void *data);
 	void *data;
 };
 
 struct rows;
 
-/* Copies the options; what they point to must outlive it. */
+/* Copies the options; what they point to must outlive the rows object. */
 struct rows *rows_create(const struct rows_options *options);
 
-/* Answers that come later are dropped. */
+/* Answers that arrive later are ignored. */
 void rows_destroy(struct rows *rows);
 
-/* The store was set back to a copy, which may lack the own row. */
+/* To be called after the store was restored from a copy, which may lack this
+ * host's row. */
 void rows_note_restored(struct rows *rows);
 
-/* A record of the quarantine has changed. */
+/* To be called when a record of the quarantine has changed. */
 void rows_note_quarantine(struct rows *rows,
 			  const struct quarantine_record *record,
 			  enum quarantine_change change);
 
-/* Deletes the own row, if it still is this daemon's. handle_left is called
- * once; is_deleted is false where the store stayed out. */
+/* Deletes this host's row, unless another daemon has taken it over. handle_left
+ * is called once; is_deleted is false if the store stayed unavailable. */
 void rows_leave(struct rows *rows,
 		void (*handle_left)(bool is_deleted, void *data), void *data);
 
-/* The row's value; the caller frees it with g_free(). quarantine may be NULL. */
+/* RETURN VALUE: the value of the row, to be freed with g_free().
+ * quarantine may be NULL. */
 char *rows_encode(const struct member *member, uint64_t incarnation,
 		  const struct quarantine *quarantine);
 
 /*
- * Takes host, incarnation, address and peer_port from a row's value.
+ * Reads host, incarnation, address and peer_port from the value of a row.
  *
  * RETURN VALUE
  *	false if they are missing or out of bounds.
@@ -131,11 +144,11 @@
 bool rows_decode(const char *value, size_t size, struct member *member);
 
 /*
- * Takes the quarantine's records from a row's value, as changed now. What can't be
- * read is left out.
+ * Merges the records in the value of a row into the quarantine, with now_us as
+ * the time of their change. Records that can't be read are skipped.
  *
  * RETURN VALUE
- *	The number of records taken.
+ *	The number of records merged.
  */
 unsigned int rows_decode_quarantine(const char *value, size_t size,
 				    struct quarantine *quarantine,
