--- a/comfreydockd/assembly.c
+++ b/comfreydockd/assembly.c
@@ -43,7 +43,7 @@
 	struct rows *rows;
 	ev_signal terminate;
 	ev_signal interrupt;
-	ev_prepare log_flush_prepare; /* writes what one turn of the loop has told */
+	ev_prepare log_flush_prepare; /* flushes the log once per loop iteration */
 	struct stop *stop;
 	struct platform_integration *platform_integration;
 	struct reload *reload;
@@ -58,7 +58,7 @@
 				   offsetof(struct assembly, daemon));
 }
 
-/* The owner's state becomes this host's word to the others. */
+/* Announces the owner's state to the other daemons. */
 static void handle_owner_state(struct owner *owner, void *data)
 {
 	struct assembly *assembly = data;
@@ -78,7 +78,7 @@
 			     announced ? announced->warm_ms : 0);
 }
 
-/* A row of a host that gossip has not told of. */
+/* Joins a host that has a row and isn't known from gossip. */
 static void handle_unknown_host_row(const char *address, uint16_t port, void *data)
 {
 	struct daemon *daemon = data;
@@ -90,8 +90,9 @@
 }
 
 /*
- * A dead host answers nothing and sends no FIN. Without this a call to it
- * would wait for TCP to notice; the caller would see its whole deadline pass.
+ * Drops the connections to a dead host. It sends neither answers nor a FIN, so
+ * a call to it would otherwise wait for a TCP timeout, and the caller's whole
+ * deadline would pass.
  */
 static void handle_member_changed(struct member *member, void *data)
 {
@@ -112,8 +113,8 @@
 		config_store_note_told(daemon->config, head, told_age_us);
 }
 
-/* A packet made before this daemon has published what it just adopted names the
- * head of before, of which the word on the new one says nothing. */
+/* Gossip may still send the previous head for a moment after this daemon has
+ * adopted a new one. The confirmation of the new head says nothing about it. */
 static int64_t config_told_age_us(uint64_t head, void *data)
 {
 	const struct daemon *daemon = data;
@@ -150,8 +151,8 @@
 static bool report_bind_error(const char *what,
 			      const struct settings_address *where)
 {
-	fprintf(stderr, "comfreydockd: %s port %s:%u: %s\n", what,
-		where->address, where->port, g_strerror(errno));
+	fprintf(stderr, "comfreydockd: can't bind the %s port %s:%u: %s\n",
+		what, where->address, where->port, g_strerror(errno));
 	return false;
 }
 
@@ -323,8 +324,8 @@
 	daemon->loop = ev_default_loop(0);
 	daemon->headers =
 		settings->follows_platform ? &platform_headers : &headers_own;
-	/* Grows with each start, as long as the host's clock does; refutation
-	 * by gossip mends the case where it was set back. */
+	/* The wall clock makes the incarnation grow with each start. If the
+	 * clock was set back, gossip raises the incarnation by refutation. */
 	daemon->incarnation = (uint64_t)clock_wall_us();
 	timeline_init(&daemon->timeline, TIMELINE_ENTRIES);
 	watch_signals(assembly);
--- a/comfreydockd/main.c
+++ b/comfreydockd/main.c
@@ -34,9 +34,9 @@
 		{"config", 'c', 0, G_OPTION_ARG_FILENAME, &options->config,
 		 "Settings file (JSON with comments)", "FILE"},
 		{"check", 0, 0, G_OPTION_ARG_NONE, &options->check,
-		 "Check the settings and end", NULL},
+		 "Check the settings and exit", NULL},
 		{"version", 'V', 0, G_OPTION_ARG_NONE, &options->version,
-		 "Show the version and end", NULL},
+		 "Show the version and exit", NULL},
 		{NULL},
 	};
 	GOptionContext *context = g_option_context_new(NULL);
@@ -44,7 +44,8 @@
 	bool good;
 
 	g_option_context_set_summary(
-		context, "The comfreydock daemon: one beside each upstream.");
+		context,
+		"The comfreydock daemon. One runs beside each upstream.");
 	g_option_context_add_main_entries(context, entries, NULL);
 	good = g_option_context_parse(context, argc, argv, &error);
 	g_option_context_free(context);
@@ -73,7 +74,7 @@
 	return settings;
 }
 
-/* Each caller and each peer holds a descriptor. */
+/* Each connection of a caller or peer takes a file descriptor. */
 static void raise_descriptor_limit(void)
 {
 	struct rlimit limit;
--- a/comfreydockd/platform_integration.c
+++ b/comfreydockd/platform_integration.c
@@ -21,8 +21,8 @@
 	struct platform_manifest_reader *manifests;
 };
 
-/* Without a configuration every call would be refused; during a stop callers
- * had better go elsewhere from now on. */
+/* Not ready without a configuration, as every call would be refused, nor during
+ * a stop, so that callers go to other daemons. */
 static bool is_ready(void *data)
 {
 	const struct platform_integration *integration = data;
--- a/comfreydockd/reload.c
+++ b/comfreydockd/reload.c
@@ -23,7 +23,8 @@
 	return a->port == b->port && g_strcmp0(a->address, b->address) == 0;
 }
 
-/* What is bound, advertised or written into rows at the start. */
+/* Compares the settings that are bound, advertised or written to rows at the
+ * start and can't change in a running daemon. */
 static bool has_same_fixed_settings(const struct settings *a,
 				    const struct settings *b)
 {
@@ -85,13 +86,14 @@
 	settings_destroy(changed);
 }
 
-/* RETURN VALUE: whether the file is another one than at the last look. */
+/* Remembers the file's modification time and size.
+ * RETURN VALUE: true if they differ from those of the last call. */
 static bool file_has_changed(struct reload *reload)
 {
 	struct stat now;
 	bool differs;
 
-	/* Gone for a moment, as while it is replaced. */
+	/* The file may be missing for a moment while it is replaced. */
 	if (stat(reload->file, &now) < 0)
 		return false;
 	differs = now.st_mtim.tv_sec != reload->modified_at.tv_sec ||
--- a/comfreydockd/settings.c
+++ b/comfreydockd/settings.c
@@ -11,18 +11,20 @@
 #define DEFAULT_DRAIN_TIMEOUT_MS 600000
 #define DEFAULT_QUARANTINE_TRIAL_MS (QUARANTINE_TRIAL_US / US_PER_MS)
 #define QUARANTINE_TRIAL_MAX_MS 3600000
-/* A daemon that stops goes on taking calls for so long. Gossip needs a few
- * rounds until no peer sends work here, and callers learn from the answers
- * ("Connection: close") to go elsewhere. Closing the port at once would reset
- * the connections that wait to be accepted: calls cut off by a planned stop. */
+/* A daemon that stops accepts calls for this time. Gossip needs a few rounds
+ * until no peer sends requests here, and "Connection: close" in the answers
+ * makes callers reconnect elsewhere. If the port were closed at once, the
+ * connections in the accept queue would be reset, and a planned stop would cut
+ * off their calls. */
 #define DEFAULT_REFUSE_AFTER_MS 2000
 #define STOP_STEP_MAX_S 3600.0
 #define STOP_STEP_MAX_MS 3600000
-/* Others delete the row later if the platform is out. */
+/* If the platform is unavailable for longer, other daemons delete the row
+ * later. */
 #define DEFAULT_LEAVE_MS 3000
 #define MS_PER_S 1000
-/* Parts of the time until the process is killed. Gossip and the way out of it
- * take half a second of the rest. */
+/* Steps of a stop as fractions of the time until the process is killed. Of what
+ * remains after GRACE_END, leaving the cluster takes half a second. */
 #define GRACE_DRAIN 0.33
 #define GRACE_CLOSE 0.43
 #define GRACE_REFUSE 0.5
@@ -33,7 +35,7 @@
 #define DEFAULT_RETRY_RATIO 0.1
 #define RETRY_SLACK_MAX 1e6
 #define PROBES_MAX_PER_S 1000
-/* Below this not even the refusals of one second could be told apart. */
+/* With fewer lines, not even the refusals of one second could be told apart. */
 #define LOG_LINES_MIN_PER_S 10
 #define LOG_LINES_MAX_PER_S 100000
 #define LOG_BYTES_MIN_PER_S (4 * 1024)
@@ -42,14 +44,15 @@
 #define DEFAULT_MAX_HEAD_BYTES (16 * 1024)
 #define DEFAULT_MAX_BUFFERED_BYTES (64 * 1024 * 1024)
 #define PEER_KEY_MIN_BYTES 16
-/* Names travel in frames and in members' records of fixed size. */
+/* Names are sent in frames and stored in fixed-size member records. */
 #define HOST_MAX_BYTES 47
 #define NAME_MAX_BYTES 31
 #define SERVICE_MAX_BYTES 63
 
 static const char *const log_formats[] = {"json", "text", "none", NULL};
 
-/* "IP:PORT" in one text, for settings that others fill in. */
+/* Reads "IP:PORT" from the single key "at", for settings files that are filled
+ * in from a template. */
 static bool read_combined_address(struct schema *schema,
 				  struct settings_address *out)
 {
@@ -59,7 +62,7 @@
 	if (!at)
 		return false;
 	if (!address_has_port(at) || *at == '[') {
-		schema_error(schema, "at", "IP:PORT is expected");
+		schema_error(schema, "at", "must be IP:PORT");
 		colon = NULL;
 	}
 	if (colon) {
@@ -80,10 +83,10 @@
 					  UINT16_MAX);
 	if (out->address && !address_is_ip_number(out->address))
 		schema_error(schema, "address",
-			     "an IP number is expected, not a name");
+			     "must be an IP address, not a name");
 }
 
-/* An address that may be left out. */
+/* Reads an address whose section may be missing. */
 static void read_optional_address(struct schema *parent, const char *key,
 				  struct settings_address *out)
 {
@@ -132,19 +135,20 @@
 	settings->admin_token =
 		read_file_setting(&admin, "token_file", SCHEMA_OPTIONAL, &size);
 	if (settings->admin_token && !*g_strstrip(settings->admin_token))
-		schema_error(&admin, "token_file", "the file holds no token");
-	/* Whoever reaches the admin port can change what is in force. */
+		schema_error(&admin, "token_file", "the file contains no token");
+	/* Anyone who reaches the admin port can change the configuration. */
 	if (!has_token && settings->admin.address &&
 	    !address_is_loopback(settings->admin.address))
 		schema_error(&admin, "address",
-			     "beyond loopback a token_file is needed");
+			     "an address beyond loopback requires a "
+			     "token_file");
 	schema_finish(&admin);
 }
 
 /*
- * A host may be reached at another address than it binds, as behind a port
- * mapping or where it binds all its addresses. Without this setting it would
- * announce one that nobody can reach, and would look dead to all others.
+ * A host may be reachable at another address than it binds, for example behind
+ * a port mapping or if it binds all its addresses. Without this setting it would
+ * announce an address that no peer can reach, and would look dead to all peers.
  */
 static void read_advertise(struct schema *peer, struct settings *settings)
 {
@@ -158,16 +162,17 @@
 		&advertise, "port", SCHEMA_OPTIONAL, 0, 1, UINT16_MAX);
 	if (advertised->address && !address_is_ip_number(advertised->address))
 		schema_error(&advertise, "address",
-			     "an IP number is expected, not a name");
+			     "must be an IP address, not a name");
 	if (!advertised->address && settings->peer.address &&
 	    address_is_any(settings->peer.address))
 		schema_error(peer, "address",
-			     "binds every address: advertise.address must "
-			     "tell the one that peers reach");
+			     "binds all addresses: advertise.address must "
+			     "name the one that peers reach");
 	schema_finish(&advertise);
 }
 
-/* In the settings themselves where they come without other files. */
+/* The key may be given in the settings themselves, for deployments where they
+ * are the only file. */
 static void read_peer_key(struct schema *peer, struct settings *settings)
 {
 	char *key = schema_string(peer, "key", SCHEMA_OPTIONAL);
@@ -176,7 +181,7 @@
 	settings->peer_key = (uint8_t *)read_file_setting(
 		peer, "key_file", need, &settings->peer_key_size);
 	if (key && settings->peer_key) {
-		schema_error(peer, "key", "stands beside a key_file");
+		schema_error(peer, "key", "can't be combined with key_file");
 		g_free(key);
 	} else if (key) {
 		settings->peer_key = (uint8_t *)key;
@@ -184,7 +189,7 @@
 	}
 	if (settings->peer_key && settings->peer_key_size < PEER_KEY_MIN_BYTES)
 		schema_error(peer, key ? "key" : "key_file",
-			     "holds fewer than %d bytes", PEER_KEY_MIN_BYTES);
+			     "must have at least %d bytes", PEER_KEY_MIN_BYTES);
 }
 
 static void read_peer(struct schema *root, struct settings *settings)
@@ -236,7 +241,7 @@
 		if (!g_str_has_prefix(rest, "http://") ||
 		    !address_has_port(rest + strlen("http://")))
 			schema_error(&platform, "url",
-				     "\"http://IP:PORT\" is expected");
+				     "must be \"http://IP:PORT\"");
 	}
 	settings->follows_platform =
 		schema_bool(&platform, "follow_operator", false);
@@ -253,9 +258,9 @@
 }
 
 /*
- * For a host that kills the process a fixed time after the wish to stop.
- * Whoever directs callers notices within a third of it; what is in flight then
- * has the rest.
+ * Derives the steps from a grace period, for a host that kills the process a
+ * fixed time after it asked for the stop. Within a third of the period the
+ * platform stops sending callers here; requests in flight have the rest of it.
  */
 static void set_steps_from_grace(struct settings *settings, double grace_ms)
 {
--- a/comfreydockd/stop.c
+++ b/comfreydockd/stop.c
@@ -13,16 +13,17 @@
 #include "common/log.h"
 
 #define CHECK_INTERVAL_S 0.05
-/* After the port is closed, what was accepted last still gets its answer. */
+/* How long the daemon must be idle after the port was closed, so that the
+ * connections accepted last still get their answers. */
 #define IDLE_BEFORE_LEAVE_US (300 * US_PER_MS)
-/* What is told to callers at the very end needs so long to be written. */
+/* Time to write the last answers to callers before the process exits. */
 #define FINAL_ANSWERS_US (100 * US_PER_MS)
-/* The good-bye's way through gossip. */
+/* Time for gossip to spread that this host leaves. */
 #define LEAVE_US (500 * US_PER_MS)
 
 enum stop_step {
 	STOP_NOT_BEGUN,
-	STOP_SERVING, /* everything, as before */
+	STOP_SERVING, /* a stop has begun, all requests are still served */
 	STOP_DRAINING,
 	STOP_CLOSING,
 	STOP_REFUSING,
@@ -36,8 +37,8 @@
 	ev_timer check;
 	enum stop_step step;
 	int64_t begun_at_us;
-	int64_t last_busy_us; /* when something was in flight last */
-	int64_t leave_started_us; /* since the good-bye; 0: not said yet */
+	int64_t last_busy_us; /* when a request was last in flight */
+	int64_t leave_started_us; /* 0: the host hasn't begun to leave */
 	bool row_leave_done;
 	bool has_cancelled;
 	bool has_ended_calls;
@@ -67,7 +68,7 @@
 	rows_leave(stop->rows, handle_row_left, stop);
 }
 
-/* Steps that are due; several at once where their times are the same. */
+/* Takes the steps that are due, several at once if their times are equal. */
 static void advance_steps(struct stop *stop, int64_t elapsed_us)
 {
 	const struct settings_stop *times = &stop->daemon->settings->stop;
@@ -95,9 +96,10 @@
 }
 
 /*
- * Calls that are still out when time is up: what was not begun can be told so,
- * and comes back to another daemon at once. Left to the end of the process,
- * their callers would see a connection that breaks, and not know.
+ * Cancels the calls that are still in flight at the timeout. Callers of requests
+ * that no upstream has started are told that they did not run, and can repeat
+ * them through another daemon at once. If the process just exited, the callers
+ * would see a broken connection and not know whether their requests ran.
  */
 static void cancel_pending_calls(struct stop *stop)
 {
@@ -107,8 +109,8 @@
 	entry_cancel_all(stop->daemon->entry);
 }
 
-/* What runs longer than the stop can wait: its callers learn that nobody knows
- * what became of it. */
+/* Ends the calls that still run when the stop can't wait any longer. Their
+ * callers are told that the outcome is unknown. */
 static void end_running_calls(struct stop *stop)
 {
 	if (stop->has_ended_calls)
@@ -117,8 +119,9 @@
 	entry_end_all(stop->daemon->entry);
 }
 
-/* Callers with a connection of before may still send on it after the good-bye,
- * so it ends only in a moment without work. */
+/* Callers may still send requests on open connections while the host leaves, so
+ * the process exits only while no request is in flight. must_exit overrides
+ * that. */
 static bool may_exit(const struct stop *stop, int64_t now, bool must_exit)
 {
 	int64_t leave_us = now - stop->leave_started_us;
--- a/include/comfreydockd/assembly.h
+++ b/include/comfreydockd/assembly.h
@@ -1,10 +1,10 @@
 /*
  * NAME
- *	assembly - puts the parts of a daemon together, and takes them apart
+ *	assembly - creates, connects and destroys the components of a daemon
  *
  * DESCRIPTION
- *	The only place that knows all parts: what one part has to tell another
- *	goes through the callbacks that are set here.
+ *	The only module that knows all components. Components notify each other
+ *	through callbacks that are set here.
  */
 #ifndef COMFREYDOCKD_ASSEMBLY_H
 #define COMFREYDOCKD_ASSEMBLY_H
@@ -12,10 +12,11 @@
 struct assembly;
 struct settings;
 
-/* RETURN VALUE: NULL where a port can't be bound; the error is printed. */
+/* RETURN VALUE: NULL if the start fails, for example because a port can't be
+ * bound; the error was printed. */
 struct assembly *assembly_create(struct settings *settings, const char *file);
 
-/* Returns after a stop was asked for and nothing is in flight any more. */
+/* Runs the event loop until a stop is complete. */
 void assembly_run(struct assembly *assembly);
 void assembly_destroy(struct assembly *assembly);
 
--- a/include/comfreydockd/daemon.h
+++ b/include/comfreydockd/daemon.h
@@ -1,10 +1,10 @@
 /*
  * NAME
- *	daemon - the parts of one comfreydockd
+ *	daemon - the components of one comfreydockd process
  *
  * DESCRIPTION
- *	Created once by main() and handed to the packages. Each part is owned
- *	by the daemon and NULL until it was created.
+ *	Created once at the start and passed to all components. The daemon owns
+ *	each component; its pointer is NULL until the component is created.
  */
 #ifndef COMFREYDOCKD_DAEMON_H
 #define COMFREYDOCKD_DAEMON_H
@@ -45,13 +45,13 @@
 	struct owner *owner;
 	struct entry *entry;
 	struct operator_api *operator_api;
-	uint16_t peer_port; /* as bound */
+	uint16_t peer_port; /* as bound, like the following two */
 	uint16_t caller_port;
 	uint16_t admin_port;
 };
 
-/* Begins a graceful stop: refuses new work as not run, waits for what is in
- * flight, then leaves the loop. */
+/* Begins a graceful stop: the daemon refuses new requests as not run, waits for
+ * the requests in flight and then leaves the event loop. */
 void daemon_stop(struct daemon *daemon);
 
 #endif
--- a/include/comfreydockd/headers.h
+++ b/include/comfreydockd/headers.h
@@ -1,14 +1,15 @@
 /*
  * NAME
- *	headers - the names of the header fields that mean something here
+ *	headers - names of the HTTP header fields that comfreydock interprets
  *
  * DESCRIPTION
- *	What a caller, the daemon and an upstream tell each other beside the
- *	request itself. The names are a table, so that comfreydock can stand
- *	where others are in use already. A name that is NULL is not used.
+ *	The header fields carry what a caller, the daemon and an upstream tell
+ *	each other in addition to the request. The names are kept in a table,
+ *	so that comfreydock can be used in installations that already use other
+ *	names. A field whose name is NULL is not used.
  *
- *	Fields that the table names, but for the trace, are never passed on as
- *	they came: a caller must not be able to forge them.
+ *	The fields in the table, except for the trace, are never forwarded
+ *	as received, because a caller must not be able to forge them.
  */
 #ifndef COMFREYDOCKD_HEADERS_H
 #define COMFREYDOCKD_HEADERS_H
@@ -17,28 +18,29 @@
 
 struct headers {
 	const char *trace; /* id of the request, in answers too */
-	const char *deadline_ms; /* what is left of the caller's time */
-	const char *depth; /* calls above this one */
-	/* Retry-After may hold a fraction of a second. */
+	const char *deadline_ms; /* time left until the caller's deadline */
+	const char *depth; /* number of calls above this one */
+	/* Retry-After may contain a fraction of a second. */
 	bool has_fractions;
 
-	/* To the upstream. */
-	const char *caller_service; /* that runs beside the entry */
-	const char *expected_instance; /* any other refuses, with 421 */
+	/* Sent to the upstream. */
+	const char *caller_service; /* service that runs on the entry's host */
+	const char *expected_instance; /* another one refuses with 421 */
 
-	/* From the upstream. */
-	const char *instance; /* which one answers */
-	const char *not_run; /* there: it did not run the request */
+	/* Received from the upstream. */
+	const char *instance; /* id of the answering instance */
+	const char *not_run; /* if present, the request did not run */
 	const char *load; /* "running,waiting,slots,percent of usual time" */
 	/*
-	 * Proves that an answer was made for this request. Where it is named,
-	 * a success without it, or any answer without the request's trace, is
-	 * not the upstream's: bytes left over from another answer, or spoilt.
+	 * Proves that an answer belongs to this request. If this name is set, a
+	 * success without the field, or any answer without the request's trace,
+	 * is not accepted as the upstream's: it is left over from another
+	 * answer, or corrupted.
 	 */
 	const char *signature;
 };
 
-/* Those of comfreydock itself. */
+/* The names that comfreydock itself defines. */
 extern const struct headers headers_own;
 
 #endif
--- a/include/comfreydockd/platform_integration.h
+++ b/include/comfreydockd/platform_integration.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	platform_integration - what a daemon does where it runs on the users' platform
+ *	platform_integration - connects a daemon to the users' platform
  *
  * DESCRIPTION
- *	Joins the adapter in platform/ with the daemon's own parts: follows the
- *	operator's row, takes the upstream's heartbeats and tells whether
- *	callers may come.
+ *	Connects the adapter in platform/ to the daemon's components. It follows
+ *	the configuration in the operator's row, accepts the upstream's
+ *	heartbeats and reports whether callers may be sent to this daemon.
  */
 #ifndef COMFREYDOCKD_PLATFORM_INTEGRATION_H
 #define COMFREYDOCKD_PLATFORM_INTEGRATION_H
@@ -19,7 +19,7 @@
 struct platform_integration *platform_integration_create(struct daemon *daemon,
 							 const struct stop *stop);
 
-/* The platform's client must be destroyed before. */
+/* The daemon's platform client must be destroyed before. */
 void platform_integration_destroy(struct platform_integration *integration);
 
 #endif
--- a/include/comfreydockd/quarantine_log.h
+++ b/include/comfreydockd/quarantine_log.h
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	quarantine_log - a line and a count for each change of the quarantine
+ *	quarantine_log - logs and counts each change of the quarantine
  */
 #ifndef COMFREYDOCKD_QUARANTINE_LOG_H
 #define COMFREYDOCKD_QUARANTINE_LOG_H
--- a/include/comfreydockd/reload.h
+++ b/include/comfreydockd/reload.h
@@ -1,13 +1,13 @@
 /*
  * NAME
- *	reload - takes over settings that change while the daemon runs
+ *	reload - applies changed settings to a running daemon
  *
  * DESCRIPTION
- *	On SIGHUP, and when the file changes without one, the settings are read
- *	and checked anew. They are taken whole or not at all: a file with
- *	errors changes nothing, and its findings are printed. What can't change
- *	in a running daemon, its names and addresses above all, keeps its value
- *	until the next start, with a line in the log.
+ *	On SIGHUP, and when the settings file changes without a signal, the
+ *	file is read and checked again. A file with errors changes nothing, and
+ *	its findings are printed. Settings that can't change in a running
+ *	daemon, mainly its names and addresses, keep their values until the
+ *	next start; the log line of the reload says so.
  */
 #ifndef COMFREYDOCKD_RELOAD_H
 #define COMFREYDOCKD_RELOAD_H
@@ -16,12 +16,12 @@
 
 #include "comfreydockd/settings.h"
 
-/* A change without a signal is seen within this time. */
+/* Interval at which the file is checked for a change. */
 #define RELOAD_POLL_S 2.0
 
 struct reload;
 
-/* settings is what the daemon reads; the reload changes it in place. */
+/* A reload changes settings in place; the daemon reads them from there. */
 struct reload *reload_create(struct ev_loop *loop, const char *file,
 			     struct settings *settings);
 void reload_destroy(struct reload *reload);
@@ -29,14 +29,15 @@
 enum reload_result {
 	RELOAD_DONE,
 	RELOAD_REFUSED, /* the file has errors */
-	RELOAD_PARTLY, /* some of it waits for the next start */
+	RELOAD_PARTLY, /* some settings change only at the next start */
 };
 
-/* Takes over what may change. The new settings' own values stay theirs. */
+/* Copies the settings that may change in a running daemon. changed stays valid
+ * and must still be destroyed. */
 enum reload_result settings_apply_reload(struct settings *settings,
 					 const struct settings *changed);
 
-/* Starts the log, or goes on with another format and budget. */
+/* Starts the log, or changes its format and budget. */
 void settings_start_log(const struct settings *settings);
 
 #endif
--- a/include/comfreydockd/stop.h
+++ b/include/comfreydockd/stop.h
@@ -3,19 +3,22 @@
  *	stop - the steps of a planned stop
  *
  * DESCRIPTION
- *	A daemon that is told to stop is still being sent work: callers learn
- *	of it when whoever directs them has noticed, other daemons when gossip
- *	has come round. Ended at once it would reset what they send. So it goes
- *	in steps, each so long after the wish to stop as the settings say:
+ *	A daemon that is told to stop still receives requests for some time:
+ *	from callers until the platform stops sending them here, and from other
+ *	daemons until gossip has spread the drain. If the daemon exited at
+ *	once, these requests would be reset. So it stops in steps, each at the
+ *	time after the begin of the stop that the settings give:
  *
- *	drain	the owner refuses new work as not run
+ *	drain	the owner refuses new requests as not run
  *	close	answers to callers say "Connection: close"
- *	refuse	no new connections from callers
+ *	refuse	the daemon accepts no new connections from callers
  *	turn away
- *		requests on old connections are told at once to go elsewhere
- *	leave	once nothing is in flight, good-bye to the others
+ *		the daemon refuses requests on open connections at once, so
+ *		that callers go elsewhere
+ *	leave	once no request is in flight, the daemon leaves the cluster
  *
- *	What is still out at the last limit is cancelled: not run, or unknown.
+ *	Requests that are still in flight at the last limit are cancelled. Their
+ *	callers are told that they did not run, or that the outcome is unknown.
  */
 #ifndef COMFREYDOCKD_STOP_H
 #define COMFREYDOCKD_STOP_H
@@ -26,12 +29,13 @@
 struct rows;
 struct stop;
 
-/* The parts must outlive it. rows may be set later. */
+/* daemon, listener and rows must outlive the stop object. */
 struct stop *stop_create(struct daemon *daemon, struct listener *listener,
 			 struct rows *rows);
 void stop_destroy(struct stop *stop);
 
-/* Begins; a second call does nothing. The loop is left at the end. */
+/* Begins the stop, at whose end the event loop is left. A second call does
+ * nothing. */
 void stop_begin(struct stop *stop);
 bool stop_has_begun(const struct stop *stop);
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -7,8 +7,9 @@
 
 #define KEY "0123456789abcdef"
 
-/* Loads the sample with one text replaced by another.
- * RETURN VALUE: the findings as text; *out the settings, may be NULL. */
+/* Loads the sample settings with one text replaced. Sets *out to the settings,
+ * or to NULL if they have errors.
+ * RETURN VALUE: the findings as text. */
 static char *load(const char *from, const char *to, struct settings **out)
 {
 	char *sample =
@@ -70,19 +71,20 @@
 
 /*
  * An operator opens the admin port to the network and forgets the token.
- * Anyone who reaches the host could then put a configuration in force.
+ * Anyone who reaches the host could then apply a configuration.
  */
 static void test_open_admin_needs_token(void)
 {
 	assert_refused("\"address\": \"127.0.0.1\",\n\t\t\"port\": 8082",
 		       "\"address\": \"0.0.0.0\",\n\t\t\"port\": 8082",
-		       "s.json:32: error: admin.address: beyond loopback");
+		       "s.json:32: error: admin.address: an address beyond "
+		       "loopback requires a token_file");
 }
 
 /*
- * A host binds all its addresses, or is reached by another port than it binds.
- * Its peers must be told where to reach it: "0.0.0.0" leads them to
- * themselves, and the host looks dead to everyone but itself.
+ * A host binds all its addresses, or is reachable at another port than it binds.
+ * It must announce an address that its peers can reach. "0.0.0.0" would lead
+ * them to themselves, and the host would look dead to all others.
  */
 static void test_advertised_address(void)
 {
@@ -99,11 +101,11 @@
 	g_free(found);
 	assert_refused("\"127.0.0.1\",\n\t\t\"port\": 8081",
 		       "\"0.0.0.0\",\n\t\t\"port\": 8081",
-		       "peer.address: binds every address");
+		       "peer.address: binds all addresses");
 	assert_refused("\"port\": 8081,",
 		       "\"port\": 8081, \"advertise\": "
 		       "{\"address\": \"esja-07\"},",
-		       "peer.advertise.address: an IP number is expected");
+		       "peer.advertise.address: must be an IP address");
 }
 
 static void test_errors_name_the_setting(void)
@@ -113,7 +115,7 @@
 	assert_refused("\"domain\"", "\"domian\"",
 		       "domian: unknown key, did you mean \"domain\"?");
 	assert_refused("http://127.0.0.1:9000", "https://platform",
-		       "platform.url: \"http://IP:PORT\" is expected");
+		       "platform.url: must be \"http://IP:PORT\"");
 	assert_refused("peer.key", "no.key", "peer.key_file: Failed to open");
 	assert_refused("\"lines_per_s\": 200", "\"lines_per_s\": 0",
 		       "log_budget.lines_per_s: must lie between 10 and");
@@ -132,7 +134,7 @@
 	return text;
 }
 
-/* The template of the users' platform with what that would fill in. */
+/* Fills in the settings template for the users' platform as the platform does. */
 static GString *render_template(void)
 {
 	static const struct {
@@ -167,8 +169,8 @@
 	return rendered;
 }
 
-/* The template has a mistake, or a placeholder that nobody fills in: no daemon
- * of a deployment starts. */
+/* Guards against an error in the template, or a placeholder that isn't filled
+ * in: no daemon of a deployment would start. */
 static void test_template_is_valid(void)
 {
 	char *dir = g_dir_make_tmp("settings-XXXXXX", NULL);
@@ -197,7 +199,7 @@
 	g_free(dir);
 }
 
-/* Any address may be given as one text, which the page says once for all. */
+/* Every address accepts the key "at", so the page documents it once for all. */
 static bool is_documented_once(const char *key)
 {
 	return strcmp(key, "at") == 0;
@@ -222,7 +224,7 @@
 	}
 }
 
-/* An operator looks a setting of the samples up and does not find it. */
+/* Guards against settings in the samples that docs/settings.md lacks. */
 static void test_settings_are_documented(void)
 {
 	char *page = read_source("docs", "settings.md");
