--- a/tests/rows_fixture.c
+++ b/tests/rows_fixture.c
@@ -166,7 +166,7 @@
 		rows_note_quarantine(fixture.rows, held, change);
 }
 
-/* As a daemon of this host does that has just started. */
+/* Creates what a daemon that has just started on this host has. */
 void rows_start(void)
 {
 	struct rows_options options = {.loop = EV_DEFAULT,
@@ -193,7 +193,7 @@
 	rows_start();
 }
 
-/* As where the host loses its power: nothing is told to the store any more. */
+/* Like a power loss: the row stays in the store. */
 void rows_stop(void)
 {
 	rows_destroy(fixture.rows);
--- a/tests/swim_net.c
+++ b/tests/swim_net.c
@@ -129,7 +129,7 @@
 	g_free(packet);
 }
 
-/* A frozen machine's packets wait in its socket. */
+/* Packets to a frozen host wait in its socket. */
 static bool packet_is_due(const struct packet *packet)
 {
 	return packet->due_us <= net.now_us && !net.hosts[packet->to].is_frozen;
@@ -150,7 +150,7 @@
 
 static void net_deliver(void)
 {
-	/* Answers go to the tail and wait for the next step. */
+	/* Answers are queued at the tail and wait for the next step. */
 	for (guint left = net.packets.length; left > 0; left--) {
 		struct packet *packet = g_queue_pop_head(&net.packets);
 
--- a/tests/swim_net.h
+++ b/tests/swim_net.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	swim_net - machines wired through a network in memory
+ *	swim_net - swim instances connected by a simulated network
  *
  * DESCRIPTION
- *	Each packet may be lost, delayed and overtaken. Time moves only as the
- *	test runs the network. Hosts tick out of step, and before they read, as
- *	libev has it: after a stop, too.
+ *	Packets may be lost, delayed and reordered. Time advances only when the
+ *	test runs the network. Hosts tick at different times. As with libev, a
+ *	host's timers run before it reads packets, also after a freeze.
  */
 #ifndef TESTS_SWIM_NET_H
 #define TESTS_SWIM_NET_H
@@ -13,13 +13,13 @@
 #include "comfreydockd/decide/quarantine.h"
 #include "comfreydockd/member/swim.h"
 
-#define HOSTS_MAX 40 /* in most tests */
-#define NET_HOSTS_MAX 240
+#define HOSTS_MAX 40 /* hosts in the larger tests of most kinds */
+#define NET_HOSTS_MAX 240 /* capacity of the network */
 #define STEP_US 10000
 #define SECOND 1000000LL
 #define PORT 7000
 
-/* One machine, and what it sent. */
+/* One simulated host. */
 struct host {
 	char name[24];
 	char address[24];
@@ -29,11 +29,12 @@
 	struct swim_ops ops;
 	uint64_t incarnation;
 	bool is_frozen;
-	bool was_frozen; /* in this step: its timers are due */
-	int partition; /* packets between two sides are lost */
+	bool was_frozen; /* in the last step, so its timers are due */
+	int partition; /* packets between different partitions are lost */
 	uint64_t sent_bytes;
 	uint64_t known_config_head;
-	int64_t told_us; /* as of then it knows of nothing newer; 0: never */
+	/* Time as of which the head is confirmed as the newest; 0: never. */
+	int64_t told_us;
 };
 
 struct net {
@@ -42,36 +43,40 @@
 	int64_t now_us;
 	int loss_percent;
 	int64_t delay_max_us;
-	bool has_no_seeds; /* whoever starts now knows nobody */
+	bool has_no_seeds; /* hosts that start know no peers */
 	GQueue packets;
 };
 
 extern struct net net;
 
-/* Starts hosts that know the first two; none is lost or much delayed. */
+/* Starts hosts that have the first two as seeds, on a network without loss and
+ * with small delays. */
 void net_start(int count);
 void net_stop(void);
 void net_step(void);
 void net_run(int64_t us);
 
-/* RETURN VALUE: seconds until all agree; fails after the limit. */
+/* Runs until net_agrees(). RETURN VALUE: the time in s; the test fails after
+ * the limit. */
 double net_settle(int64_t limit_us);
 
-/* True if all that run hold all that run for alive, and the rest for gone. */
+/* RETURN VALUE: true if each running host sees all running hosts as alive and
+ * all others as dead or left. */
 bool net_agrees(void);
 bool net_any_considers_dead(int i);
 
-/* MEMBER_LEFT: not known. */
+/* RETURN VALUE: the state of host "of" in the table of host "at"; MEMBER_LEFT
+ * if it isn't known there. */
 enum member_state state_of(int at, int of);
 
-/* Starts anew, with a higher incarnation. */
+/* Starts or restarts a host, with a higher incarnation than before. */
 void host_start(int i);
-/* Joins so many hosts that stand next to each other from a random one on, as in a
- * page of rows. */
+/* Joins count hosts with consecutive numbers from a random one on, as a daemon
+ * does with a page of rows. */
 void host_join_some(int i, int count);
 void host_kill(int i);
 
-/* Copies one of the bodies that were sent last. RETURN VALUE: its size. */
+/* Copies one of the message bodies that were sent last. RETURN VALUE: its size. */
 size_t swim_net_sample(uint8_t body[SWIM_BODY_MAX]);
 
 #endif
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -13,7 +13,8 @@
 static uint8_t good_key[] = "spurningalina";
 static uint8_t other_key[] = "quispe";
 
-/* A daemon's part that gossips, on loopback and a port of the kernel's. */
+/* The gossip component of a daemon on loopback, with a port that the kernel
+ * chooses. */
 struct node {
 	struct settings settings;
 	struct daemon daemon;
@@ -127,9 +128,10 @@
 }
 
 /*
- * Somebody without the key sends packets to a daemon: another cluster that was
- * given a wrong address, a release with another format, or noise. Taken in,
- * they would put foreign hosts into the table and calls would go there.
+ * Guards against packets from senders without the key: another cluster with a
+ * wrong address in its settings, a release with another format, or noise. If a
+ * daemon accepted them, hosts of another cluster would get into its table and
+ * receive its calls.
  */
 static void test_unauthenticated_packets_are_dropped(void)
 {
--- a/tests/test_member_table.c
+++ b/tests/test_member_table.c
@@ -29,9 +29,9 @@
 }
 
 /*
- * A packet that was long under way says that a host is alive which has since
- * been found dead. Were it believed, calls would be sent to a host that is
- * gone; only the host itself, with a higher incarnation, may come back.
+ * A delayed packet says that a host is alive that has since been declared dead.
+ * If the table accepted it, calls would be sent to a dead host. Only the host
+ * itself can return, with a higher incarnation.
  */
 static void test_outdated_record_is_ignored(void)
 {
@@ -99,8 +99,9 @@
 	return digest;
 }
 
-/* Two tables that took the same records in another order, one of them with a
- * host that has died since, must not send each other records for ever. */
+/* Guards against daemons that send each other the same records forever, when
+ * their tables got the records in different orders or one of them still holds a
+ * dead host. */
 static void test_digest_covers_live_members_only(void)
 {
 	struct member_table *a = member_table_create();
@@ -120,9 +121,9 @@
 }
 
 /*
- * An entry keeps the upstreams of a service and looks at the group's version
- * to learn of changes. If a host that moves from one group to another, or
- * goes for good, left the version as it was, calls would still be sent to it.
+ * An entry caches the upstreams of a service and compares the group's version
+ * to detect changes. If the version stayed the same when a host moves to
+ * another group or is removed, calls would still be sent to that host.
  */
 static void test_group_version_changes_with_members(void)
 {
@@ -157,7 +158,7 @@
 	member_table_destroy(table);
 }
 
-/* A change in one group must not have entries look at all others again. */
+/* A change in one group must not make entries rebuild their other groups. */
 static void test_other_groups_keep_their_version(void)
 {
 	struct member_table *table = member_table_create();
--- a/tests/test_reload.c
+++ b/tests/test_reload.c
@@ -77,8 +77,8 @@
 	g_assert_cmpuint(f->settings->drain_timeout_ms, ==, 2000);
 }
 
-/* Half of a file is written when the signal comes, or somebody mistyped. What
- * is in force must stay, whole. */
+/* The file is half written when the signal arrives, or contains an error. All
+ * current settings must stay. */
 static void test_invalid_file_is_rejected(struct fixture *f, gconstpointer data)
 {
 	(void)data;
@@ -93,7 +93,8 @@
 	g_assert_cmpuint(f->settings->drain_timeout_ms, ==, 1000);
 }
 
-/* A host can't move while its daemon runs; the rest is taken. */
+/* The region of a host can't change while its daemon runs; the other settings
+ * of the file must still be applied. */
 static void test_fixed_settings_need_restart(struct fixture *f, gconstpointer data)
 {
 	struct settings changed = *f->settings;
@@ -112,9 +113,9 @@
 }
 
 /*
- * A fault makes every daemon tell much, and the collector of the logs drowns. An
- * operator lowers the budget of the daemons as they run; a restart would end
- * the fault before it was understood.
+ * A fault makes every daemon log so much that the log collector is overloaded.
+ * An operator must be able to lower the budget of running daemons, because a
+ * restart would end the fault before its cause is known.
  */
 static void test_log_budget_is_applied(struct fixture *f, gconstpointer data)
 {
@@ -126,7 +127,7 @@
 	before = counters.log_lines;
 	for (unsigned int i = 0; i < 1000; i++)
 		log_event(EV_ENTRY_FAILED, LOG_TRACE("t"), LOG_INT("number", i));
-	/* A second may end meanwhile. */
+	/* The loop may run across the end of a second, with a new budget. */
 	g_assert_cmpuint(counters.log_lines - before, >, 0);
 	g_assert_cmpuint(counters.log_lines - before, <=, 30);
 	write_settings(f, "r", QUIET("1000"));
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -12,8 +12,8 @@
 }
 
 /*
- * The platform loses the answer to the first write, which took effect. A
- * daemon that wrote again without looking would meet a conflict for ever.
+ * The platform loses the answer to the first write, which took effect. A daemon
+ * that repeated the write without reading the row would get conflicts forever.
  */
 static void test_lost_write_answer_is_resolved(void)
 {
@@ -33,9 +33,9 @@
 }
 
 /*
- * The platform is out for six hours while 22,000 daemons want it. If each
- * asked every second, their load would keep it down; if they gave up, hosts
- * that start later would not find them.
+ * The platform is unavailable for six hours while 22,000 daemons try to reach
+ * it. If each retried every second, their load would keep it down. If they gave
+ * up, hosts that start later would not find them.
  */
 static void test_store_outage_backs_off(void)
 {
@@ -71,15 +71,16 @@
 	rows_run(60);
 	fixture.store.reads = 0;
 	rows_run(6 * HOUR);
-	/* The own row, a page and a stranger's row, each 10 minutes or so. */
+	/* The own row, a page and the row of an unknown host, each about every
+	 * 10 minutes. */
 	g_assert_cmpuint(fixture.store.reads, <, 3 * 6 * HOUR / 600 + 15);
 	rows_finish();
 }
 
 /*
- * A failure domain comes back, and its hosts meet peers by their settings. If
- * each read a page nevertheless, the platform would be asked for all of them
- * in one half second, and operators' applies would wait behind that.
+ * A failure domain comes back, and its hosts find peers through their settings.
+ * If each still read a page at once, the platform would get all these reads
+ * within half a second, and the operators' applies would wait behind them.
  */
 static void test_host_with_peers_delays_first_page(void)
 {
@@ -89,18 +90,18 @@
 	rows_run(4);
 	g_assert_cmpuint(fixture.joined->len, ==, 0);
 	rows_run(60);
-	/* The own row alone. */
+	/* Only the own row was read. */
 	g_assert_cmpuint(fixture.store.reads, ==, 1);
 	rows_run(1200);
-	/* In its turn a page comes all the same. */
+	/* A page is still read at the regular interval. */
 	g_assert_cmpuint(fixture.joined->len, >, 0);
 	rows_finish();
 }
 
 /*
- * A host died with its row left behind, and its successor under the same id
- * writes its own row. Were the old word still acted on, the successor's row
- * would be deleted and daemons that start would not find it.
+ * A host dies and leaves its row behind, and its successor with the same id
+ * writes a new one. If the death of the old incarnation still counted, the
+ * successor's row would be deleted and daemons that start would not find it.
  */
 static void test_stale_rows_are_deleted_by_incarnation(void)
 {
@@ -134,9 +135,10 @@
 }
 
 /*
- * A daemon was stopped and its host's id was given to another, which writes
- * its row now and then. On waking, the old one must neither overwrite nor, on
- * leaving, delete that row, or daemons that start would not find the new host.
+ * A daemon was suspended, and its host's id was given to another host, which
+ * writes its row from time to time. The old daemon must neither overwrite that
+ * row when it resumes nor delete it when it leaves, or daemons that start would
+ * not find the new host.
  */
 static void test_row_of_later_start_is_kept(void)
 {
@@ -157,8 +159,8 @@
 
 /*
  * The host's clock was set back between two starts, so that the row of the
- * earlier one looks newer. It never changes again, and must be replaced, or
- * the host could be found only at an address it no longer has.
+ * earlier start has the higher incarnation. That row never changes again and
+ * must be replaced, or daemons would find only the host's old address.
  */
 static void test_row_of_earlier_start_is_replaced(void)
 {
@@ -183,8 +185,8 @@
 	rows_finish();
 }
 
-/* Guards against hosts without a row for minutes after the store was set back: who
- * starts meanwhile finds none of them. */
+/* Guards against hosts that have no row for minutes after the store was restored
+ * from a copy. Daemons that start in this time would not find them. */
 static void test_row_is_rewritten_after_restore(void)
 {
 	rows_begin(STORE_UP);
@@ -196,7 +198,7 @@
 	rows_finish();
 }
 
-/* The daemon ends while the platform is slow; the answer comes afterwards. */
+/* The daemon exits while the platform is slow, and the answer arrives later. */
 static void test_late_answer_is_dropped(void)
 {
 	rows_begin(STORE_HOLDS_READS);
--- a/tests/test_rows_quarantine.c
+++ b/tests/test_rows_quarantine.c
@@ -7,7 +7,7 @@
 
 #define CRASHING_KEY 7
 
-/* Three crashes: one beside this daemon, two elsewhere. */
+/* Marks a request with three crashes: one on this host, two on other hosts. */
 static void quarantine_key_in(struct quarantine *quarantine, uint64_t key)
 {
 	static const char *const hosts[] = {"surco-1", "surco-2", "callao-1"};
@@ -24,8 +24,8 @@
 	quarantine_key_in(fixture.quarantine, key);
 }
 
-/* Guards against requests that end upstreams anew after all daemons that knew them
- * were gone at once. */
+/* Guards against requests that crash upstreams again after all daemons that held
+ * them were lost at once. */
 static void test_quarantine_survives_power_loss(void)
 {
 	rows_begin(STORE_UP);
@@ -44,8 +44,8 @@
 	rows_finish();
 }
 
-/* Guards against a request that is refused after a power loss though it had been
- * cleared. */
+/* Guards against a request that is refused after a power loss although it had
+ * been cleared. */
 static void test_cleared_request_stays_cleared(void)
 {
 	rows_begin(STORE_UP);
@@ -61,8 +61,8 @@
 	rows_finish();
 }
 
-/* Guards against a daemon that has lost all its peers, and lets a request through
- * that ended upstreams at theirs. */
+/* Guards against a daemon that has lost all its peers and lets a request through
+ * that crashed upstreams on their hosts. */
 static void test_isolated_daemon_reads_peer_rows(void)
 {
 	struct quarantine *other =
@@ -78,7 +78,7 @@
 	rows_finish();
 }
 
-/* Guards against a store that is asked by each host for each crash anywhere. */
+/* Guards against hosts that call the store for each crash on any host. */
 static void test_unaffected_hosts_write_no_row(void)
 {
 	rows_begin(STORE_UP);
@@ -96,7 +96,7 @@
 	rows_finish();
 }
 
-/* Guards against a row that grows with each request that is held. */
+/* Guards against a row that grows without bound with the held requests. */
 static void test_row_size_is_bounded(void)
 {
 	enum {
--- a/tests/test_swim.c
+++ b/tests/test_swim.c
@@ -4,8 +4,8 @@
 #include "swim_net.h"
 
 /*
- * A host loses its power. Until the others know, calls go to it and wait for
- * nothing; the others hold it dead after a few seconds.
+ * A host loses its power. Calls are sent to it in vain until the other hosts
+ * declare it dead, which must happen within seconds.
  */
 static void test_killed_host_is_detected(void)
 {
@@ -21,8 +21,9 @@
 }
 
 /*
- * A third of all hosts goes at once with its hall. The news is many times that
- * of a single host's end, and calls go astray until it has come through.
+ * A failure domain with a third of all hosts is lost at once. Gossip has to
+ * spread many more records than after the loss of one host, and calls are sent
+ * to dead hosts until it has.
  */
 static void test_lost_domain_is_detected(void)
 {
@@ -35,8 +36,9 @@
 }
 
 /*
- * A peer with the right key sends what no peer should: a release with a fault,
- * say. It must neither end the daemon nor get past the bounds of a record.
+ * A peer with the right key sends corrupted messages, for example because of a
+ * bug in its release. They must neither crash the daemon nor bypass the bounds
+ * checks on records.
  */
 static void test_corrupted_messages_are_handled(void)
 {
@@ -64,7 +66,8 @@
 
 /*
  * A fifth of all packets is lost, so that probes of healthy hosts fail all the
- * time. A host held dead for that would lose its calls while it stands idle.
+ * time. If a host were declared dead for that, it would get no calls although
+ * it is healthy.
  */
 static void test_packet_loss_causes_no_false_deaths(void)
 {
@@ -80,9 +83,9 @@
 }
 
 /*
- * A process is stopped for a minute and wakes, with old packets in its socket.
- * To itself all others seem silent; were it to say so, its word would take
- * healthy hosts out of use everywhere.
+ * A process is suspended for a minute and resumes with old packets in its
+ * socket. All others seem to have been silent. If it declared them dead, that
+ * would spread and take healthy hosts out of use everywhere.
  */
 static void test_resumed_host_declares_nobody_dead(void)
 {
@@ -106,9 +109,9 @@
 }
 
 /*
- * Two regions lose each other for an hour and each holds the other's hosts
- * dead. When the line is back nobody restarts anything; the halves must find
- * each other by themselves, or each goes on with half of the hosts.
+ * A network partition separates two regions for an hour, and each declares the
+ * other's hosts dead. When the network is back, the halves must find each other
+ * without a restart, or each would go on with half of the hosts.
  */
 static void test_partition_heals(void)
 {
@@ -146,8 +149,8 @@
 }
 
 /*
- * An operator drains an upstream, and applies a configuration. Entries that
- * don't hear of the drain go on to send calls there, each a wasted trip.
+ * An operator drains an upstream and applies a configuration. Entries that
+ * don't learn of the drain keep sending calls there, and each is refused.
  */
 static void test_drain_and_config_head_spread(void)
 {
@@ -177,7 +180,8 @@
 	net_stop();
 }
 
-/* One host knows, and has told for 5 s. RETURN VALUE: as of when. */
+/* Starts a network in which one host's config head is confirmed as the newest,
+ * and lets that spread for 5 s. RETURN VALUE: the time of the confirmation. */
 static int64_t start_with_confirmed_head(void)
 {
 	int64_t told_us;
@@ -197,9 +201,10 @@
 }
 
 /*
- * One of many hears from the platform that nothing is newer than what all hold. The
- * others take its word, with the age that it has by then: made younger on its way, a
- * side without the platform would tell itself for ever that it is up to date.
+ * One host learns from the platform that the config head of all hosts is the
+ * newest, and gossip spreads this with its age. If the age shrank on the way,
+ * daemons without the platform would forever confirm to each other that they are
+ * up to date.
  */
 static void test_head_confirmation_spreads_and_ages(void)
 {
@@ -213,8 +218,9 @@
 	net_stop();
 }
 
-/* One is stopped for 20 s, and all that was said to it meanwhile waits for it. What it
- * reads first said "5 s ago" 20 s ago, and it is not to pass that on as fresh. */
+/* A host is suspended for 20 s while packets wait in its socket. The first ones
+ * that it reads say "confirmed 5 s ago", but are 20 s old. The host must add that
+ * time before it spreads the confirmation. */
 static void test_head_confirmation_ages_in_socket_queue(void)
 {
 	int64_t told_us = start_with_confirmed_head();
@@ -241,10 +247,10 @@
 }
 
 /*
- * Daemons are restarted one after another while the platform is away. Each
- * said good-bye, starts with an empty memory, and can ask nobody whom to join.
- * Its callers would be refused until the platform is back, unless the others
- * look for it.
+ * Daemons are restarted one after another during an outage of the platform. Each
+ * leaves properly, starts without any state and finds no peers to join. Its
+ * callers would be refused until the platform is back, unless other daemons
+ * ping its address.
  */
 static void test_restarted_host_is_rediscovered(void)
 {
@@ -261,9 +267,9 @@
 }
 
 /*
- * A host is replaced while its clock stands behind the old one's, so that it
- * starts with a lower incarnation. If it kept that, the others would take its
- * word for old and hold it dead for ever.
+ * A host is replaced and the new clock is behind the old one, so that it starts
+ * with a lower incarnation. If it kept that, the others would ignore its records
+ * as outdated and consider it dead forever.
  */
 static void test_restart_with_lower_incarnation_is_accepted(void)
 {
@@ -279,8 +285,9 @@
 	net_stop();
 }
 
-/* A daemon that restarted while both of its seeds are gone for good knows
- * nobody, and finds peers by the platform's rows only: each is told of one. */
+/* Joins all running hosts with one of them, as through the platform's rows. A
+ * daemon that restarted after both of its seeds were lost finds peers only
+ * there. */
 static void join_from_platform_rows(void)
 {
 	int row = 0;
@@ -295,9 +302,9 @@
 }
 
 /*
- * Hosts are killed, restarted, frozen and cut off at random while packets are
- * lost and late. Afterwards, with the network whole, all must agree: a healthy
- * host that stays dead to some has lost its calls for good.
+ * Hosts are killed, restarted, frozen and partitioned at random while packets
+ * are lost and delayed. Once the network works again, all hosts must agree. A
+ * healthy host that some still consider dead would never get their calls again.
  */
 static void test_membership_converges_after_random_faults(void)
 {
@@ -358,8 +365,8 @@
 	return known;
 }
 
-/* Guards against daemons that know too few upstreams for seconds, where all hosts
- * come back at the same time and nobody has a table to pass on. */
+/* Guards against daemons that know too few upstreams for seconds after all hosts
+ * have restarted at the same time, when no peer has a complete table to send. */
 static void test_simultaneous_restart_converges(void)
 {
 	int64_t began_us;
@@ -411,9 +418,9 @@
 }
 
 /*
- * A daemon joins 22,000 others, all of which are news to its peer at that
- * moment. Neither the storm of news nor the pages may take more of the line
- * than stated, or gossip would slow down the calls it is there for.
+ * A daemon joins 22,000 others, whose records its peer is still spreading.
+ * Neither the burst of records nor the sync pages may exceed their bandwidth
+ * limits, or gossip would slow down the calls.
  */
 static void test_join_and_update_burst_bandwidth(void)
 {
--- a/tests/test_swim_quarantine.c
+++ b/tests/test_swim_quarantine.c
@@ -3,8 +3,9 @@
 #include "swim_net.h"
 
 #define CRASHING_KEY 7
-#define SPREAD_LIMIT_US \
-	(2 * SECOND) /* well within the time that daemons have */
+/* Limit for marks to reach all hosts; well below the time that daemons have
+ * before the request is repeated. */
+#define SPREAD_LIMIT_US (2 * SECOND)
 #define RELEARN_LIMIT_US (5 * SECOND)
 
 static void note_crashes(int i, int count)
@@ -27,15 +28,15 @@
 	return count;
 }
 
-/* Marks the same request at three hosts. */
+/* Marks the same request on three hosts, for one crash each. */
 static void note_crash_on_three_hosts(void)
 {
 	for (int i = 0; i < QUARANTINE_CRASHES; i++)
 		note_crashes(i * 3, 1);
 }
 
-/* Guards against marks that stay where the crash was: each daemon would let the
- * request end three upstreams more. */
+/* Guards against marks that don't leave the host of the crash. Each daemon would
+ * then let the request crash three more upstreams. */
 static void test_marks_spread_to_all_hosts(void)
 {
 	net_start(HOSTS_MAX);
@@ -46,7 +47,7 @@
 	net_stop();
 }
 
-/* RETURN VALUE: seconds until all hold it. */
+/* RETURN VALUE: seconds until all hosts hold the request, or until the limit. */
 static double spread_s(int64_t limit_us)
 {
 	int64_t began_us = net.now_us;
@@ -56,8 +57,8 @@
 	return (double)(net.now_us - began_us) / SECOND;
 }
 
-/* Guards against marks that wait for the news of hundreds of hosts that have just
- * started, while the request comes again. */
+/* Guards against marks that are delayed by the membership records of hundreds of
+ * hosts that have just started, while the request is repeated. */
 static void test_marks_spread_in_large_cluster(void)
 {
 	double took_s;
@@ -83,8 +84,8 @@
 	net_stop();
 }
 
-/* Guards against a daemon that has forgotten by its restart what all others hold,
- * and lets the request end the upstream beside it. */
+/* Guards against a daemon that has lost its quarantine in a restart and lets a
+ * request that all others hold crash its upstream. */
 static void test_restarted_daemon_receives_marks(void)
 {
 	net_start(HOSTS_MAX);
@@ -98,7 +99,8 @@
 	net_stop();
 }
 
-/* Guards against a daemon that was cut off while the others learned. */
+/* Guards against a daemon that misses marks because it was partitioned from the
+ * others while they spread. */
 static void test_partitioned_daemon_receives_marks(void)
 {
 	net_start(HOSTS_MAX);
@@ -114,8 +116,8 @@
 	net_stop();
 }
 
-/* Guards against news of crashes that take the line from calls, or drown the news
- * of who is alive. */
+/* Guards against quarantine records that take bandwidth away from calls, or
+ * delay the membership records. */
 static void test_quarantine_bandwidth_is_bounded(void)
 {
 	uint64_t before;
