--- a/comfreydockd/member/rows_own.c
+++ b/comfreydockd/member/rows_own.c
@@ -156,7 +156,7 @@
 		own_compare(rows, row);
 }
 
-static void own_check_within(struct rows *rows, int64_t us)
+static void own_check_after(struct rows *rows, int64_t us)
 {
 	if (rows->is_leaving)
 		return;
@@ -168,7 +168,7 @@
 
 void rows_note_restored(struct rows *rows)
 {
-	own_check_within(rows, rows_random_us(rows, ROWS_RESTORED_CHECK_MAX_US));
+	own_check_after(rows, rows_random_us(rows, ROWS_RESTORED_CHECK_MAX_US));
 }
 
 void rows_note_quarantine(struct rows *rows,
@@ -181,7 +181,7 @@
 	    !quarantine_record_names(record,
 				     member_host_hash(rows->options.self->host)))
 		return;
-	own_check_within(rows, ROWS_QUARANTINE_DELAY_US);
+	own_check_after(rows, ROWS_QUARANTINE_DELAY_US);
 }
 
 void rows_own_check(struct rows *rows)
--- a/comfreydockd/member/swim_internal.h
+++ b/comfreydockd/member/swim_internal.h
@@ -21,16 +21,16 @@
 	TAILQ_ENTRY(swim_node) suspect_link;
 	struct member *member;
 	int64_t suspected_at_us;
-	int64_t dead_at_us;
+	int64_t dead_at_us; /* when the suspicion times out */
 	uint64_t suspected_incarnation;
 	uint32_t confirmers[SWIM_CONFIRMERS + 1];
 	uint8_t confirmer_count;
-	uint8_t transmits;
+	uint8_t transmits; /* times that the rumour was sent */
 	uint8_t final_pings;
 	bool is_rumour;
 	bool is_urgent;
 	bool is_suspect;
-	bool is_lost;
+	bool is_lost; /* dead or left */
 	bool is_live; /* alive or suspect, and not this host */
 };
 
--- a/comfreydockd/reload.c
+++ b/comfreydockd/reload.c
@@ -23,8 +23,8 @@
 	return a->port == b->port && g_strcmp0(a->address, b->address) == 0;
 }
 
-/* Compares the settings that are bound, advertised or written to rows at the
- * start and can't change in a running daemon. */
+/* Compares the settings that can't change in a running daemon, mainly those
+ * that it binds, advertises or writes to rows at the start. */
 static bool has_same_fixed_settings(const struct settings *a,
 				    const struct settings *b)
 {
@@ -86,9 +86,9 @@
 	settings_destroy(changed);
 }
 
-/* Remembers the file's modification time and size.
- * RETURN VALUE: true if they differ from those of the last call. */
-static bool file_has_changed(struct reload *reload)
+/* Refreshes the known modification time and size of the file.
+ * RETURN VALUE: true if they have changed. */
+static bool refresh_file_stat(struct reload *reload)
 {
 	struct stat now;
 	bool differs;
@@ -110,7 +110,7 @@
 
 	(void)loop;
 	(void)events;
-	file_has_changed(reload);
+	refresh_file_stat(reload);
 	reload_now(reload, "signal");
 }
 
@@ -120,7 +120,7 @@
 
 	(void)loop;
 	(void)events;
-	if (file_has_changed(reload))
+	if (refresh_file_stat(reload))
 		reload_now(reload, "changed");
 }
 
@@ -132,7 +132,7 @@
 	reload->loop = loop;
 	reload->file = g_strdup(file);
 	reload->settings = settings;
-	file_has_changed(reload);
+	refresh_file_stat(reload);
 	ev_signal_init(&reload->sighup, handle_sighup, SIGHUP);
 	ev_timer_init(&reload->poll_timer, handle_poll, RELOAD_POLL_S,
 		      RELOAD_POLL_S);
--- a/include/comfreydockd/member/rows.h
+++ b/include/comfreydockd/member/rows.h
@@ -22,9 +22,9 @@
  *	time between attempts grows up to ROWS_BACKOFF_MAX_US, and nothing else
  *	waits for them. The daemon reads other rows page by page until it has
  *	peers, then one page at a time from a random point. It deletes the rows
- *	of hosts that have been dead, or unknown to all, for ROWS_STALE_US. A
- *	deletion requires that the row did not change, so two daemons that
- *	delete the same row do no harm.
+ *	of hosts that have been dead or unknown for ROWS_STALE_US. A deletion
+ *	requires that the row did not change, so two daemons that delete the
+ *	same row do no harm.
  *
  *	Calculated load for 22,000 hosts: 73 reads per second for own rows and
  *	pages, and up to 37 more for watched rows; 147 attempts per second in a
--- a/include/comfreydockd/member/swim.h
+++ b/include/comfreydockd/member/swim.h
@@ -21,9 +21,9 @@
  *	are pinged now and then, so that the sides of a network partition merge
  *	again and a restarted daemon is found.
  *
- *	The data sent stays below SWIM_BYTES_PER_S on average, without the
- *	pages for joining daemons, which stay below SWIM_PAGE_BYTES_PER_S, and
- *	the records of the quarantine, which stay below
+ *	A daemon sends less than SWIM_BYTES_PER_S on average. Pages for joining
+ *	daemons and records of the quarantine don't count in that; they have
+ *	limits of their own, SWIM_PAGE_BYTES_PER_S and
  *	SWIM_QUARANTINE_BYTES_PER_S.
  *
  * SOURCE
@@ -43,7 +43,8 @@
 #define SWIM_PUSH_INTERVAL_US (250 * 1000) /* between rounds of pushes */
 #define SWIM_PUSH_FANOUT 2 /* peers per round */
 #define SWIM_PING_REQ_FANOUT 3
-#define SWIM_LOCAL_HEALTH_MAX 8 /* the period is stretched by it at most */
+/* The probe period is multiplied by at most 1 + this. */
+#define SWIM_LOCAL_HEALTH_MAX 8
 /* Each daemon that receives a change sends it BASE + SCALE * ln(size) times to
  * random peers. The probability that one of n daemons misses it is below
  * exp(-BASE) * n^(1 - SCALE); the comparison of digests finds the rest. */
@@ -56,22 +57,22 @@
 /* Further suspicions that shorten the timeout to its minimum. */
 #define SWIM_CONFIRMERS 3
 #define SWIM_BODY_MAX 1150 /* bytes; the envelope needs up to 30 more */
-#define SWIM_RECORD_MAX \
-	800 /* bytes; leaves room for the message's other fields */
+/* In bytes. Leaves room in a packet for the message's other fields. */
+#define SWIM_RECORD_MAX 800
 #define SWIM_BYTES_PER_S 5400
 #define SWIM_PAGE_BYTES_PER_S 200000
 /* A budget of its own: when hundreds of hosts start or stop, membership records
  * use up SWIM_BYTES_PER_S. */
 #define SWIM_QUARANTINE_BYTES_PER_S 1500
-#define SWIM_REPROBE_INTERVAL_US \
-	(2 * 1000 * 1000) /* between pings of dead members */
+/* Between pings of dead members. */
+#define SWIM_REPROBE_INTERVAL_US (2 * 1000 * 1000)
 /* A member that left may return from a restart for so long; a rolling restart
  * takes minutes. */
 #define SWIM_REPROBE_LEFT_US ((int64_t)600 * 1000 * 1000)
 #define SWIM_FORGET_DEAD_US ((int64_t)24 * 3600 * 1000 * 1000)
 #define SWIM_FORGET_LEFT_US ((int64_t)3600 * 1000 * 1000)
-#define SWIM_HOP_MAX_US \
-	(100 * 1000) /* network delay of all but a few packets */
+/* Network delay that only a few packets exceed. */
+#define SWIM_HOP_MAX_US (100 * 1000)
 /* After so long without a tick, this process counts as having been suspended. */
 #define SWIM_FREEZE_US (1500 * 1000)
 
--- a/include/comfreydockd/settings.h
+++ b/include/comfreydockd/settings.h
@@ -22,7 +22,7 @@
 	uint16_t port; /* 0: the kernel chooses */
 };
 
-/* Steps of a planned stop in ms after its begin; see stop.h. */
+/* Steps of a planned stop, in ms after it began; see stop.h. */
 struct settings_stop {
 	uint32_t drain_after_ms;
 	uint32_t close_after_ms;
--- a/include/comfreydockd/stop.h
+++ b/include/comfreydockd/stop.h
@@ -6,8 +6,8 @@
  *	A daemon that is told to stop still receives requests for some time:
  *	from callers until the platform stops sending them here, and from other
  *	daemons until gossip has spread the drain. If the daemon exited at
- *	once, these requests would be reset. So it stops in steps, each at the
- *	time after the begin of the stop that the settings give:
+ *	once, these requests would be reset. So it stops in steps. The settings
+ *	say how long after the begin of the stop each step is taken:
  *
  *	drain	the owner refuses new requests as not run
  *	close	answers to callers say "Connection: close"
--- a/tests/swim_net.h
+++ b/tests/swim_net.h
@@ -13,7 +13,7 @@
 #include "comfreydockd/decide/quarantine.h"
 #include "comfreydockd/member/swim.h"
 
-#define HOSTS_MAX 40 /* hosts in the larger tests of most kinds */
+#define CLUSTER_SIZE 40 /* hosts in most of the larger tests */
 #define NET_HOSTS_MAX 240 /* capacity of the network */
 #define STEP_US 10000
 #define SECOND 1000000LL
--- a/tests/test_swim.c
+++ b/tests/test_swim.c
@@ -27,9 +27,9 @@
  */
 static void test_lost_domain_is_detected(void)
 {
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(10 * SECOND);
-	for (int i = 0; i < HOSTS_MAX; i += 3)
+	for (int i = 0; i < CLUSTER_SIZE; i += 3)
 		host_kill(i);
 	g_test_message("14 of 40 hosts: seen in %.2f s", net_settle(40 * SECOND));
 	net_stop();
@@ -158,7 +158,7 @@
 	struct swim *swim;
 	int64_t up_us, drained_us, head_us;
 
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(10 * SECOND);
 	swim = net.hosts[7].swim;
 	g_assert_true(swim_announce(swim, MEMBER_SERVICE_UP, groups, 9, 500,
@@ -186,7 +186,7 @@
 {
 	int64_t told_us;
 
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(10 * SECOND);
 	told_us = net.now_us;
 	net.hosts[7].told_us = told_us;
@@ -196,7 +196,7 @@
 
 static void expect_confirmation_not_newer(int64_t told_us)
 {
-	for (int i = 0; i < HOSTS_MAX; i++)
+	for (int i = 0; i < CLUSTER_SIZE; i++)
 		g_assert_cmpint(net.hosts[i].told_us, <=, told_us);
 }
 
@@ -211,7 +211,7 @@
 	int64_t told_us = start_with_confirmed_head();
 
 	expect_confirmation_not_newer(told_us);
-	for (int i = 0; i < HOSTS_MAX; i++)
+	for (int i = 0; i < CLUSTER_SIZE; i++)
 		g_assert_cmpint(net.hosts[i].told_us, >=, told_us - 2 * SECOND);
 	net_run(60 * SECOND);
 	expect_confirmation_not_newer(told_us);
--- a/tests/test_swim_quarantine.c
+++ b/tests/test_swim_quarantine.c
@@ -39,7 +39,7 @@
  * then let the request crash three more upstreams. */
 static void test_marks_spread_to_all_hosts(void)
 {
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(20 * SECOND);
 	note_crash_on_three_hosts();
 	net_run(SPREAD_LIMIT_US);
@@ -74,7 +74,7 @@
 
 static void test_marks_spread_despite_packet_loss(void)
 {
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(20 * SECOND);
 	net.loss_percent = 20;
 	net.delay_max_us = 50000;
@@ -88,7 +88,7 @@
  * request that all others hold crash its upstream. */
 static void test_restarted_daemon_receives_marks(void)
 {
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(20 * SECOND);
 	note_crash_on_three_hosts();
 	net_run(30 * SECOND);
@@ -103,14 +103,14 @@
  * others while they spread. */
 static void test_partitioned_daemon_receives_marks(void)
 {
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(20 * SECOND);
-	net.hosts[HOSTS_MAX - 1].partition = 1;
+	net.hosts[CLUSTER_SIZE - 1].partition = 1;
 	net_run(10 * SECOND);
 	note_crash_on_three_hosts();
 	net_run(30 * SECOND);
 	g_assert_cmpint(count_holding(), ==, net.count - 1);
-	net.hosts[HOSTS_MAX - 1].partition = 0;
+	net.hosts[CLUSTER_SIZE - 1].partition = 0;
 	net_run(RELEARN_LIMIT_US);
 	g_assert_cmpint(count_holding(), ==, net.count);
 	net_stop();
@@ -122,7 +122,7 @@
 {
 	uint64_t before;
 
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(20 * SECOND);
 	before = net.hosts[0].sent_bytes;
 	for (int i = 0; i < net.count; i++) {
