--- a/comfreydockd/member/swim_message.c
+++ b/comfreydockd/member/swim_message.c
@@ -18,9 +18,8 @@
 	return (uint32_t)MIN(age_us / 1000 + 1, (int64_t)UINT32_MAX);
 }
 
-/* RETURN VALUE: how long a packet that is read now may have waited in the
- * socket. After a freeze the tick runs before the waiting packets are read, so
- * the gap that the tick found counts for them. */
+/* How long a packet that is read now may have waited in the socket. After a
+ * freeze the tick runs before the packets are read, so its gap counts as well. */
 static int64_t queue_delay_us(const struct swim *swim)
 {
 	int64_t since_tick_us = MAX(swim->now_us - swim->ticked_at_us, 0);
@@ -31,10 +30,9 @@
 }
 
 /*
- * Adds the time on the network and in the socket's queue to the age in the
- * message. Without them the age would shrink with each hop, and daemons that
- * lost the platform would forever confirm to each other that their
- * configuration is up to date.
+ * Adds the time on the network and in the socket's queue. Without it the age
+ * would shrink with each hop, and daemons that lost the platform would forever
+ * confirm to each other that their configuration is up to date.
  */
 int64_t swim_told_age_us(const struct swim *swim, const Cfd__Gossip *message)
 {
