--- a/comfreydockd/member/swim.c
+++ b/comfreydockd/member/swim.c
@@ -201,9 +201,10 @@
  * Completes a short record with the fields known from the member table.
  *
  * RETURN VALUE
- *	false if the record must be ignored: a short one of an unknown host, or
- *	one of an unknown host that is dead or has left. If daemons accepted
- *	the latter, they would send each other forgotten members forever.
+ *	false if the record must be ignored: its host is unknown, and it is a
+ *	short record or says that the host is dead or has left. If daemons
+ *	accepted the latter, they would send each other records of members that
+ *	were already removed, forever.
  */
 static bool complete_record(const struct member *known,
 			    const struct member *received, struct member *record)
@@ -295,9 +296,9 @@
 	swim_seed_ping(swim, from);
 }
 
-/* Starts a full sync with a peer that may know much that this daemon missed:
- * any peer while the table is incomplete, and one that was taken for dead and
- * answers. */
+/* Starts a full sync with a peer that may have many records that this daemon
+ * lacks. That is any peer while the table is incomplete, and a peer that was
+ * considered dead and answers. */
 static void sync_with_new_peer(struct swim *swim,
 			       const struct swim_endpoint *from, bool was_dead)
 {
--- a/include/comfreydockd/daemon.h
+++ b/include/comfreydockd/daemon.h
@@ -45,7 +45,8 @@
 	struct owner *owner;
 	struct entry *entry;
 	struct operator_api *operator_api;
-	uint16_t peer_port; /* as bound, like the following two */
+	/* The ports that were bound. */
+	uint16_t peer_port;
 	uint16_t caller_port;
 	uint16_t admin_port;
 };
--- a/include/comfreydockd/member/swim.h
+++ b/include/comfreydockd/member/swim.h
@@ -92,8 +92,8 @@
 	int64_t (*config_told_age_us)(uint64_t head, void *data);
 	/* swim_tick() wasn't called for gap_us; may be NULL. */
 	void (*handle_freeze)(int64_t gap_us, void *data);
-	/* This daemon refuted a record in which it had this state; incarnation
-	 * is its new one. May be NULL. */
+	/* This daemon refuted a received record about itself with this state;
+	 * incarnation is its new one. May be NULL. */
 	void (*handle_refuted)(enum member_state state, uint64_t incarnation,
 			       void *data);
 	void *data;
--- a/include/comfreydockd/stop.h
+++ b/include/comfreydockd/stop.h
@@ -7,7 +7,7 @@
  *	from callers until the platform stops sending them here, and from other
  *	daemons until gossip has spread the drain. If the daemon exited at
  *	once, these requests would be reset. So it stops in steps. The settings
- *	say how long after the begin of the stop each step is taken:
+ *	say how long after the stop began each step is taken:
  *
  *	drain	the owner refuses new requests as not run
  *	close	answers to callers say "Connection: close"
@@ -34,8 +34,8 @@
 			 struct rows *rows);
 void stop_destroy(struct stop *stop);
 
-/* Begins the stop, at whose end the event loop is left. A second call does
- * nothing. */
+/* Begins the stop. The event loop ends when the stop is complete. A second call
+ * has no effect. */
 void stop_begin(struct stop *stop);
 bool stop_has_begun(const struct stop *stop);
 
