--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -75,7 +75,7 @@
 	counters.gossip_packets_out++;
 	counters.gossip_bytes_out += size;
 	/* If the socket's buffer is full, the packet is dropped without a
-	 * retry: gossip tolerates loss, and later packets repeat the news. */
+	 * retry: gossip tolerates loss, and later packets repeat its content. */
 	if (sendto(gossip->fd, packet, size, 0, &to.any, to_size) < 0)
 		counters.gossip_send_failed++;
 }
--- a/comfreydockd/member/swim_rumour.c
+++ b/comfreydockd/member/swim_rumour.c
@@ -26,9 +26,9 @@
 	node->is_rumour = false;
 }
 
-/* RETURN VALUE: true for news that must not wait behind a burst of others:
- * what keeps calls away from a host, and what refutes a false suspicion of
- * this host. */
+/* RETURN VALUE: true for records that must not wait behind a burst of others:
+ * those that keep calls away from a host, and those that refute a false
+ * suspicion of this host. */
 static bool rumour_is_urgent(const struct swim *swim, const struct member *member)
 {
 	return member == swim->self || member->state == MEMBER_LEFT ||
--- a/include/comfreydockd/member/rows.h
+++ b/include/comfreydockd/member/rows.h
@@ -49,7 +49,7 @@
 #define ROWS_CHECK_INTERVAL_US ((int64_t)600 * 1000 * 1000)
 #define ROWS_BACKOFF_MIN_US ((int64_t)1000 * 1000)
 #define ROWS_BACKOFF_MAX_US ((int64_t)300 * 1000 * 1000)
-/* Rows of hosts that were dead or unknown for so long are deleted. */
+/* Rows of hosts that were dead or unknown for this time are deleted. */
 #define ROWS_STALE_US ((int64_t)6 * 3600 * 1000 * 1000)
 #define ROWS_LEAVE_TRIES 4
 /* After the store was restored from a copy, each daemon checks its own row
--- a/include/comfreydockd/member/swim.h
+++ b/include/comfreydockd/member/swim.h
@@ -66,14 +66,14 @@
 #define SWIM_QUARANTINE_BYTES_PER_S 1500
 /* Between pings of dead members. */
 #define SWIM_REPROBE_INTERVAL_US (2 * 1000 * 1000)
-/* A member that left may return from a restart for so long; a rolling restart
- * takes minutes. */
+/* A member that left is still pinged for this time, as it may return from a
+ * restart; a rolling restart takes minutes. */
 #define SWIM_REPROBE_LEFT_US ((int64_t)600 * 1000 * 1000)
 #define SWIM_FORGET_DEAD_US ((int64_t)24 * 3600 * 1000 * 1000)
 #define SWIM_FORGET_LEFT_US ((int64_t)3600 * 1000 * 1000)
 /* Network delay that only a few packets exceed. */
 #define SWIM_HOP_MAX_US (100 * 1000)
-/* After so long without a tick, this process counts as having been suspended. */
+/* A longer gap between ticks means that this process was suspended. */
 #define SWIM_FREEZE_US (1500 * 1000)
 
 struct quarantine;
@@ -131,7 +131,7 @@
 
 /*
  * Announces the state of this daemon's upstream with a new incarnation. A drain
- * spreads before all other news.
+ * spreads before all other records.
  *
  * RETURN VALUE
  *	false if the record would not fit into a packet; nothing was changed.
--- a/tests/test_swim.c
+++ b/tests/test_swim.c
@@ -85,7 +85,7 @@
 /*
  * A process is suspended for a minute and resumes with old packets in its
  * socket. All others seem to have been silent. If it declared them dead, that
- * would spread and take healthy hosts out of use everywhere.
+ * would spread, and no daemon would send calls to healthy hosts any more.
  */
 static void test_resumed_host_declares_nobody_dead(void)
 {
