--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -17,15 +17,16 @@
 #include "common/log.h"
 #include "gossip_packet.h"
 
-#define RECEIVE_MAX 64 /* packets in one turn of the loop */
+#define RECEIVE_MAX 64 /* packets per event loop iteration */
 #define RECEIVE_BUFFER_BYTES (512 * 1024)
 #define LOG_WINDOW_US (10 * US_PER_S)
-#define LOG_LINES_MAX 20 /* of one kind in a window */
+#define LOG_LINES_MAX 20 /* of one kind per window */
 
-/* Bounds the lines of one kind: strangers' packets, or a failure domain's
- * hosts, come by the thousands and would fill the log. */
-struct log_bound {
-	int64_t began_us;
+/* Limits the log lines of one kind. Unauthenticated packets, or the state
+ * changes when a failure domain is lost, come by the thousands and would fill
+ * the log. */
+struct log_limiter {
+	int64_t window_start_us;
 	unsigned int lines;
 	uint64_t suppressed;
 };
@@ -40,23 +41,23 @@
 	int64_t now_us;
 	ev_io readable;
 	ev_timer tick;
-	struct freeze_mark ticked;
-	struct log_bound dropped;
-	struct log_bound changed;
+	struct freeze_mark tick_mark;
+	struct log_limiter drop_log;
+	struct log_limiter change_log;
 };
 
-/* RETURN VALUE: false if the line is to be left out. */
-static bool log_bound_allows(struct log_bound *bound, int64_t now_us)
+/* RETURN VALUE: false if the limit is reached and the line must be omitted. */
+static bool log_limiter_allows(struct log_limiter *limiter, int64_t now_us)
 {
-	if (now_us - bound->began_us >= LOG_WINDOW_US) {
-		bound->began_us = now_us;
-		bound->lines = 0;
+	if (now_us - limiter->window_start_us >= LOG_WINDOW_US) {
+		limiter->window_start_us = now_us;
+		limiter->lines = 0;
 	}
-	if (bound->lines < LOG_LINES_MAX) {
-		bound->lines++;
+	if (limiter->lines < LOG_LINES_MAX) {
+		limiter->lines++;
 		return true;
 	}
-	bound->suppressed++;
+	limiter->suppressed++;
 	return false;
 }
 
@@ -73,8 +74,8 @@
 				  body, size, packet);
 	counters.gossip_packets_out++;
 	counters.gossip_bytes_out += size;
-	/* A lost packet is made good by the next; there is nothing to wait
-	 * for where the socket's buffer is full. */
+	/* If the socket's buffer is full, the packet is dropped without a
+	 * retry: gossip tolerates loss, and later packets repeat its content. */
 	if (sendto(gossip->fd, packet, size, 0, &to.any, to_size) < 0)
 		counters.gossip_send_failed++;
 }
@@ -94,16 +95,16 @@
 		counters.gossip_dropped_tag++;
 	else
 		counters.gossip_dropped_malformed++;
-	if (!log_bound_allows(&gossip->dropped, gossip->now_us))
+	if (!log_limiter_allows(&gossip->drop_log, gossip->now_us))
 		return;
 	log_event(EV_GOSSIP_PACKET_DROPPED, LOG_STR("reason", reasons[status]),
 		  LOG_STR("address", address),
-		  LOG_INT("suppressed", gossip->dropped.suppressed));
-	gossip->dropped.suppressed = 0;
+		  LOG_INT("suppressed", gossip->drop_log.suppressed));
+	gossip->drop_log.suppressed = 0;
 }
 
-static void gossip_take(struct gossip *gossip, const uint8_t *data, size_t size,
-			const union socket_address *from)
+static void gossip_handle_packet(struct gossip *gossip, const uint8_t *data,
+				 size_t size, const union socket_address *from)
 {
 	const struct settings *settings = gossip->daemon->settings;
 	char address[MEMBER_ADDRESS_MAX];
@@ -129,7 +130,9 @@
 				   ev_io *watcher, int events G_GNUC_UNUSED)
 {
 	struct gossip *gossip = watcher->data;
-	uint8_t data[GOSSIP_PACKET_MAX + 1]; /* longer: cut, and refused */
+	/* One byte more than the maximum: a longer packet is truncated and then
+	 * refused. */
+	uint8_t data[GOSSIP_PACKET_MAX + 1];
 	union socket_address from;
 
 	gossip->now_us = clock_mono_us();
@@ -141,7 +144,7 @@
 
 		if (size < 0)
 			return;
-		gossip_take(gossip, data, (size_t)size, &from);
+		gossip_handle_packet(gossip, data, (size_t)size, &from);
 	}
 }
 
@@ -152,11 +155,11 @@
 
 	gossip->now_us = clock_mono_us();
 	swim_tick(gossip->swim, gossip->now_us);
-	freeze_mark(&gossip->ticked);
+	freeze_mark(&gossip->tick_mark);
 }
 
-static void gossip_handle_head(const char *host, uint64_t head,
-			       int64_t told_age_us, void *data)
+static void gossip_handle_config_head(const char *host, uint64_t head,
+				      int64_t told_age_us, void *data)
 {
 	struct gossip *gossip = data;
 
@@ -178,7 +181,7 @@
 {
 	const struct gossip *gossip = data;
 
-	freeze_log(EV_GOSSIP_FROZEN, gap_us, &gossip->ticked);
+	freeze_log(EV_GOSSIP_FROZEN, gap_us, &gossip->tick_mark);
 }
 
 static void gossip_handle_refuted(enum member_state state, uint64_t incarnation,
@@ -187,7 +190,7 @@
 	struct gossip *gossip = data;
 
 	counters.gossip_refuted++;
-	if (log_bound_allows(&gossip->changed, gossip->now_us))
+	if (log_limiter_allows(&gossip->change_log, gossip->now_us))
 		log_event(EV_GOSSIP_REFUTED, LOG_INT("state", state),
 			  LOG_INT("incarnation", incarnation));
 }
@@ -198,13 +201,13 @@
 	struct gossip *gossip = data;
 
 	if (member->state_since_us != gossip->now_us ||
-	    !log_bound_allows(&gossip->changed, gossip->now_us))
+	    !log_limiter_allows(&gossip->change_log, gossip->now_us))
 		return;
 	log_event(EV_MEMBER_STATE, LOG_STR("host", member->host),
 		  LOG_STR("state", names[member->state]),
 		  LOG_INT("incarnation", member->incarnation),
-		  LOG_INT("suppressed", gossip->changed.suppressed));
-	gossip->changed.suppressed = 0;
+		  LOG_INT("suppressed", gossip->change_log.suppressed));
+	gossip->change_log.suppressed = 0;
 }
 
 /* RETURN VALUE: -1 with errno set on failure. */
@@ -219,7 +222,8 @@
 		    0);
 	if (fd < 0)
 		return -1;
-	/* Best effort: the default holds fewer packets of a joiner's. */
+	/* Best effort: the default buffer holds too few of the sync replies
+	 * that a joining daemon receives. */
 	setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof(bytes));
 	if (bind(fd, &at.any, size) < 0) {
 		int error = errno;
@@ -265,7 +269,8 @@
 				       daemon->settings->peer.address,
 		  sizeof(self.address));
 	gossip->ops = (struct swim_ops){.send = gossip_send,
-					.handle_config_head = gossip_handle_head,
+					.handle_config_head =
+						gossip_handle_config_head,
 					.config_told_age_us = gossip_told_age_us,
 					.handle_freeze = gossip_handle_freeze,
 					.handle_refuted = gossip_handle_refuted,
@@ -289,7 +294,7 @@
 	gossip->fd = fd;
 	gossip->port = bound_port(fd);
 	gossip->now_us = clock_mono_us();
-	freeze_mark(&gossip->ticked);
+	freeze_mark(&gossip->tick_mark);
 	gossip_create_swim(gossip);
 	observer.data = gossip;
 	member_table_observe(daemon->members, &observer);
--- a/comfreydockd/member/rows_page.c
+++ b/comfreydockd/member/rows_page.c
@@ -6,9 +6,9 @@
 #include "rows_internal.h"
 
 #define PAGE_END "hosts0" /* the first key after the prefix */
-#define PAGE_PAUSE_US US_PER_S /* between pages while there are no peers */
-#define PEERS_MAX 16 /* joined from a page */
-#define DELETES_MAX 4 /* from a page */
+#define PAGE_INTERVAL_US US_PER_S /* between pages while there are no peers */
+#define PAGE_JOINS_MAX 16 /* hosts joined per page */
+#define PAGE_DELETES_MAX 4 /* stale rows deleted per page */
 
 static bool has_peers(struct rows *rows)
 {
@@ -22,13 +22,14 @@
 	return false;
 }
 
-/* Host ids have no character below '!', so no key lies between the two. */
+/* Returns a key directly after the given one. Host ids have no character below
+ * '!', so no other key sorts between the two. */
 static char *key_after(const char *key)
 {
 	return g_strconcat(key, "!", NULL);
 }
 
-static char *key_of_random_member(struct rows *rows)
+static char *random_member_key(struct rows *rows)
 {
 	size_t skip = (size_t)g_rand_double_range(
 		rows->rand, 0, (double)member_table_size(rows->options.table));
@@ -43,7 +44,8 @@
 static void page_handle_deleted(struct rows *rows G_GNUC_UNUSED,
 				enum rows_status status)
 {
-	/* A conflict: the host wrote anew, or another was quicker. */
+	/* A conflict is no failure: the host has written its row again, or
+	 * another daemon has deleted it. */
 	if (status == ROWS_OK)
 		counters.rows_stale_deleted++;
 }
@@ -61,63 +63,67 @@
 	       clock_mono_us() - known->state_since_us > ROWS_STALE_US;
 }
 
-static void stranger_clear(struct rows *rows)
+static void unknown_row_clear(struct rows *rows)
 {
-	g_free(rows->stranger_key);
-	rows->stranger_key = NULL;
+	g_free(rows->unknown_row_key);
+	rows->unknown_row_key = NULL;
 }
 
-static void stranger_note(struct rows *rows, const struct rows_row *row)
+static void unknown_row_watch(struct rows *rows, const struct rows_row *row)
 {
-	if (rows->stranger_key)
+	if (rows->unknown_row_key)
 		return;
-	rows->stranger_key = g_strdup(row->key);
-	rows->stranger_version = row->version;
-	rows->stranger_since_us = clock_mono_us();
+	rows->unknown_row_key = g_strdup(row->key);
+	rows->unknown_row_version = row->version;
+	rows->unknown_since_us = clock_mono_us();
 }
 
-static void stranger_handle_read(struct rows *rows, enum rows_status status,
-				 const struct rows_row *found, size_t count)
+static void unknown_row_handle_read(struct rows *rows, enum rows_status status,
+				    const struct rows_row *found, size_t count)
 {
 	const char *host;
 
-	if (status != ROWS_OK || !rows->stranger_key)
+	if (status != ROWS_OK || !rows->unknown_row_key)
 		return;
-	host = rows->stranger_key + strlen(ROWS_PREFIX);
-	if (count == 0 || found[0].version != rows->stranger_version ||
-	    strcmp(found[0].key, rows->stranger_key) != 0 ||
+	host = rows->unknown_row_key + strlen(ROWS_PREFIX);
+	if (count == 0 || found[0].version != rows->unknown_row_version ||
+	    strcmp(found[0].key, rows->unknown_row_key) != 0 ||
 	    member_table_find(rows->options.table, host)) {
-		stranger_clear(rows);
-	} else if (clock_mono_us() - rows->stranger_since_us > ROWS_STALE_US &&
+		unknown_row_clear(rows);
+	} else if (clock_mono_us() - rows->unknown_since_us > ROWS_STALE_US &&
 		   has_peers(rows)) {
-		delete_stale(rows, rows->stranger_key, rows->stranger_version);
-		stranger_clear(rows);
+		delete_stale(rows, rows->unknown_row_key,
+			     rows->unknown_row_version);
+		unknown_row_clear(rows);
 	}
 }
 
-/* One row of a host that the table doesn't know is watched at a time. If its
- * host stays unknown for long, although all that read it try to join it, it
- * died while nobody who knew it is left. */
-static void stranger_check(struct rows *rows)
+/*
+ * Watches one row at a time whose host the member table doesn't know. Each
+ * daemon that reads such a row tries to join its host. If the host still stays
+ * unknown for ROWS_STALE_US, it has died and no daemon that knew it is left, so
+ * the row is deleted.
+ */
+static void unknown_row_check(struct rows *rows)
 {
 	char *end;
 
-	if (!rows->stranger_key)
+	if (!rows->unknown_row_key)
 		return;
-	end = key_after(rows->stranger_key);
-	rows_get(rows, rows->stranger_key, end, 1, stranger_handle_read);
+	end = key_after(rows->unknown_row_key);
+	rows_get(rows, rows->unknown_row_key, end, 1, unknown_row_handle_read);
 	g_free(end);
 }
 
-/* What may still be done for one page. */
+/* Limits the work done for one page; counts down. */
 struct page_limits {
 	unsigned int peers;
 	unsigned int deletes;
-	bool is_alone; /* nobody else tells what the quarantine holds */
+	bool has_no_peers; /* so only rows hold the peers' quarantine */
 };
 
-static void page_take_row(struct rows *rows, const struct rows_row *row,
-			  struct page_limits *left)
+static void page_process_row(struct rows *rows, const struct rows_row *row,
+			     struct page_limits *remaining)
 {
 	struct member *known;
 	struct member written;
@@ -127,31 +133,34 @@
 		counters.rows_malformed++;
 		return;
 	}
-	if (left->is_alone)
-		rows_quarantine_take(rows, row);
+	if (remaining->has_no_peers)
+		rows_quarantine_merge(rows, row);
 	known = member_table_find(rows->options.table, written.host);
-	if (!known && left->peers > 0) {
-		left->peers--;
-		stranger_note(rows, row);
+	if (!known && remaining->peers > 0) {
+		remaining->peers--;
+		unknown_row_watch(rows, row);
 		rows->options.handle_peer(written.address, written.peer_port,
 					  rows->options.data);
-	} else if (known && left->deletes > 0 && row_is_stale(known, &written)) {
-		left->deletes--;
+	} else if (known && remaining->deletes > 0 &&
+		   row_is_stale(known, &written)) {
+		remaining->deletes--;
 		delete_stale(rows, row->key, row->version);
 	}
 }
 
-static int64_t page_pause_us(struct rows *rows)
+static int64_t page_interval_us(struct rows *rows)
 {
 	if (!has_peers(rows))
-		return PAGE_PAUSE_US + rows_random_us(rows, PAGE_PAUSE_US);
-	return ROWS_CHECK_US / 2 + rows_random_us(rows, ROWS_CHECK_US);
+		return PAGE_INTERVAL_US + rows_random_us(rows, PAGE_INTERVAL_US);
+	return ROWS_CHECK_INTERVAL_US / 2 +
+	       rows_random_us(rows, ROWS_CHECK_INTERVAL_US);
 }
 
 static void page_handle_read(struct rows *rows, enum rows_status status,
 			     const struct rows_row *found, size_t count)
 {
-	struct page_limits left = {.peers = PEERS_MAX, .deletes = DELETES_MAX};
+	struct page_limits remaining = {.peers = PAGE_JOINS_MAX,
+					.deletes = PAGE_DELETES_MAX};
 	size_t first = count > 0 ? (size_t)g_rand_int(rows->rand) % count : 0;
 
 	if (rows->is_leaving)
@@ -163,37 +172,41 @@
 		return;
 	}
 	rows->page_backoff_us = 0;
-	left.is_alone = !has_peers(rows);
+	remaining.has_no_peers = !has_peers(rows);
 	for (size_t i = 0; i < count; i++)
-		page_take_row(rows, &found[(first + i) % count], &left);
-	g_free(rows->page_first);
-	rows->page_first = count == ROWS_PAGE ? key_after(found[count - 1].key) :
-						g_strdup(ROWS_PREFIX);
-	rows_timer_set(rows, &rows->page_timer, page_pause_us(rows));
+		page_process_row(rows, &found[(first + i) % count], &remaining);
+	g_free(rows->page_start_key);
+	rows->page_start_key = count == ROWS_PAGE ?
+				       key_after(found[count - 1].key) :
+				       g_strdup(ROWS_PREFIX);
+	rows_timer_set(rows, &rows->page_timer, page_interval_us(rows));
 }
 
-/* Once this host has peers, gossip tells the rest: pages only find those that
- * no gossip reaches, and the stale. */
+/* While this host has no peers, pages are read in order. Once it has peers,
+ * gossip finds the other hosts, and a page from a random point only finds stale
+ * rows and hosts that gossip doesn't reach. */
 void rows_page_read(struct rows *rows)
 {
 	if (has_peers(rows)) {
-		g_free(rows->page_first);
-		rows->page_first = key_of_random_member(rows);
-		stranger_check(rows);
+		g_free(rows->page_start_key);
+		rows->page_start_key = random_member_key(rows);
+		unknown_row_check(rows);
 	}
-	rows_get(rows, rows->page_first, PAGE_END, ROWS_PAGE, page_handle_read);
+	rows_get(rows, rows->page_start_key, PAGE_END, ROWS_PAGE,
+		 page_handle_read);
 }
 
 /*
- * A host that met its peers by the settings needs no page to find any. When a
- * failure domain comes back, some 1,700 hosts would all read one in the same
- * half second, most of what the platform gives to everybody.
+ * A host that found its peers through the settings needs no page at once. When
+ * a failure domain of some 1,700 hosts returns, all of them would read a page
+ * within the same half second, which is most of the read capacity that the
+ * platform has for all its clients.
  */
-void rows_page_begin(struct rows *rows)
+void rows_page_start(struct rows *rows)
 {
-	rows->has_begun_pages = true;
+	rows->pages_started = true;
 	if (has_peers(rows))
-		rows_timer_set(rows, &rows->page_timer, page_pause_us(rows));
+		rows_timer_set(rows, &rows->page_timer, page_interval_us(rows));
 	else
 		rows_page_read(rows);
 }
--- a/comfreydockd/member/swim_message.c
+++ b/comfreydockd/member/swim_message.c
@@ -18,28 +18,28 @@
 	return (uint32_t)MIN(age_us / 1000 + 1, (int64_t)UINT32_MAX);
 }
 
-/* For how long a packet that is read now may have waited. After a stop the tick comes
- * before the packets that waited all the while, so what it found counts for them. */
-static int64_t waited_us(const struct swim *swim)
+/* How long a packet that is read now may have waited in the socket. After a
+ * freeze the tick runs before the packets are read, so its gap counts as well. */
+static int64_t queue_delay_us(const struct swim *swim)
 {
 	int64_t since_tick_us = MAX(swim->now_us - swim->ticked_at_us, 0);
 
 	if (since_tick_us > SWIM_TICK_US)
 		return since_tick_us;
-	return since_tick_us + swim->late_tick_us;
+	return since_tick_us + swim->late_tick_gap_us;
 }
 
 /*
- * Left out, what a packet waited and its way, a word would get younger with each hop,
- * and daemons that lost the platform would tell each other for ever that they are up
- * to date.
+ * Adds the time on the network and in the socket's queue. Without it the age
+ * would shrink with each hop, and daemons that lost the platform would forever
+ * confirm to each other that their configuration is up to date.
  */
 int64_t swim_told_age_us(const struct swim *swim, const Cfd__Gossip *message)
 {
 	if (!message->config_told_ms)
 		return -1;
 	return (int64_t)message->config_told_ms * 1000 + SWIM_HOP_MAX_US +
-	       waited_us(swim);
+	       queue_delay_us(swim);
 }
 
 void swim_packet_init(struct swim *swim, struct swim_packet *packet,
@@ -113,8 +113,8 @@
 		return false;
 	if (packet->size == 0)
 		packet->size = cfd__gossip__get_packed_size(&packet->message);
-	/* Where a failure domain is lost, its hosts' records are the news of
-	 * the minute; short, three times as many fit a packet. */
+	/* When a failure domain is lost, many records of its hosts must spread
+	 * at once. Three times as many short records fit into a packet. */
 	if (member->state == MEMBER_ALIVE ||
 	    packet->message.kind == CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY)
 		record_encode(swim, member, record);
@@ -140,7 +140,7 @@
 	cfd__gossip__pack(&packet->message, body);
 	if (packet->message.kind == CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY ||
 	    (packet->message.kind == CFD__GOSSIP_KIND__GOSSIP_SYNC &&
-	     swim->sync.is_whole))
+	     swim->sync.is_full))
 		swim->page_budget_bytes -= cost;
 	else
 		swim->budget_bytes -= cost;
--- a/comfreydockd/member/swim_sync.c
+++ b/comfreydockd/member/swim_sync.c
@@ -2,26 +2,28 @@
 
 #include "swim_internal.h"
 
-#define WHOLE_PACKETS 8 /* replies to one request of a full pass */
-#define WHOLE_RETRY_US (300 * 1000)
-#define WHOLE_GIVE_UP_US (3 * 1000 * 1000)
-#define SYNC_US (1000 * 1000) /* between requests where all is well */
-#define WHOLE_NEXT_US (100 * 1000) /* between full passes of a growing table */
-/* So many in a row that brought less than this share of the table have found that
- * there is no more; a single peer may know as little as this daemon. */
-#define WHOLE_IDLE_PASSES 3
-#define WHOLE_GROWTH 16
-#define SWEEP_STEP 64 /* members looked at in a tick */
-/* How many daemons at a time ping one lost host, whatever their number: all
- * of 22,000 would drown it as it restarts. */
+#define FULL_SYNC_REPLIES_MAX 8 /* replies per request of a full pass */
+#define FULL_SYNC_RETRY_US (300 * 1000)
+#define FULL_SYNC_TIMEOUT_US (3 * 1000 * 1000)
+#define SYNC_INTERVAL_US (1000 * 1000) /* between incremental requests */
+/* Between full passes while the table grows. */
+#define FULL_SYNC_INTERVAL_US (100 * 1000)
+/* The table counts as complete after this many full passes in a row that each
+ * added no more than 1/FULL_SYNC_GROWTH_DIVISOR of it. One pass isn't enough,
+ * as its peer may know as little as this daemon. */
+#define FULL_SYNC_IDLE_PASSES 3
+#define FULL_SYNC_GROWTH_DIVISOR 16
+#define SWEEP_MEMBERS_PER_TICK 64
+/* How many daemons at a time ping one lost host, whatever the cluster's size.
+ * Pings from all of 22,000 daemons would overload a host that restarts. */
 #define REPROBERS 8
-#define SEED_ALONE_US (1000 * 1000)
-#define SEED_US (60 * 1000 * 1000)
+#define SEED_INTERVAL_ALONE_US (1000 * 1000)
+#define SEED_INTERVAL_US (60 * 1000 * 1000)
 
-#define SPAN_MEMBERS 5 /* under one digest, so that some fit a page */
+#define MEMBERS_PER_DIGEST 5 /* on average; a page holds those of a few */
 
-static uint64_t digest_of_span(const struct swim *swim, unsigned int bucket,
-			       unsigned int span)
+static uint64_t span_digest(const struct swim *swim, unsigned int bucket,
+			    unsigned int span)
 {
 	unsigned int end = MIN(bucket + span, MEMBER_BUCKETS);
 	uint64_t digest = 0;
@@ -31,15 +33,17 @@
 	return digest;
 }
 
-static unsigned int span_for(const struct swim *swim)
+static unsigned int span_for_table_size(const struct swim *swim)
 {
 	unsigned int size = swim->order->len + 1;
 
-	return CLAMP(SPAN_MEMBERS * MEMBER_BUCKETS / size, 1, MEMBER_BUCKETS);
+	return CLAMP(MEMBERS_PER_DIGEST * MEMBER_BUCKETS / size, 1,
+		     MEMBER_BUCKETS);
 }
 
-/* RETURN VALUE: the first bucket not asked for. */
-static unsigned int sync_ask(struct swim *swim, unsigned int max_packets)
+/* Sends the digests from next_bucket on and asks for the buckets that differ.
+ * RETURN VALUE: the first bucket that the request doesn't cover. */
+static unsigned int sync_send_request(struct swim *swim, unsigned int max_packets)
 {
 	struct swim_sync *sync = &swim->sync;
 	unsigned int bucket = sync->next_bucket;
@@ -50,15 +54,15 @@
 	packet.message.bucket = sync->next_bucket;
 	packet.message.max_packets = max_packets;
 	packet.message.digests = digests;
-	packet.message.span = span_for(swim);
+	packet.message.span = span_for_table_size(swim);
 	while (packet.message.n_digests < SWIM_DIGESTS &&
 	       bucket < MEMBER_BUCKETS) {
 		digests[packet.message.n_digests++] =
-			digest_of_span(swim, bucket, packet.message.span);
+			span_digest(swim, bucket, packet.message.span);
 		bucket += packet.message.span;
 	}
-	sync->asked_bucket = sync->next_bucket;
-	sync->asked_at_us = swim->now_us;
+	sync->requested_bucket = sync->next_bucket;
+	sync->requested_at_us = swim->now_us;
 	sync->is_waiting = true;
 	swim_packet_send(swim, &packet, sync->peer.address, sync->peer.port);
 	return bucket;
@@ -66,37 +70,37 @@
 
 bool swim_sync_is_complete(const struct swim *swim)
 {
-	return swim->sync.idle_passes >= WHOLE_IDLE_PASSES;
+	return swim->sync.idle_passes >= FULL_SYNC_IDLE_PASSES;
 }
 
-void swim_sync_start_whole(struct swim *swim, const struct swim_endpoint *peer)
+void swim_sync_start_full(struct swim *swim, const struct swim_endpoint *peer)
 {
 	struct swim_sync *sync = &swim->sync;
 
-	if (sync->is_whole)
+	if (sync->is_full)
 		return;
-	sync->is_whole = true;
+	sync->is_full = true;
 	sync->peer = *peer;
 	sync->next_bucket = 0;
-	sync->heard_at_us = swim->now_us;
-	sync->whole_at_us = swim->now_us;
+	sync->last_reply_us = swim->now_us;
+	sync->full_sync_started_us = swim->now_us;
 	sync->size_before = swim->order->len;
-	sync_ask(swim, WHOLE_PACKETS);
+	sync_send_request(swim, FULL_SYNC_REPLIES_MAX);
 }
 
-static void sync_whole_tick(struct swim *swim)
+static void sync_full_tick(struct swim *swim)
 {
 	struct swim_sync *sync = &swim->sync;
 
-	if (swim->now_us - sync->heard_at_us > WHOLE_GIVE_UP_US) {
-		sync->is_whole = false;
+	if (swim->now_us - sync->last_reply_us > FULL_SYNC_TIMEOUT_US) {
+		sync->is_full = false;
 		return;
 	}
 	if (swim->page_budget_bytes <= 0)
 		return;
 	if (!sync->is_waiting ||
-	    swim->now_us - sync->asked_at_us >= WHOLE_RETRY_US)
-		sync_ask(swim, WHOLE_PACKETS);
+	    swim->now_us - sync->requested_at_us >= FULL_SYNC_RETRY_US)
+		sync_send_request(swim, FULL_SYNC_REPLIES_MAX);
 }
 
 void swim_sync_tick(struct swim *swim)
@@ -104,33 +108,33 @@
 	struct swim_sync *sync = &swim->sync;
 	struct member *peer;
 
-	if (sync->is_whole) {
-		sync_whole_tick(swim);
+	if (sync->is_full) {
+		sync_full_tick(swim);
 		return;
 	}
 	if (swim->now_us < swim->next_sync_us || swim->budget_bytes <= 0)
 		return;
-	swim->next_sync_us = swim->now_us + SYNC_US;
-	peer = swim_pick(swim, NULL);
+	swim->next_sync_us = swim->now_us + SYNC_INTERVAL_US;
+	peer = swim_pick_peer(swim, NULL);
 	if (!peer)
 		return;
 	g_strlcpy(sync->peer.address, peer->address, sizeof(sync->peer.address));
 	sync->peer.port = peer->peer_port;
 	if (!swim_sync_is_complete(swim)) {
-		swim_sync_start_whole(swim, &sync->peer);
+		swim_sync_start_full(swim, &sync->peer);
 		return;
 	}
-	sync->next_bucket = sync_ask(swim, 1);
+	sync->next_bucket = sync_send_request(swim, 1);
 	if (sync->next_bucket >= MEMBER_BUCKETS)
 		sync->next_bucket = 0;
 }
 
-/* The pages of one answer. */
+/* The reply packets ("pages") to one sync request. */
 struct sync_pages {
 	struct swim *swim;
 	const struct swim_endpoint *to;
 	struct swim_packet packet;
-	unsigned int left; /* that may still be sent */
+	unsigned int remaining; /* pages that may still be sent */
 };
 
 static void pages_begin(struct sync_pages *pages, unsigned int bucket)
@@ -138,7 +142,8 @@
 	swim_packet_init(pages->swim, &pages->packet,
 			 CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY, 0);
 	pages->packet.message.bucket = bucket;
-	/* Both have their final size before the records are counted. */
+	/* Sets both to values of the largest encoded size before the records
+	 * are added up. */
 	pages->packet.message.next_bucket = MEMBER_BUCKETS;
 	pages->packet.message.is_last = true;
 }
@@ -150,10 +155,11 @@
 	pages->packet.message.is_last = is_last;
 	swim_packet_send(pages->swim, &pages->packet, pages->to->address,
 			 pages->to->port);
-	pages->left--;
+	pages->remaining--;
 }
 
-/* RETURN VALUE: false if no page is left; the last was sent. */
+/* Adds the members of a bucket and sends each page that is full.
+ * RETURN VALUE: false if the last page was sent. */
 static bool pages_add_bucket(struct sync_pages *pages, unsigned int bucket)
 {
 	struct member *member;
@@ -162,8 +168,8 @@
 		      bucket_link) {
 		if (swim_packet_add(pages->swim, &pages->packet, member))
 			continue;
-		pages_send(pages, bucket, pages->left == 1);
-		if (pages->left == 0)
+		pages_send(pages, bucket, pages->remaining == 1);
+		if (pages->remaining == 0)
 			return false;
 		pages_begin(pages, bucket);
 		swim_packet_add(pages->swim, &pages->packet, member);
@@ -174,10 +180,10 @@
 void swim_sync_handle_request(struct swim *swim, const Cfd__Gossip *message,
 			      const struct swim_endpoint *from)
 {
-	struct sync_pages pages = {
-		.swim = swim,
-		.to = from,
-		.left = CLAMP(message->max_packets, 1, WHOLE_PACKETS)};
+	struct sync_pages pages = {.swim = swim,
+				   .to = from,
+				   .remaining = CLAMP(message->max_packets, 1,
+						      FULL_SYNC_REPLIES_MAX)};
 	unsigned int span = CLAMP(message->span, 1, MEMBER_BUCKETS);
 	unsigned int bucket = message->bucket;
 
@@ -187,7 +193,7 @@
 	for (size_t i = 0; i < message->n_digests; i++) {
 		unsigned int end = MIN(bucket + span, MEMBER_BUCKETS);
 
-		if (digest_of_span(swim, bucket, span) == message->digests[i])
+		if (span_digest(swim, bucket, span) == message->digests[i])
 			bucket = end;
 		for (; bucket < end; bucket++) {
 			if (!pages_add_bucket(&pages, bucket))
@@ -198,51 +204,54 @@
 }
 
 /*
- * A peer that has just started itself knows few hosts. Were its table taken for
- * the whole, all hosts that come back at the same time would know only some of
- * the upstreams for seconds, and rush to these.
+ * Repeats the full pass with other peers until the table stops growing. A peer
+ * that has just started knows few hosts itself. If its table were taken for
+ * complete, hosts that restart at the same time would know only some of the
+ * upstreams for seconds and overload these.
  */
-static void sync_end_whole(struct swim *swim)
+static void sync_finish_full(struct swim *swim)
 {
 	struct swim_sync *sync = &swim->sync;
 	guint size = swim->order->len;
 
-	sync->is_whole = false;
+	sync->is_full = false;
 	sync->next_bucket = 0;
-	if (size > sync->size_before + size / WHOLE_GROWTH)
+	if (size > sync->size_before + size / FULL_SYNC_GROWTH_DIVISOR)
 		sync->idle_passes = 0;
 	else
 		sync->idle_passes++;
 	if (!swim_sync_is_complete(swim))
-		swim->next_sync_us = swim->now_us + WHOLE_NEXT_US / 2 +
-				     swim_random_below(swim, WHOLE_NEXT_US);
+		swim->next_sync_us =
+			swim->now_us + FULL_SYNC_INTERVAL_US / 2 +
+			swim_random_below(swim, FULL_SYNC_INTERVAL_US);
 }
 
-/* A slow pass goes on where the page ended, or the same few records at the
- * start of a wide span would come for ever. */
-static void sync_handle_page(struct swim_sync *sync, const Cfd__Gossip *message)
+/* An incremental pass continues where the page ended. Otherwise a wide span
+ * would return the same few records from its start forever. */
+static void sync_handle_incremental_page(struct swim_sync *sync,
+					 const Cfd__Gossip *message)
 {
-	if (message->bucket == sync->asked_bucket &&
+	if (message->bucket == sync->requested_bucket &&
 	    message->next_bucket < MEMBER_BUCKETS)
 		sync->next_bucket =
 			MAX(message->next_bucket, message->bucket + 1);
 }
 
-static void sync_handle_whole(struct swim *swim, const Cfd__Gossip *message)
+static void sync_handle_full_page(struct swim *swim, const Cfd__Gossip *message)
 {
 	struct swim_sync *sync = &swim->sync;
 
 	swim->page_budget_bytes -= (int64_t)cfd__gossip__get_packed_size(message);
-	sync->heard_at_us = swim->now_us;
+	sync->last_reply_us = swim->now_us;
 	if (message->bucket <= sync->next_bucket &&
 	    message->next_bucket > sync->next_bucket)
 		sync->next_bucket = message->next_bucket;
 	if (message->is_last)
 		sync->is_waiting = false;
 	if (sync->next_bucket >= MEMBER_BUCKETS)
-		sync_end_whole(swim);
+		sync_finish_full(swim);
 	else if (message->is_last && swim->page_budget_bytes > 0)
-		sync_ask(swim, WHOLE_PACKETS);
+		sync_send_request(swim, FULL_SYNC_REPLIES_MAX);
 }
 
 void swim_sync_handle_reply(struct swim *swim, const Cfd__Gossip *message,
@@ -253,10 +262,10 @@
 	if (from->port != sync->peer.port ||
 	    strcmp(from->address, sync->peer.address) != 0)
 		return;
-	if (sync->is_whole)
-		sync_handle_whole(swim, message);
+	if (sync->is_full)
+		sync_handle_full_page(swim, message);
 	else
-		sync_handle_page(sync, message);
+		sync_handle_incremental_page(sync, message);
 }
 
 void swim_seed_ping(struct swim *swim, const struct swim_endpoint *seed)
@@ -271,31 +280,34 @@
 
 static void seeds_tick(struct swim *swim)
 {
-	bool is_alone = !swim_has_peers(swim);
+	bool has_no_peers = !swim_has_peers(swim);
 
-	if (is_alone && swim->next_seed_us > swim->now_us + SEED_ALONE_US)
+	if (has_no_peers &&
+	    swim->next_seed_us > swim->now_us + SEED_INTERVAL_ALONE_US)
 		swim->next_seed_us = swim->now_us;
 	if (swim->seed_count == 0 || swim->now_us < swim->next_seed_us)
 		return;
 	swim->next_seed_us =
 		swim->now_us +
-		(is_alone ? SEED_ALONE_US :
-			    SEED_US / 2 + swim_random_below(swim, SEED_US));
+		(has_no_peers ?
+			 SEED_INTERVAL_ALONE_US :
+			 SEED_INTERVAL_US / 2 +
+				 swim_random_below(swim, SEED_INTERVAL_US));
 	swim_seed_ping(swim,
 		       &swim->seeds[swim_random_below(swim, swim->seed_count)]);
 }
 
 /*
- * A daemon that restarts while the platform is away finds nobody: it has no
- * memory, and the rows can't be read. Those that knew the one before it try its
- * address. Were the ones left out that said good-bye, a planned restart of all
- * daemons in an outage would leave each of them alone, and without a
- * configuration, until the platform is back.
+ * A daemon that restarts during an outage of the platform finds no peers: it
+ * keeps no state on disk, and the rows can't be read. So daemons that knew it
+ * before ping its address, also if it left properly. Otherwise a planned
+ * restart of all daemons during an outage would leave each of them alone, and
+ * without a configuration, until the platform is back.
  */
-static bool may_be_back(const struct member *member, int64_t age_us)
+static bool may_have_restarted(const struct member *member, int64_t age_us)
 {
 	return member->state == MEMBER_DEAD ||
-	       (member->state == MEMBER_LEFT && age_us < SWIM_TRY_LEFT_US);
+	       (member->state == MEMBER_LEFT && age_us < SWIM_REPROBE_LEFT_US);
 }
 
 /* RETURN VALUE: false if the member was forgotten. */
@@ -308,29 +320,32 @@
 		member_table_remove(swim->table, member->host);
 		return false;
 	}
-	if (swim->is_reprobe_due && may_be_back(member, age_us)) {
+	if (swim->is_reprobe_due && may_have_restarted(member, age_us)) {
 		swim->is_reprobe_due = false;
 		swim_probe_ping(swim, member, ++swim->seq);
 	}
 	return true;
 }
 
-static bool reprobe_draws(struct swim *swim)
+static bool reprobe_is_selected(struct swim *swim)
 {
 	return swim_random_below(swim, swim->order->len) <
 	       swim->lost_count * REPROBERS;
 }
 
-/* Looks for members to forget, and for a lost one that is back. */
+/* Removes members that have been dead or gone for long, pings one lost member
+ * that may have restarted, and pings a seed if one is due. */
 void swim_sweep_tick(struct swim *swim)
 {
 	seeds_tick(swim);
 	if (swim->now_us >= swim->next_reprobe_us) {
-		swim->next_reprobe_us = swim->now_us + SWIM_REPROBE_US / 2 +
-					swim_random_below(swim, SWIM_REPROBE_US);
-		swim->is_reprobe_due = swim->lost_count && reprobe_draws(swim);
+		swim->next_reprobe_us =
+			swim->now_us + SWIM_REPROBE_INTERVAL_US / 2 +
+			swim_random_below(swim, SWIM_REPROBE_INTERVAL_US);
+		swim->is_reprobe_due =
+			swim->lost_count && reprobe_is_selected(swim);
 	}
-	for (guint i = 0; i < MIN(SWEEP_STEP, swim->order->len); i++) {
+	for (guint i = 0; i < MIN(SWEEP_MEMBERS_PER_TICK, swim->order->len); i++) {
 		struct swim_node *node;
 
 		if (swim->sweep_cursor >= swim->order->len)
--- a/comfreydockd/reload.c
+++ b/comfreydockd/reload.c
@@ -11,9 +11,9 @@
 	struct ev_loop *loop;
 	char *file;
 	struct settings *settings;
-	ev_signal hang_up;
-	ev_timer look;
-	struct timespec changed;
+	ev_signal sighup;
+	ev_timer poll_timer;
+	struct timespec modified_at;
 	off_t size;
 };
 
@@ -23,8 +23,10 @@
 	return a->port == b->port && g_strcmp0(a->address, b->address) == 0;
 }
 
-/* What is bound, advertised or written into rows at the start. */
-static bool has_same_place(const struct settings *a, const struct settings *b)
+/* Compares the settings that can't change in a running daemon, mainly those
+ * that it binds, advertises or writes to rows at the start. */
+static bool has_same_fixed_settings(const struct settings *a,
+				    const struct settings *b)
 {
 	return g_strcmp0(a->host, b->host) == 0 &&
 	       g_strcmp0(a->domain, b->domain) == 0 &&
@@ -42,8 +44,8 @@
 	       is_same_address(&a->metrics, &b->metrics);
 }
 
-enum reload_result settings_take_over(struct settings *settings,
-				      const struct settings *changed)
+enum reload_result settings_apply_reload(struct settings *settings,
+					 const struct settings *changed)
 {
 	settings->stop = changed->stop;
 	settings->drain_timeout_ms = changed->drain_timeout_ms;
@@ -52,7 +54,8 @@
 	settings->max_buffered_bytes = changed->max_buffered_bytes;
 	settings->log_format = changed->log_format;
 	settings->log_budget = changed->log_budget;
-	return has_same_place(settings, changed) ? RELOAD_DONE : RELOAD_PARTLY;
+	return has_same_fixed_settings(settings, changed) ? RELOAD_DONE :
+							    RELOAD_PARTLY;
 }
 
 void settings_start_log(const struct settings *settings)
@@ -72,7 +75,7 @@
 	findings_init(&findings);
 	changed = settings_load(reload->file, &findings);
 	if (changed) {
-		result = settings_take_over(reload->settings, changed);
+		result = settings_apply_reload(reload->settings, changed);
 		settings_start_log(reload->settings);
 	}
 	findings_print(&findings, stderr);
@@ -83,40 +86,41 @@
 	settings_destroy(changed);
 }
 
-/* RETURN VALUE: whether the file is another one than at the last look. */
-static bool look(struct reload *reload)
+/* Refreshes the known modification time and size of the file.
+ * RETURN VALUE: true if they have changed. */
+static bool refresh_file_stat(struct reload *reload)
 {
 	struct stat now;
 	bool differs;
 
-	/* Gone for a moment, as while it is replaced. */
+	/* The file may be missing for a moment while it is replaced. */
 	if (stat(reload->file, &now) < 0)
 		return false;
-	differs = now.st_mtim.tv_sec != reload->changed.tv_sec ||
-		  now.st_mtim.tv_nsec != reload->changed.tv_nsec ||
+	differs = now.st_mtim.tv_sec != reload->modified_at.tv_sec ||
+		  now.st_mtim.tv_nsec != reload->modified_at.tv_nsec ||
 		  now.st_size != reload->size;
-	reload->changed = now.st_mtim;
+	reload->modified_at = now.st_mtim;
 	reload->size = now.st_size;
 	return differs;
 }
 
-static void handle_hang_up(struct ev_loop *loop, ev_signal *signal, int events)
+static void handle_sighup(struct ev_loop *loop, ev_signal *signal, int events)
 {
 	struct reload *reload = signal->data;
 
 	(void)loop;
 	(void)events;
-	look(reload);
+	refresh_file_stat(reload);
 	reload_now(reload, "signal");
 }
 
-static void handle_look(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_poll(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct reload *reload = timer->data;
 
 	(void)loop;
 	(void)events;
-	if (look(reload))
+	if (refresh_file_stat(reload))
 		reload_now(reload, "changed");
 }
 
@@ -128,13 +132,14 @@
 	reload->loop = loop;
 	reload->file = g_strdup(file);
 	reload->settings = settings;
-	look(reload);
-	ev_signal_init(&reload->hang_up, handle_hang_up, SIGHUP);
-	ev_timer_init(&reload->look, handle_look, RELOAD_LOOK_S, RELOAD_LOOK_S);
-	reload->hang_up.data = reload;
-	reload->look.data = reload;
-	ev_signal_start(loop, &reload->hang_up);
-	ev_timer_start(loop, &reload->look);
+	refresh_file_stat(reload);
+	ev_signal_init(&reload->sighup, handle_sighup, SIGHUP);
+	ev_timer_init(&reload->poll_timer, handle_poll, RELOAD_POLL_S,
+		      RELOAD_POLL_S);
+	reload->sighup.data = reload;
+	reload->poll_timer.data = reload;
+	ev_signal_start(loop, &reload->sighup);
+	ev_timer_start(loop, &reload->poll_timer);
 	return reload;
 }
 
@@ -142,8 +147,8 @@
 {
 	if (!reload)
 		return;
-	ev_signal_stop(reload->loop, &reload->hang_up);
-	ev_timer_stop(reload->loop, &reload->look);
+	ev_signal_stop(reload->loop, &reload->sighup);
+	ev_timer_stop(reload->loop, &reload->poll_timer);
 	g_free(reload->file);
 	g_free(reload);
 }
--- a/tests/swim_net.c
+++ b/tests/swim_net.c
@@ -39,7 +39,7 @@
 	g_assert_cmpuint(size, <=, SWIM_BODY_MAX);
 	memcpy(samples[sample_count % SAMPLES].body, body, size);
 	samples[sample_count++ % SAMPLES].size = size;
-	if (to < 0 || net.hosts[to].side != from->side ||
+	if (to < 0 || net.hosts[to].partition != from->partition ||
 	    g_test_rand_int_range(0, 100) < net.loss_percent)
 		return;
 	packet = g_new0(struct packet, 1);
@@ -51,21 +51,21 @@
 	g_queue_push_tail(&net.packets, packet);
 }
 
-static void net_head(const char *host G_GNUC_UNUSED, uint64_t head,
-		     int64_t told_age_us, void *data)
+static void net_handle_config_head(const char *host G_GNUC_UNUSED, uint64_t head,
+				   int64_t told_age_us, void *data)
 {
 	struct host *self = data;
 
 	if (told_age_us >= 0)
 		self->told_us = MAX(self->told_us, net.now_us - told_age_us);
 
-	if (head > self->head_heard) {
-		self->head_heard = head;
+	if (head > self->known_config_head) {
+		self->known_config_head = head;
 		swim_set_config_head(self->swim, head);
 	}
 }
 
-static int64_t net_told_age(uint64_t head G_GNUC_UNUSED, void *data)
+static int64_t net_config_told_age_us(uint64_t head G_GNUC_UNUSED, void *data)
 {
 	const struct host *self = data;
 
@@ -87,8 +87,8 @@
 	g_strlcpy(self.address, host->address, sizeof(self.address));
 	host->ops = (struct swim_ops){
 		.send = net_send,
-		.handle_config_head = net_head,
-		.config_told_age_us = net_told_age,
+		.handle_config_head = net_handle_config_head,
+		.config_told_age_us = net_config_told_age_us,
 		.data = host,
 	};
 	host->table = options.table = member_table_create();
@@ -129,7 +129,7 @@
 	g_free(packet);
 }
 
-/* A frozen machine's packets wait in its socket. */
+/* Packets to a frozen host wait in its socket. */
 static bool packet_is_due(const struct packet *packet)
 {
 	return packet->due_us <= net.now_us && !net.hosts[packet->to].is_frozen;
@@ -150,7 +150,7 @@
 
 static void net_deliver(void)
 {
-	/* Answers go to the tail and wait for the next step. */
+	/* Answers are queued at the tail and wait for the next step. */
 	for (guint left = net.packets.length; left > 0; left--) {
 		struct packet *packet = g_queue_pop_head(&net.packets);
 
@@ -170,9 +170,9 @@
 			(net.now_us / STEP_US + i) % (SWIM_TICK_US / STEP_US) ==
 			0;
 
-		if (host->swim && !host->is_frozen && (is_due || host->has_thawed))
+		if (host->swim && !host->is_frozen && (is_due || host->was_frozen))
 			swim_tick(host->swim, net.now_us);
-		host->has_thawed = host->is_frozen;
+		host->was_frozen = host->is_frozen;
 	}
 	net_deliver();
 }
@@ -205,7 +205,7 @@
 	return true;
 }
 
-bool net_anyone_holds_dead(int i)
+bool net_any_considers_dead(int i)
 {
 	for (int j = 0; j < net.count; j++) {
 		if (net.hosts[j].swim && state_of(j, i) == MEMBER_DEAD)
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -6,16 +6,16 @@
 #include "common/log.h"
 #include "rows_fixture.h"
 
-static void note_left(bool is_deleted, void *data)
+static void store_leave_result(bool is_deleted, void *data)
 {
 	*(int *)data = is_deleted;
 }
 
 /*
- * The platform loses the answer to the first write, which took effect. A
- * daemon that wrote again without looking would meet a conflict for ever.
+ * The platform loses the answer to the first write, which took effect. A daemon
+ * that repeated the write without reading the row would get conflicts forever.
  */
-static void test_lost_answer_is_resolved(void)
+static void test_lost_write_answer_is_resolved(void)
 {
 	int left = -1;
 
@@ -23,7 +23,7 @@
 	rows_run(120);
 	g_assert_nonnull(rows_stored("hosts/surco-1"));
 	g_assert_cmpuint(fixture.store.writes, ==, 1);
-	rows_leave(fixture.rows, note_left, &left);
+	rows_leave(fixture.rows, store_leave_result, &left);
 	rows_run(5);
 	g_assert_cmpint(left, ==, 1);
 	g_assert_null(rows_stored("hosts/surco-1"));
@@ -33,22 +33,22 @@
 }
 
 /*
- * The platform is out for six hours while 22,000 daemons want it. If each
- * asked every second, their load would keep it down; if they gave up, hosts
- * that start later would not find them.
+ * The platform is unavailable for six hours while 22,000 daemons try to reach
+ * it. If each retried every second, their load would keep it down. If they gave
+ * up, hosts that start later would not find them.
  */
-static void test_outage_is_waited_out(void)
+static void test_store_outage_backs_off(void)
 {
 	int left = -1;
 
 	rows_begin(STORE_DOWN);
 	rows_run(6 * HOUR);
 	g_assert_cmpuint(fixture.store.reads, <, 2 * 6 * HOUR / 150 + 40);
-	fixture.store.mood = STORE_UP;
+	fixture.store.mode = STORE_UP;
 	rows_run(600);
 	g_assert_nonnull(rows_stored("hosts/surco-1"));
-	fixture.store.mood = STORE_DOWN;
-	rows_leave(fixture.rows, note_left, &left);
+	fixture.store.mode = STORE_DOWN;
+	rows_leave(fixture.rows, store_leave_result, &left);
 	rows_run(10);
 	g_assert_cmpint(left, ==, 0);
 	rows_finish();
@@ -67,50 +67,51 @@
 	rows_run(5);
 	g_assert_cmpuint(fixture.joined->len, >, 0);
 	rows_run(60);
-	rows_meet("surco-2", 5, MEMBER_ALIVE);
+	rows_add_member("surco-2", 5, MEMBER_ALIVE);
 	rows_run(60);
 	fixture.store.reads = 0;
 	rows_run(6 * HOUR);
-	/* The own row, a page and a stranger's row, each 10 minutes or so. */
+	/* The own row, a page and the row of an unknown host, each about every
+	 * 10 minutes. */
 	g_assert_cmpuint(fixture.store.reads, <, 3 * 6 * HOUR / 600 + 15);
 	rows_finish();
 }
 
 /*
- * A failure domain comes back, and its hosts meet peers by their settings. If
- * each read a page nevertheless, the platform would be asked for all of them
- * in one half second, and operators' applies would wait behind that.
+ * A failure domain comes back, and its hosts find peers through their settings.
+ * If each still read a page at once, the platform would get all these reads
+ * within half a second, and the operators' applies would wait behind them.
  */
-static void test_a_host_with_peers_reads_no_page_at_once(void)
+static void test_host_with_peers_delays_first_page(void)
 {
 	rows_begin(STORE_UP);
 	rows_put_row("zarate-1", 5);
-	rows_meet("surco-2", 5, MEMBER_ALIVE);
+	rows_add_member("surco-2", 5, MEMBER_ALIVE);
 	rows_run(4);
 	g_assert_cmpuint(fixture.joined->len, ==, 0);
 	rows_run(60);
-	/* The own row alone. */
+	/* Only the own row was read. */
 	g_assert_cmpuint(fixture.store.reads, ==, 1);
 	rows_run(1200);
-	/* In its turn a page comes all the same. */
+	/* A page is still read at the regular interval. */
 	g_assert_cmpuint(fixture.joined->len, >, 0);
 	rows_finish();
 }
 
 /*
- * A host died with its row left behind, and its successor under the same id
- * writes its own row. Were the old word still acted on, the successor's row
- * would be deleted and daemons that start would not find it.
+ * A host dies and leaves its row behind, and its successor with the same id
+ * writes a new one. If the death of the old incarnation still counted, the
+ * successor's row would be deleted and daemons that start would not find it.
  */
-static void test_stale_rows_go_by_incarnation(void)
+static void test_stale_rows_are_deleted_by_incarnation(void)
 {
 	rows_begin(STORE_UP);
 	rows_put_row("callao-1", 5);
 	rows_put_row("callao-2", 9);
 	rows_put_row("callao-3", 5);
-	rows_meet("callao-1", 5, MEMBER_DEAD);
-	rows_meet("callao-2", 5, MEMBER_DEAD);
-	rows_meet("callao-3", 5, MEMBER_ALIVE);
+	rows_add_member("callao-1", 5, MEMBER_DEAD);
+	rows_add_member("callao-2", 5, MEMBER_DEAD);
+	rows_add_member("callao-3", 5, MEMBER_ALIVE);
 	rows_run(5 * HOUR);
 	g_assert_nonnull(rows_stored("hosts/callao-1"));
 	rows_run(3 * HOUR);
@@ -120,12 +121,12 @@
 	rows_finish();
 }
 
-static void test_unknown_hosts_row_goes_after_hours(void)
+static void test_unknown_hosts_row_is_deleted(void)
 {
 	rows_begin(STORE_UP);
 	rows_put_row("callao-3", 5);
 	rows_put_row("callao-4", 5);
-	rows_meet("callao-3", 5, MEMBER_ALIVE);
+	rows_add_member("callao-3", 5, MEMBER_ALIVE);
 	rows_run(5 * HOUR);
 	g_assert_nonnull(rows_stored("hosts/callao-4"));
 	rows_run(4 * HOUR);
@@ -134,11 +135,12 @@
 }
 
 /*
- * A daemon was stopped and its host's id was given to another, which writes
- * its row now and then. On waking, the old one must neither overwrite nor, on
- * leaving, delete that row, or daemons that start would not find the new host.
+ * A daemon was suspended, and its host's id was given to another host, which
+ * writes its row from time to time. The old daemon must neither overwrite that
+ * row when it resumes nor delete it when it leaves, or daemons that start would
+ * not find the new host.
  */
-static void test_later_start_keeps_its_row(void)
+static void test_row_of_later_start_is_kept(void)
 {
 	int left = -1;
 
@@ -148,7 +150,7 @@
 		rows_run(300);
 	}
 	g_assert_cmpuint(fixture.store.writes, ==, 0);
-	rows_leave(fixture.rows, note_left, &left);
+	rows_leave(fixture.rows, store_leave_result, &left);
 	rows_run(5);
 	g_assert_cmpint(left, ==, 1);
 	g_assert_cmpuint(fixture.store.deletes, ==, 0);
@@ -157,10 +159,10 @@
 
 /*
  * The host's clock was set back between two starts, so that the row of the
- * earlier one looks newer. It never changes again, and must be replaced, or
- * the host could be found only at an address it no longer has.
+ * earlier start has the higher incarnation. That row never changes again and
+ * must be replaced, or daemons would find only the host's old address.
  */
-static void test_earlier_starts_row_is_replaced(void)
+static void test_row_of_earlier_start_is_replaced(void)
 {
 	rows_begin(STORE_UP);
 	rows_put_row("surco-1", 60);
@@ -183,34 +185,34 @@
 	rows_finish();
 }
 
-/* Guards against hosts without a row for minutes after the store was set back: who
- * starts meanwhile finds none of them. */
-static void test_a_row_that_the_copy_lacks_is_written(void)
+/* Guards against hosts that have no row for minutes after the store was restored
+ * from a copy. Daemons that start in this time would not find them. */
+static void test_row_is_rewritten_after_restore(void)
 {
 	rows_begin(STORE_UP);
 	rows_run(120);
 	g_tree_remove(fixture.store.rows, "hosts/surco-1");
 	rows_note_restored(fixture.rows);
-	rows_run((int)(ROWS_RESTORED_US / US_PER_S) + 1);
+	rows_run((int)(ROWS_RESTORED_CHECK_MAX_US / US_PER_S) + 1);
 	g_assert_nonnull(rows_stored("hosts/surco-1"));
 	rows_finish();
 }
 
-/* The daemon ends while the platform is slow; the answer comes afterwards. */
+/* The daemon exits while the platform is slow, and the answer arrives later. */
 static void test_late_answer_is_dropped(void)
 {
-	rows_begin(STORE_SILENT);
+	rows_begin(STORE_HOLDS_READS);
 	rows_run(1);
-	g_assert_cmpuint(fixture.store.held_count, >, 0);
+	g_assert_cmpuint(fixture.store.held_answer_count, >, 0);
 	rows_destroy(fixture.rows);
 	fixture.rows = NULL;
-	for (size_t i = 0; i < fixture.store.held_count; i++)
-		fixture.store.held[i].handler(ROWS_OK, NULL, 0,
-					      fixture.store.held[i].data);
+	for (size_t i = 0; i < fixture.store.held_answer_count; i++)
+		fixture.store.held_answers[i].handler(
+			ROWS_OK, NULL, 0, fixture.store.held_answers[i].data);
 	rows_finish();
 }
 
-static void test_malformed_rows_are_refused(void)
+static void test_malformed_rows_are_rejected(void)
 {
 	static const char *const bad[] = {
 		"",
@@ -238,20 +240,20 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	log_init(LOG_FORMAT_NONE, "test");
-	g_test_add_func("/rows/lost-answer", test_lost_answer_is_resolved);
-	g_test_add_func("/rows/outage", test_outage_is_waited_out);
+	g_test_add_func("/rows/lost-answer", test_lost_write_answer_is_resolved);
+	g_test_add_func("/rows/outage", test_store_outage_backs_off);
 	g_test_add_func("/rows/pages", test_peers_are_found_page_by_page);
-	g_test_add_func("/rows/no-page",
-			test_a_host_with_peers_reads_no_page_at_once);
-	g_test_add_func("/rows/stale", test_stale_rows_go_by_incarnation);
-	g_test_add_func("/rows/unknown", test_unknown_hosts_row_goes_after_hours);
-	g_test_add_func("/rows/later-start", test_later_start_keeps_its_row);
+	g_test_add_func("/rows/delayed-page",
+			test_host_with_peers_delays_first_page);
+	g_test_add_func("/rows/stale",
+			test_stale_rows_are_deleted_by_incarnation);
+	g_test_add_func("/rows/unknown-host", test_unknown_hosts_row_is_deleted);
+	g_test_add_func("/rows/later-start", test_row_of_later_start_is_kept);
 	g_test_add_func("/rows/earlier-start",
-			test_earlier_starts_row_is_replaced);
+			test_row_of_earlier_start_is_replaced);
 	g_test_add_func("/rows/deleted", test_deleted_row_is_written_again);
-	g_test_add_func("/rows/restored",
-			test_a_row_that_the_copy_lacks_is_written);
+	g_test_add_func("/rows/restored", test_row_is_rewritten_after_restore);
 	g_test_add_func("/rows/late-answer", test_late_answer_is_dropped);
-	g_test_add_func("/rows/malformed", test_malformed_rows_are_refused);
+	g_test_add_func("/rows/malformed", test_malformed_rows_are_rejected);
 	return g_test_run();
 }
--- a/tests/test_swim.c
+++ b/tests/test_swim.c
@@ -4,10 +4,10 @@
 #include "swim_net.h"
 
 /*
- * A host loses its power. Until the others know, calls go to it and wait for
- * nothing; the others hold it dead after a few seconds.
+ * A host loses its power. Calls are sent to it in vain until the other hosts
+ * declare it dead, which must happen within seconds.
  */
-static void test_kill_is_detected(void)
+static void test_killed_host_is_detected(void)
 {
 	double joined_s, detected_s;
 
@@ -21,24 +21,26 @@
 }
 
 /*
- * A third of all hosts goes at once with its hall. The news is many times that
- * of a single host's end, and calls go astray until it has come through.
+ * A failure domain with a third of all hosts is lost at once. Gossip has to
+ * spread many more records than after the loss of one host, and calls are sent
+ * to dead hosts until it has.
  */
 static void test_lost_domain_is_detected(void)
 {
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(10 * SECOND);
-	for (int i = 0; i < HOSTS_MAX; i += 3)
+	for (int i = 0; i < CLUSTER_SIZE; i += 3)
 		host_kill(i);
 	g_test_message("14 of 40 hosts: seen in %.2f s", net_settle(40 * SECOND));
 	net_stop();
 }
 
 /*
- * A peer with the right key sends what no peer should: a release with a fault,
- * say. It must neither end the daemon nor get past the bounds of a record.
+ * A peer with the right key sends corrupted messages, for example because of a
+ * bug in its release. They must neither crash the daemon nor bypass the bounds
+ * checks on records.
  */
-static void test_garbled_bodies_do_no_harm(void)
+static void test_corrupted_messages_are_handled(void)
 {
 	uint8_t body[SWIM_BODY_MAX];
 	unsigned int taken = 0;
@@ -64,9 +66,10 @@
 
 /*
  * A fifth of all packets is lost, so that probes of healthy hosts fail all the
- * time. A host held dead for that would lose its calls while it stands idle.
+ * time. If a host were declared dead for that, it would get no calls although
+ * it is healthy.
  */
-static void test_loss_kills_nobody(void)
+static void test_packet_loss_causes_no_false_deaths(void)
 {
 	net_start(12);
 	net_settle(10 * SECOND);
@@ -74,17 +77,17 @@
 	for (int s = 0; s < 300; s++) {
 		net_run(SECOND);
 		for (int i = 0; i < net.count; i++)
-			g_assert_false(net_anyone_holds_dead(i));
+			g_assert_false(net_any_considers_dead(i));
 	}
 	net_stop();
 }
 
 /*
- * A process is stopped for a minute and wakes, with old packets in its socket.
- * To itself all others seem silent; were it to say so, its word would take
- * healthy hosts out of use everywhere.
+ * A process is suspended for a minute and resumes with old packets in its
+ * socket. All others seem to have been silent. If it declared them dead, that
+ * would spread, and no daemon would send calls to healthy hosts any more.
  */
-static void test_frozen_wakes_gently(void)
+static void test_resumed_host_declares_nobody_dead(void)
 {
 	uint64_t before;
 
@@ -98,7 +101,7 @@
 	for (int s = 0; s < 30; s++) {
 		net_run(SECOND);
 		for (int i = 0; i < net.count; i++)
-			g_assert_true(i == 3 || !net_anyone_holds_dead(i));
+			g_assert_true(i == 3 || !net_any_considers_dead(i));
 	}
 	g_assert_true(net_agrees());
 	g_assert_cmpuint(swim_self(net.hosts[3].swim)->incarnation, >, before);
@@ -106,24 +109,24 @@
 }
 
 /*
- * Two regions lose each other for an hour and each holds the other's hosts
- * dead. When the line is back nobody restarts anything; the halves must find
- * each other by themselves, or each goes on with half of the hosts.
+ * A network partition separates two regions for an hour, and each declares the
+ * other's hosts dead. When the network is back, the halves must find each other
+ * without a restart, or each would go on with half of the hosts.
  */
-static void test_halves_merge(void)
+static void test_partition_heals(void)
 {
 	double merged_s;
 
 	net_start(12);
 	net_settle(10 * SECOND);
 	for (int i = 0; i < 6; i++)
-		net.hosts[i].side = 1;
+		net.hosts[i].partition = 1;
 	net_run(3600 * SECOND);
 	for (int i = 0; i < 12; i++)
 		g_assert_cmpint(state_of(0, i), ==,
 				i < 6 ? MEMBER_ALIVE : MEMBER_DEAD);
 	for (int i = 0; i < 6; i++)
-		net.hosts[i].side = 0;
+		net.hosts[i].partition = 0;
 	merged_s = net_settle(60 * SECOND);
 	g_test_message("halves of 6 merged in %.2f s", merged_s);
 	net_stop();
@@ -137,7 +140,7 @@
 	for (int i = 0; i < net.count; i++) {
 		while (member_table_find(net.hosts[i].table, net.hosts[of].name)
 				       ->service_state != state ||
-		       net.hosts[i].head_heard < head) {
+		       net.hosts[i].known_config_head < head) {
 			net_step();
 			g_assert_cmpint(net.now_us - began_us, <, 10 * SECOND);
 		}
@@ -146,16 +149,16 @@
 }
 
 /*
- * An operator drains an upstream, and applies a configuration. Entries that
- * don't hear of the drain go on to send calls there, each a wasted trip.
+ * An operator drains an upstream and applies a configuration. Entries that
+ * don't learn of the drain keep sending calls there, and each is refused.
  */
-static void test_drain_and_head_spread(void)
+static void test_drain_and_config_head_spread(void)
 {
 	char *groups[] = {"reservas", NULL};
 	struct swim *swim;
 	int64_t up_us, drained_us, head_us;
 
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(10 * SECOND);
 	swim = net.hosts[7].swim;
 	g_assert_true(swim_announce(swim, MEMBER_SERVICE_UP, groups, 9, 500,
@@ -166,7 +169,7 @@
 	g_assert_true(swim_announce(swim, MEMBER_SERVICE_DRAINING, groups, 9,
 				    500, net.now_us));
 	drained_us = run_until_all_see(7, MEMBER_SERVICE_DRAINING, 0);
-	net.hosts[7].head_heard = 42;
+	net.hosts[7].known_config_head = 42;
 	swim_set_config_head(swim, 42);
 	head_us = run_until_all_see(7, MEMBER_SERVICE_DRAINING, 42);
 	g_test_message("40 hosts: up %.2f s, drain %.2f s, head %.2f s",
@@ -177,12 +180,13 @@
 	net_stop();
 }
 
-/* One host knows, and has told for 5 s. RETURN VALUE: as of when. */
-static int64_t begin_with_word(void)
+/* Starts a network in which one host's config head is confirmed as the newest,
+ * and lets that spread for 5 s. RETURN VALUE: the time of the confirmation. */
+static int64_t start_with_confirmed_head(void)
 {
 	int64_t told_us;
 
-	net_start(HOSTS_MAX);
+	net_start(CLUSTER_SIZE);
 	net_settle(10 * SECOND);
 	told_us = net.now_us;
 	net.hosts[7].told_us = told_us;
@@ -190,44 +194,46 @@
 	return told_us;
 }
 
-static void expect_word_not_younger(int64_t told_us)
+static void expect_confirmation_not_newer(int64_t told_us)
 {
-	for (int i = 0; i < HOSTS_MAX; i++)
+	for (int i = 0; i < CLUSTER_SIZE; i++)
 		g_assert_cmpint(net.hosts[i].told_us, <=, told_us);
 }
 
 /*
- * One of many hears from the platform that nothing is newer than what all hold. The
- * others take its word, with the age that it has by then: made younger on its way, a
- * side without the platform would tell itself for ever that it is up to date.
+ * One host learns from the platform that the config head of all hosts is the
+ * newest, and gossip spreads this with its age. If the age shrank on the way,
+ * daemons without the platform would forever confirm to each other that they are
+ * up to date.
  */
-static void test_word_spreads_and_ages(void)
+static void test_head_confirmation_spreads_and_ages(void)
 {
-	int64_t told_us = begin_with_word();
+	int64_t told_us = start_with_confirmed_head();
 
-	expect_word_not_younger(told_us);
-	for (int i = 0; i < HOSTS_MAX; i++)
+	expect_confirmation_not_newer(told_us);
+	for (int i = 0; i < CLUSTER_SIZE; i++)
 		g_assert_cmpint(net.hosts[i].told_us, >=, told_us - 2 * SECOND);
 	net_run(60 * SECOND);
-	expect_word_not_younger(told_us);
+	expect_confirmation_not_newer(told_us);
 	net_stop();
 }
 
-/* One is stopped for 20 s, and all that was said to it meanwhile waits for it. What it
- * reads first said "5 s ago" 20 s ago, and it is not to pass that on as fresh. */
-static void test_word_waits_for_a_stopped_host(void)
+/* A host is suspended for 20 s while packets wait in its socket. The first ones
+ * that it reads say "confirmed 5 s ago", but are 20 s old. The host must add that
+ * time before it spreads the confirmation. */
+static void test_head_confirmation_ages_in_socket_queue(void)
 {
-	int64_t told_us = begin_with_word();
+	int64_t told_us = start_with_confirmed_head();
 
 	net.hosts[3].is_frozen = true;
 	net_run(20 * SECOND);
 	net.hosts[3].is_frozen = false;
 	net_run(5 * SECOND);
-	expect_word_not_younger(told_us);
+	expect_confirmation_not_newer(told_us);
 	net_stop();
 }
 
-static void test_leaver_is_not_held_dead(void)
+static void test_leaving_host_is_not_declared_dead(void)
 {
 	net_start(12);
 	net_settle(10 * SECOND);
@@ -241,12 +247,12 @@
 }
 
 /*
- * Daemons are restarted one after another while the platform is away. Each
- * said good-bye, starts with an empty memory, and can ask nobody whom to join.
- * Its callers would be refused until the platform is back, unless the others
- * look for it.
+ * Daemons are restarted one after another during an outage of the platform. Each
+ * leaves properly, starts without any state and finds no peers to join. Its
+ * callers would be refused until the platform is back, unless other daemons
+ * ping its address.
  */
-static void test_restarted_leaver_is_found(void)
+static void test_restarted_host_is_rediscovered(void)
 {
 	net_start(12);
 	net_settle(10 * SECOND);
@@ -261,11 +267,11 @@
 }
 
 /*
- * A host is replaced while its clock stands behind the old one's, so that it
- * starts with a lower incarnation. If it kept that, the others would take its
- * word for old and hold it dead for ever.
+ * A host is replaced and the new clock is behind the old one, so that it starts
+ * with a lower incarnation. If it kept that, the others would ignore its records
+ * as outdated and consider it dead forever.
  */
-static void test_lower_incarnation_overtakes(void)
+static void test_restart_with_lower_incarnation_is_accepted(void)
 {
 	net_start(6);
 	net_settle(10 * SECOND);
@@ -279,9 +285,10 @@
 	net_stop();
 }
 
-/* A daemon that restarted while both of its seeds are gone for good knows
- * nobody, and finds peers by the platform's rows only: each is told of one. */
-static void net_tell_of_rows(void)
+/* Joins all running hosts with one of them, as through the platform's rows. A
+ * daemon that restarted after both of its seeds were lost finds peers only
+ * there. */
+static void join_from_platform_rows(void)
 {
 	int row = 0;
 
@@ -295,11 +302,11 @@
 }
 
 /*
- * Hosts are killed, restarted, frozen and cut off at random while packets are
- * lost and late. Afterwards, with the network whole, all must agree: a healthy
- * host that stays dead to some has lost its calls for good.
+ * Hosts are killed, restarted, frozen and partitioned at random while packets
+ * are lost and delayed. Once the network works again, all hosts must agree. A
+ * healthy host that some still consider dead would never get their calls again.
  */
-static void test_random_faults_settle(void)
+static void test_membership_converges_after_random_faults(void)
 {
 	for (int round = 0; round < 12; round++) {
 		net_start(g_test_rand_int_range(3, 12));
@@ -317,16 +324,16 @@
 			else if (what == 2)
 				host->is_frozen = !host->is_frozen;
 			else
-				host->side = !host->side;
+				host->partition = !host->partition;
 			net_run(g_test_rand_int_range(0, 10) * SECOND);
 		}
 		net.loss_percent = 0;
 		net.delay_max_us = 2000;
 		for (int i = 0; i < net.count; i++) {
-			net.hosts[i].side = 0;
+			net.hosts[i].partition = 0;
 			net.hosts[i].is_frozen = false;
 		}
-		net_tell_of_rows();
+		join_from_platform_rows();
 		net_settle(240 * SECOND);
 		net_run(60 * SECOND);
 		g_assert_true(net_agrees());
@@ -334,15 +341,15 @@
 	}
 }
 
-#define RETURN_WITHIN_US (300LL * 1000)
-#define RETURN_JOINS 16
+#define RESTART_WINDOW_US (300LL * 1000)
+#define RESTART_JOINS 16
 
-static void start_returning(int i)
+static void restart_host(int i)
 {
 	char *groups[] = {"lookup-desk", NULL};
 
 	host_start(i);
-	host_join_some(i, RETURN_JOINS);
+	host_join_some(i, RESTART_JOINS);
 	swim_announce(net.hosts[i].swim, MEMBER_SERVICE_UP, groups, 11, 0,
 		      net.now_us);
 }
@@ -358,21 +365,21 @@
 	return known;
 }
 
-/* Guards against daemons that know too few upstreams for seconds, where all hosts
- * come back at the same time and nobody has a table to pass on. */
-static void test_all_return_at_once(void)
+/* Guards against daemons that know too few upstreams for seconds after all hosts
+ * have restarted at the same time, when no peer has a complete table to send. */
+static void test_simultaneous_restart_converges(void)
 {
 	int64_t began_us;
-	int fewest = NET_ROOM;
+	int fewest = NET_HOSTS_MAX;
 	int sum = 0;
 
 	net_start(0);
-	net.count = NET_ROOM;
+	net.count = NET_HOSTS_MAX;
 	net.has_no_seeds = true;
 	began_us = net.now_us;
 	for (int i = 0; i < net.count; i++) {
-		start_returning(i);
-		while (net.now_us - began_us < i * RETURN_WITHIN_US / net.count)
+		restart_host(i);
+		while (net.now_us - began_us < i * RESTART_WINDOW_US / net.count)
 			net_step();
 	}
 	net_run(2 * SECOND);
@@ -411,11 +418,11 @@
 }
 
 /*
- * A daemon joins 22,000 others, all of which are news to its peer at that
- * moment. Neither the storm of news nor the pages may take more of the line
- * than stated, or gossip would slow down the calls it is there for.
+ * A daemon joins 22,000 others, whose records its peer is still spreading.
+ * Neither the burst of records nor the sync pages may exceed their bandwidth
+ * limits, or gossip would slow down the calls.
  */
-static void test_join_and_storm_are_bounded(void)
+static void test_join_and_update_burst_bandwidth(void)
 {
 	uint64_t sent;
 	int64_t began_us;
@@ -446,20 +453,26 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/swim/kill", test_kill_is_detected);
+	g_test_add_func("/swim/kill", test_killed_host_is_detected);
 	g_test_add_func("/swim/domain", test_lost_domain_is_detected);
-	g_test_add_func("/swim/garbled", test_garbled_bodies_do_no_harm);
-	g_test_add_func("/swim/loss", test_loss_kills_nobody);
-	g_test_add_func("/swim/frozen", test_frozen_wakes_gently);
-	g_test_add_func("/swim/halves", test_halves_merge);
-	g_test_add_func("/swim/drain", test_drain_and_head_spread);
-	g_test_add_func("/swim/word", test_word_spreads_and_ages);
-	g_test_add_func("/swim/word-waits", test_word_waits_for_a_stopped_host);
-	g_test_add_func("/swim/leave", test_leaver_is_not_held_dead);
-	g_test_add_func("/swim/restart", test_restarted_leaver_is_found);
-	g_test_add_func("/swim/lower", test_lower_incarnation_overtakes);
-	g_test_add_func("/swim/random", test_random_faults_settle);
-	g_test_add_func("/swim/all-return", test_all_return_at_once);
-	g_test_add_func("/swim/bounded", test_join_and_storm_are_bounded);
+	g_test_add_func("/swim/corrupted", test_corrupted_messages_are_handled);
+	g_test_add_func("/swim/packet-loss",
+			test_packet_loss_causes_no_false_deaths);
+	g_test_add_func("/swim/frozen", test_resumed_host_declares_nobody_dead);
+	g_test_add_func("/swim/partition", test_partition_heals);
+	g_test_add_func("/swim/drain", test_drain_and_config_head_spread);
+	g_test_add_func("/swim/head-confirmation",
+			test_head_confirmation_spreads_and_ages);
+	g_test_add_func("/swim/head-confirmation-queued",
+			test_head_confirmation_ages_in_socket_queue);
+	g_test_add_func("/swim/leave", test_leaving_host_is_not_declared_dead);
+	g_test_add_func("/swim/restart", test_restarted_host_is_rediscovered);
+	g_test_add_func("/swim/lower-incarnation",
+			test_restart_with_lower_incarnation_is_accepted);
+	g_test_add_func("/swim/random-faults",
+			test_membership_converges_after_random_faults);
+	g_test_add_func("/swim/simultaneous-restart",
+			test_simultaneous_restart_converges);
+	g_test_add_func("/swim/bandwidth", test_join_and_update_burst_bandwidth);
 	return g_test_run();
 }
