--- a/bench/capacity/bench_depth.c
+++ b/bench/capacity/bench_depth.c
@@ -41,7 +41,7 @@
 static bool may_retry(struct bench *bench, unsigned int depth,
 		      unsigned int attempts)
 {
-	struct retry_question question = {
+	struct retry_context question = {
 		.outcome = RETRY_OUTCOME_UNKNOWN,
 		.idempotent = true,
 		.attempts = attempts,
@@ -77,7 +77,7 @@
 	int64_t left = DEADLINE_US;
 
 	for (unsigned int i = 0; i < layers; i++)
-		left = deadline_for_hop_us(left, DEADLINE_PATH_DEFAULT_US, 0);
+		left = deadline_for_hop_us(left, DEADLINE_RTT_DEFAULT_US, 0);
 	return (double)left / 1000;
 }
 
--- a/bench/decide/call.c
+++ b/bench/decide/call.c
@@ -38,9 +38,9 @@
 
 static void call_fill_hedge_question(struct replay *r,
 				     const struct replay_call *call,
-				     struct hedge_question *question)
+				     struct hedge_context *question)
 {
-	*question = (struct hedge_question){
+	*question = (struct hedge_context){
 		.enabled = replay_has(r, REPLAY_HEDGE),
 		.idempotent = call->trace->idempotent,
 		.hedges = call->hedges,
@@ -58,7 +58,7 @@
 	struct replay_attempt *attempt = data;
 	struct replay_call *call = attempt->call;
 	struct replay_entry *entry = replay_entry_of(r, call);
-	struct hedge_question question;
+	struct hedge_context question;
 	struct pick_candidate *c;
 
 	if (call->closed || call->active[0] != attempt)
@@ -88,12 +88,12 @@
 static void call_fill_retry_question(struct replay *r,
 				     const struct replay_call *call,
 				     enum retry_outcome outcome,
-				     struct retry_question *question)
+				     struct retry_context *question)
 {
 	const struct replay_entry *entry = replay_entry_of(r, call);
 	bool busy = outcome == RETRY_OUTCOME_BUSY;
 
-	*question = (struct retry_question){
+	*question = (struct retry_context){
 		.outcome = outcome,
 		.idempotent = call->trace->idempotent,
 		.untried = pick_count_untried(&entry->set, &call->tried),
@@ -108,7 +108,7 @@
 static void call_overtake(struct replay *r, struct replay_call *call)
 {
 	struct replay_entry *entry = replay_entry_of(r, call);
-	struct retry_question question;
+	struct retry_context question;
 	struct pick_candidate *c;
 
 	call->is_impatient = false;
@@ -164,19 +164,20 @@
 			replay_after(r, replay_delay_us(r, call->active[i]),
 				     replay_handle_ask, call->active[i]);
 	}
-	replay_after(r, deadline_verdict_us(&entry->paths[attempt->upstream]),
+	replay_after(r,
+		     deadline_overdue_reply_us(&entry->paths[attempt->upstream]),
 		     handle_no_verdict, attempt);
 }
 
 static void call_arm_patience(struct replay *r, struct replay_attempt *attempt)
 {
 	struct replay_call *call = attempt->call;
-	struct deadline_path *path =
+	struct deadline_rtt *path =
 		&replay_entry_of(r, call)->paths[attempt->upstream];
 	int64_t patience_us =
-		deadline_patience_us(call->deadline_us, r->events.now_us);
+		deadline_attempt_timeout_us(call->deadline_us, r->events.now_us);
 
-	if (patience_us > deadline_verdict_us(path))
+	if (patience_us > deadline_overdue_reply_us(path))
 		replay_after(r, patience_us, handle_patience, attempt);
 }
 
@@ -197,7 +198,7 @@
 {
 	struct replay_entry *entry = replay_entry_of(r, call);
 	int64_t now_us = r->events.now_us;
-	struct hedge_question question;
+	struct hedge_context question;
 	int64_t delay_us;
 
 	call_fill_hedge_question(r, call, &question);
@@ -221,7 +222,7 @@
 	attempt->is_hedge = is_hedge;
 	attempt->sent_us = now_us;
 	attempt->item.may_queue = may_queue;
-	path_us = deadline_path_us(&entry->paths[attempt->upstream]);
+	path_us = deadline_rtt_us(&entry->paths[attempt->upstream]);
 	if (replay_has(r, REPLAY_DEADLINE))
 		attempt->item.deadline_us =
 			now_us + replay_delay_us(r, attempt) +
@@ -253,7 +254,7 @@
 	if (call->returns || call->tried_busy.count == 0)
 		return false;
 	call->returns = true;
-	pick_tried_forget(&call->tried, &call->tried_busy);
+	pick_tried_remove(&call->tried, &call->tried_busy);
 	return true;
 }
 
@@ -287,8 +288,8 @@
 {
 	struct replay_entry *entry = replay_entry_of(r, call);
 	bool busy = outcome == RETRY_OUTCOME_BUSY;
-	struct retry_question question;
-	struct retry_answer answer;
+	struct retry_context question;
+	struct retry_decision answer;
 
 	call->busy += busy;
 	call->unheard += !busy && !retry_counts(outcome);
--- a/bench/decide/entry.c
+++ b/bench/decide/entry.c
@@ -19,7 +19,7 @@
 		    random_u64(&r->random));
 	entry->candidates = g_new0(struct pick_candidate, r->trace->upstreams);
 	entry->upstreams = g_new0(struct health_upstream, r->trace->upstreams);
-	entry->paths = g_new0(struct deadline_path, r->trace->upstreams);
+	entry->paths = g_new0(struct deadline_rtt, r->trace->upstreams);
 	for (uint32_t i = 0; i < r->trace->upstreams; i++) {
 		struct pick_candidate *c = &entry->candidates[i];
 
@@ -67,7 +67,7 @@
 		pick_note_done(&entry->set, c, latency_us, &attempt->load,
 			       now_us);
 	if (busy)
-		deadline_path_note(&entry->paths[attempt->upstream], latency_us);
+		deadline_rtt_note(&entry->paths[attempt->upstream], latency_us);
 }
 
 static void tell_health(struct replay *r, struct replay_entry *entry,
--- a/bench/decide/replay.c
+++ b/bench/decide/replay.c
@@ -127,8 +127,8 @@
 		return;
 	r->result->not_run++;
 	r->result->no_hint += r->options->policy && call->come_back_us <= 0;
-	r->result->slowest_refusal_us = MAX(r->result->slowest_refusal_us,
-					    r->events.now_us - call->refused_us);
+	r->result->latest_refusal_us = MAX(r->result->latest_refusal_us,
+					   r->events.now_us - call->refused_us);
 	g_array_append_val(r->result->refusals_us, after_us);
 }
 
--- a/bench/decide/row.c
+++ b/bench/decide/row.c
@@ -40,8 +40,7 @@
 	row->slow_starts =
 		ratio((double)result->slow_starts, (double)result->starts);
 	row->gauges = ratio((double)result->gauges, (double)result->all_calls);
-	row->slowest_refusal_ms =
-		(double)result->slowest_refusal_us / US_PER_MS_F;
+	row->slowest_refusal_ms = (double)result->latest_refusal_us / US_PER_MS_F;
 }
 
 void row_print_head(FILE *out)
--- a/comfreydockd/caller/attempts.c
+++ b/comfreydockd/caller/attempts.c
@@ -2,10 +2,10 @@
 #include "comfreydockd/caller/call_internal.h"
 
 #include "comfreydockd/caller/feedback.h"
-#include "comfreydockd/decide/ahead.h"
 #include "comfreydockd/decide/deadline.h"
 #include "comfreydockd/decide/health.h"
 #include "comfreydockd/decide/pick.h"
+#include "comfreydockd/decide/pipeline.h"
 #include "common/clock.h"
 #include "common/counters.h"
 #include "common/key_text.h"
@@ -24,7 +24,7 @@
 static void fill_attempt(const struct call *call, Cfd__Attempt *out,
 			 const struct service_upstream *upstream)
 {
-	int64_t path_us = deadline_path_us(&upstream->path);
+	int64_t path_us = deadline_rtt_us(&upstream->path);
 
 	out->trace = (char *)call->trace;
 	out->group = (char *)call->group;
@@ -46,7 +46,7 @@
 	out->content_key = call->content;
 	out->depth = call->depth;
 	out->holds_others = call->holds_others;
-	out->answer_window = call->is_behind ? AHEAD_WINDOW_BYTES : 0;
+	out->answer_window = call->is_behind ? PIPELINE_WINDOW_BYTES : 0;
 }
 
 static size_t fill_shed_statuses(const struct config_service *config,
--- a/comfreydockd/caller/beside.c
+++ b/comfreydockd/caller/beside.c
@@ -13,7 +13,7 @@
 
 void call_arm_hedge(struct call *call)
 {
-	struct hedge_question question;
+	struct hedge_context question;
 	int64_t now = clock_mono_us();
 	int64_t delay;
 
@@ -29,14 +29,14 @@
 	call->is_impatient = false;
 }
 
-/* See deadline_patience_us(). */
+/* See deadline_attempt_timeout_us(). */
 void call_arm_patience(struct call *call)
 {
 	int64_t patience_us =
-		deadline_patience_us(call->deadline_us, clock_mono_us());
+		deadline_attempt_timeout_us(call->deadline_us, clock_mono_us());
 
 	call_stop_patience(call);
-	if (patience_us < DEADLINE_VERDICT_MIN_US)
+	if (patience_us < DEADLINE_OVERDUE_REPLY_MIN_US)
 		return;
 	call_start_timer(call, &call->patience, patience_us);
 }
@@ -45,7 +45,7 @@
 {
 	struct call *call = timer->data;
 	struct service_upstream *upstream;
-	struct hedge_question question;
+	struct hedge_context question;
 	int64_t now = clock_mono_us();
 
 	(void)loop;
@@ -72,7 +72,7 @@
 static void call_overtake(struct call *call)
 {
 	struct entry_attempt *slow = LIST_FIRST(&call->active);
-	struct retry_question question;
+	struct retry_context question;
 	struct service_upstream *upstream;
 	enum retry_verdict verdict;
 	int64_t now = clock_mono_us();
@@ -90,7 +90,8 @@
 			  LOG_STR("host", slow->upstream->host),
 			  LOG_STR("verdict", retry_verdict_name(verdict)),
 			  LOG_INT("budget_left",
-				  (int64_t)retry_left(&call->service->retry, now)),
+				  (int64_t)retry_available(&call->service->retry,
+							   now)),
 			  LOG_INT("out_us", now - slow->sent_us));
 		return;
 	}
@@ -123,7 +124,7 @@
 	call->is_impatient = true;
 	entry_attempt_ask(attempt);
 	call_start_timer(call, &call->patience,
-			 deadline_verdict_us(&attempt->upstream->path));
+			 deadline_overdue_reply_us(&attempt->upstream->path));
 }
 
 /* First to ask the owner; then, where it does not answer, to overtake it. */
--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 #include "comfreydockd/caller/call_internal.h"
-#include "comfreydockd/decide/ahead.h"
 #include "comfreydockd/decide/deadline.h"
+#include "comfreydockd/decide/pipeline.h"
 #include "comfreydockd/decide/retry.h"
 #include "common/clock.h"
 #include "common/counters.h"
@@ -81,7 +81,7 @@
 	if (call->returns || call->tried_busy.count == 0)
 		return false;
 	call->returns = true;
-	pick_tried_forget(&call->tried, &call->tried_busy);
+	pick_tried_remove(&call->tried, &call->tried_busy);
 	return true;
 }
 
@@ -159,8 +159,8 @@
 static void call_decide(struct call *call, enum retry_outcome outcome,
 			enum attempt_entry_state state)
 {
-	struct retry_question question;
-	struct retry_answer answer;
+	struct retry_context question;
+	struct retry_decision answer;
 	int64_t now = clock_mono_us();
 
 	if (outcome == RETRY_OUTCOME_BUSY)
@@ -237,7 +237,7 @@
 	call_decide(call, RETRY_OUTCOME_UNKNOWN, state);
 }
 
-/* See deadline_silence_left_us(). The call may be gone after this, but not when
+/* See deadline_idle_left_us(). The call may be gone after this, but not when
  * its answer has just begun. */
 static void call_watch_answer(struct call *call)
 {
@@ -248,8 +248,7 @@
 	 * that one. */
 	if (call->unread > 0)
 		call->heard_us = now;
-	left_us =
-		deadline_silence_left_us(call->deadline_us, call->heard_us, now);
+	left_us = deadline_idle_left_us(call->deadline_us, call->heard_us, now);
 	if (left_us > 0) {
 		call_start_timer(call, &call->deadline, left_us);
 		return;
@@ -446,8 +445,8 @@
 		if (!attempt->has_small_window)
 			continue;
 		attempt->has_small_window = false;
-		entry_attempt_send_window(attempt, ATTEMPT_ANSWER_WINDOW -
-							   AHEAD_WINDOW_BYTES);
+		entry_attempt_send_window(
+			attempt, ATTEMPT_ANSWER_WINDOW - PIPELINE_WINDOW_BYTES);
 	}
 }
 
--- a/comfreydockd/caller/call_quarantine.c
+++ b/comfreydockd/caller/call_quarantine.c
@@ -45,7 +45,7 @@
 
 struct service_upstream *call_choose(struct call *call, int64_t now_us)
 {
-	struct quarantine_answer answer = quarantine_judge(
+	struct quarantine_decision answer = quarantine_judge(
 		call->entry->daemon->quarantine, call->content, now_us);
 	struct service_upstream *upstream = NULL;
 
--- a/comfreydockd/caller/call_state.c
+++ b/comfreydockd/caller/call_state.c
@@ -19,9 +19,9 @@
 }
 
 void call_fill_hedge_question(const struct call *call,
-			      struct hedge_question *question)
+			      struct hedge_context *question)
 {
-	*question = (struct hedge_question){
+	*question = (struct hedge_context){
 		.enabled = call->rule->hedge,
 		.idempotent = call->rule->idempotent,
 		.answer_begun = call->answering != NULL,
@@ -33,11 +33,11 @@
 }
 
 void call_fill_retry_question(const struct call *call, enum retry_outcome outcome,
-			      struct retry_question *question)
+			      struct retry_context *question)
 {
 	bool busy = outcome == RETRY_OUTCOME_BUSY;
 
-	*question = (struct retry_question){
+	*question = (struct retry_context){
 		.outcome = outcome,
 		.idempotent = call->rule->idempotent,
 		.answer_begun = call->answering != NULL,
--- a/comfreydockd/caller/connection_input.c
+++ b/comfreydockd/caller/connection_input.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "comfreydockd/caller/call.h"
-#include "comfreydockd/decide/ahead.h"
+#include "comfreydockd/decide/pipeline.h"
 #include "common/clock.h"
 #include "common/counters.h"
 
@@ -145,7 +145,7 @@
 {
 	const struct listener *listener = connection->listener;
 	struct call_request call;
-	struct ahead_question question = {
+	struct pipeline_request question = {
 		.unanswered = connection->unanswered - 1,
 		.has_body = !head->ends,
 		.total = listener->ahead,
@@ -155,7 +155,7 @@
 		return true;
 	connection_fill_call(connection, head, &call);
 	question.idempotent = entry_may_repeat(listener->daemon->entry, &call);
-	return ahead_may_begin(&question);
+	return pipeline_may_start(&question);
 }
 
 static void connection_take_head(struct connection *connection)
@@ -234,7 +234,8 @@
 /* Whether a further request may be read. */
 static bool connection_takes_heads(const struct connection *connection)
 {
-	if (connection->reads_no_more || connection->unanswered >= AHEAD_CALLS_MAX)
+	if (connection->reads_no_more ||
+	    connection->unanswered >= PIPELINE_CALLS_MAX)
 		return false;
 	/* The last answer will close the connection. */
 	return !connection->listener->closes || connection->unanswered == 0;
--- a/comfreydockd/caller/frames.c
+++ b/comfreydockd/caller/frames.c
@@ -46,8 +46,8 @@
 	feedback_note_end(attempt, end, not_run->load);
 	/* A refusal does no work: its time is the way there and back. */
 	if (busy)
-		deadline_path_note(&attempt->upstream->path,
-				   clock_mono_us() - attempt->sent_us);
+		deadline_rtt_note(&attempt->upstream->path,
+				  clock_mono_us() - attempt->sent_us);
 	call_note_not_run(attempt, not_run->reason, false,
 			  not_run->retry_after_ms);
 }
--- a/comfreydockd/caller/services.c
+++ b/comfreydockd/caller/services.c
@@ -333,7 +333,7 @@
 			  LOG_STR("host", upstream->host),
 			  LOG_STR("state", states[health->state]),
 			  LOG_INT("mute", health_is_mute(health, now_us)),
-			  LOG_INT("questions_open", health->mutes),
+			  LOG_INT("questions_open", health->open_questions),
 			  LOG_INT("unanswered", health->unanswered),
 			  LOG_INT("errors_percent", 100 * health->error_rate),
 			  LOG_INT("heard_us_ago", now_us - health->heard_us));
@@ -408,11 +408,11 @@
 	LIST_FOREACH (service, &services->active, active_link)
 		metric_append_line(text, "retry_budget_left", "group",
 				   service->group,
-				   retry_left(&service->retry, now));
+				   retry_available(&service->retry, now));
 	metric_begin_gauge(text, "retry_budget_most",
 			   "how many of them it may make in all");
 	LIST_FOREACH (service, &services->active, active_link)
 		metric_append_line(text, "retry_budget_most", "group",
 				   service->group,
-				   retry_most(&service->retry, now));
+				   retry_capacity(&service->retry, now));
 }
--- a/comfreydockd/decide/breaker.c
+++ b/comfreydockd/decide/breaker.c
@@ -3,19 +3,19 @@
 static bool note_answer(struct breaker *breaker)
 {
 	breaker->streak = 0;
-	if (!breaker->is_open || ++breaker->good < BREAKER_GOOD)
+	if (!breaker->is_open || ++breaker->good < BREAKER_SUCCESSES)
 		return false;
 	breaker->is_open = false;
 	return true;
 }
 
-bool breaker_note(struct breaker *breaker, bool is_answer)
+bool breaker_note_result(struct breaker *breaker, bool is_answer)
 {
 	if (is_answer)
 		return note_answer(breaker);
 	breaker->streak++;
 	breaker->good = 0;
-	if (breaker->is_open || breaker->streak < BREAKER_STREAK)
+	if (breaker->is_open || breaker->streak < BREAKER_FAILURES)
 		return false;
 	breaker->is_open = true;
 	return true;
@@ -24,7 +24,7 @@
 bool breaker_turns_back(struct breaker *breaker, bool may_turn_back,
 			bool may_repeat, int64_t now_us)
 {
-	int64_t gap_us = may_repeat ? BREAKER_TRIAL_US : BREAKER_RISKY_TRIAL_US;
+	int64_t gap_us = may_repeat ? BREAKER_TRIAL_US : BREAKER_UNSAFE_TRIAL_US;
 
 	if (!breaker->is_open || !may_turn_back)
 		return false;
--- a/comfreydockd/decide/deadline.c
+++ b/comfreydockd/decide/deadline.c
@@ -6,7 +6,7 @@
 #include "common/clock.h"
 
 #define DEADLINE_HOP_SHARE 32 /* one part in so many is kept by each hop */
-#define DEADLINE_PATH_SHARE 4 /* one part in so many goes to the path at most */
+#define DEADLINE_RTT_SHARE 4 /* one part in so many goes to the path at most */
 #define DEADLINE_PERMILLE_PER_PERCENT 10
 
 /* Gains and weight of RFC 6298. */
@@ -19,16 +19,16 @@
 #define DEADLINE_CANCEL_LEAD_MIN_US ((int64_t)1000)
 #define DEADLINE_CANCEL_LEAD_MAX_US ((int64_t)10000)
 #define DEADLINE_CANCEL_LEAD_SHARE 20
-#define DEADLINE_PATIENCE_SHARE 2
+#define DEADLINE_ATTEMPT_SHARE 2
 
 /* Shifting by the width of the type or more is undefined. */
 #define DEADLINE_SHIFT_MAX 31
 
-void deadline_path_note(struct deadline_path *path, int64_t round_trip_us)
+void deadline_rtt_note(struct deadline_rtt *path, int64_t round_trip_us)
 {
 	int64_t error_us = round_trip_us - path->mean_us;
 
-	if (round_trip_us > DEADLINE_PATH_MAX_US)
+	if (round_trip_us > DEADLINE_RTT_MAX_US)
 		return;
 	if (!path->known) {
 		path->mean_us = round_trip_us;
@@ -41,10 +41,10 @@
 	path->mean_us += error_us / DEADLINE_MEAN_GAIN;
 }
 
-int64_t deadline_path_us(const struct deadline_path *path)
+int64_t deadline_rtt_us(const struct deadline_rtt *path)
 {
 	if (!path->known)
-		return DEADLINE_PATH_DEFAULT_US;
+		return DEADLINE_RTT_DEFAULT_US;
 	return path->mean_us + DEADLINE_DEVIATIONS * path->deviation_us;
 }
 
@@ -84,7 +84,7 @@
 		return INT64_MAX;
 	remaining_us -= remaining_us / DEADLINE_HOP_SHARE;
 	return remaining_us -
-	       CLAMP(path_us, 0, remaining_us / DEADLINE_PATH_SHARE);
+	       CLAMP(path_us, 0, remaining_us / DEADLINE_RTT_SHARE);
 }
 
 bool deadline_can_finish(int64_t deadline_us, int64_t wait_us,
@@ -105,20 +105,20 @@
 				   DEADLINE_CANCEL_LEAD_MAX_US);
 }
 
-int64_t deadline_patience_us(int64_t deadline_us, int64_t now_us)
+int64_t deadline_attempt_timeout_us(int64_t deadline_us, int64_t now_us)
 {
-	return (deadline_us - now_us) / DEADLINE_PATIENCE_SHARE;
+	return (deadline_us - now_us) / DEADLINE_ATTEMPT_SHARE;
 }
 
-int64_t deadline_verdict_us(const struct deadline_path *path)
+int64_t deadline_overdue_reply_us(const struct deadline_rtt *path)
 {
-	return MAX(2 * deadline_path_us(path), DEADLINE_VERDICT_MIN_US);
+	return MAX(2 * deadline_rtt_us(path), DEADLINE_OVERDUE_REPLY_MIN_US);
 }
 
-int64_t deadline_silence_left_us(int64_t deadline_us, int64_t heard_us,
-				 int64_t now_us)
+int64_t deadline_idle_left_us(int64_t deadline_us, int64_t heard_us,
+			      int64_t now_us)
 {
-	return MAX(deadline_us, heard_us + DEADLINE_SILENCE_US) - now_us;
+	return MAX(deadline_us, heard_us + DEADLINE_IDLE_US) - now_us;
 }
 
 bool deadline_is_overdue(int64_t started_us, int64_t deadline_us, int64_t now_us)
--- a/comfreydockd/decide/fair.c
+++ b/comfreydockd/decide/fair.c
@@ -12,7 +12,7 @@
 }
 
 /* What stands for a key that doesn't wait. */
-static const struct fair_flow no_flow;
+static const struct fair_flow empty_flow;
 
 /* Switched off, there is one flow. */
 static uint64_t fair_key_of(const struct fair *fair, uint64_t key_hash)
@@ -43,7 +43,7 @@
 	const struct fair_flow *flow =
 		fair_find_flow(fair, fair_key_of(fair, key_hash));
 
-	return flow ? flow : &no_flow;
+	return flow ? flow : &empty_flow;
 }
 
 void fair_init(struct fair *fair, bool enabled, uint64_t seed,
@@ -160,7 +160,8 @@
 	return fair->active_flows + (flow->length == 0 ? 1 : 0);
 }
 
-int64_t fair_work_ahead_later_us(const struct fair *fair, uint64_t key_hash)
+int64_t fair_work_ahead_with_arrivals_us(const struct fair *fair,
+					 uint64_t key_hash)
 {
 	const struct fair_flow *flow = fair_flow_of(fair, key_hash);
 	int64_t flows = fair_flows_with(fair, flow);
@@ -170,7 +171,8 @@
 
 int64_t fair_work_ahead_us(const struct fair *fair, uint64_t key_hash)
 {
-	return MIN(fair_work_ahead_later_us(fair, key_hash), fair->work_us);
+	return MIN(fair_work_ahead_with_arrivals_us(fair, key_hash),
+		   fair->work_us);
 }
 
 bool fair_is_over_share(const struct fair *fair, uint64_t key_hash)
--- a/comfreydockd/decide/health.c
+++ b/comfreydockd/decide/health.c
@@ -105,8 +105,8 @@
 	TAILQ_FOREACH (upstream, &health->upstreams, link)
 		available += upstream->available;
 	out = available - in_use + 1;
-	return in_use > 1 &&
-	       (double)out <= MAX(1.0, HEALTH_CEILING * (double)available);
+	return in_use > 1 && (double)out <= MAX(1.0, HEALTH_EJECTED_SHARE_MAX *
+							     (double)available);
 }
 
 static void eject(struct health *health, struct health_upstream *upstream,
@@ -115,22 +115,22 @@
 	double factor = 1.0 + HEALTH_JITTER * random_unit(&health->random);
 	int64_t time_us = HEALTH_EJECT_US;
 
-	if (now_us - upstream->ejected_us > HEALTH_FORGIVE_US)
+	if (now_us - upstream->ejected_us > HEALTH_EJECTION_RESET_US)
 		upstream->ejections = 0;
 	for (uint32_t i = 0; i < upstream->ejections; i++) {
 		time_us *= 2;
-		if (time_us >= HEALTH_EJECT_CAP_US)
+		if (time_us >= HEALTH_EJECT_MAX_US)
 			break;
 	}
-	time_us = MIN(time_us, HEALTH_EJECT_CAP_US);
+	time_us = MIN(time_us, HEALTH_EJECT_MAX_US);
 	upstream->until_us = now_us + (int64_t)((double)time_us * factor);
 	set_state(upstream, HEALTH_EJECTED);
 	upstream->ejected_us = now_us;
 	upstream->ejections++;
 }
 
-static void check(struct health *health, struct health_upstream *upstream,
-		  int64_t now_us)
+static void eject_if_failing(struct health *health,
+			     struct health_upstream *upstream, int64_t now_us)
 {
 	if (!is_in_use(upstream))
 		return;
@@ -146,11 +146,11 @@
 {
 	uint32_t epoch = upstream->epoch;
 
-	if (upstream->unanswered++ == 0 && upstream->mutes == 0)
+	if (upstream->unanswered++ == 0 && upstream->open_questions == 0)
 		upstream->heard_us = now_us;
 	if (upstream->state == HEALTH_HALF_OPEN)
 		upstream->trials_out++;
-	check(health, upstream, now_us);
+	eject_if_failing(health, upstream, now_us);
 	return epoch;
 }
 
@@ -180,7 +180,7 @@
 	upstream->streak = good ? 0 : upstream->streak + 1;
 	upstream->error_rate +=
 		HEALTH_ALPHA * ((good ? 0.0 : 1.0) - upstream->error_rate);
-	check(health, upstream, now_us);
+	eject_if_failing(health, upstream, now_us);
 }
 
 void health_note_ended(struct health *health, struct health_upstream *upstream,
@@ -208,25 +208,25 @@
 		health_note_heard(upstream, now_us);
 	if (epoch == upstream->epoch && upstream->trials_out > 0)
 		upstream->trials_out--;
-	check(health, upstream, now_us);
+	eject_if_failing(health, upstream, now_us);
 }
 
 void health_note_heard(struct health_upstream *upstream, int64_t now_us)
 {
 	upstream->heard_us = now_us;
-	upstream->mutes = 0;
+	upstream->open_questions = 0;
 }
 
 void health_note_mute(struct health *health, struct health_upstream *upstream,
 		      int64_t now_us)
 {
-	upstream->mutes++;
-	check(health, upstream, now_us);
+	upstream->open_questions++;
+	eject_if_failing(health, upstream, now_us);
 }
 
 bool health_is_mute(const struct health_upstream *upstream, int64_t now_us)
 {
-	return upstream->mutes >= HEALTH_MUTE_ASKED &&
+	return upstream->open_questions >= HEALTH_MUTE_QUESTIONS &&
 	       now_us - upstream->heard_us >= HEALTH_MUTE_US;
 }
 
@@ -248,7 +248,7 @@
 bool health_may_try(struct health *health, bool idempotent, int64_t now_us)
 {
 	int64_t gap_us =
-		idempotent ? HEALTH_MUTE_TRIAL_US : HEALTH_MUTE_RISKY_TRIAL_US;
+		idempotent ? HEALTH_MUTE_TRIAL_US : HEALTH_MUTE_UNSAFE_TRIAL_US;
 
 	if (!all_are_mute(health, now_us))
 		return true;
@@ -267,7 +267,7 @@
 		    now_us >= upstream->until_us)
 			set_state(upstream, HEALTH_HALF_OPEN);
 		else
-			check(health, upstream, now_us);
+			eject_if_failing(health, upstream, now_us);
 	}
 }
 
@@ -309,7 +309,7 @@
 		return true;
 	if (upstream->error_rate < HEALTH_OUTLIER_FACTOR * others)
 		return false;
-	if (upstream->streak >= HEALTH_STREAK)
+	if (upstream->streak >= HEALTH_ERRORS_IN_A_ROW)
 		return true;
 	return upstream->samples >= HEALTH_MIN_SAMPLES &&
 	       upstream->error_rate >= HEALTH_ERROR_RATE;
--- a/comfreydockd/decide/hedge.c
+++ b/comfreydockd/decide/hedge.c
@@ -10,7 +10,7 @@
 		    budget_percent ? HEDGE_BURST : 0);
 	quantile_init(&hedge->latency);
 	hedge->samples = 0;
-	hedge->win_share = HEDGE_WIN_FIRST;
+	hedge->win_share = HEDGE_WIN_INITIAL;
 }
 
 void hedge_note_request(struct hedge *hedge)
@@ -32,13 +32,13 @@
 
 static double hedge_price(const struct hedge *hedge)
 {
-	return CLAMP(HEDGE_WIN_FIRST / MAX(hedge->win_share, 0.001), 1.0,
-		     HEDGE_DEAR);
+	return CLAMP(HEDGE_WIN_INITIAL / MAX(hedge->win_share, 0.001), 1.0,
+		     HEDGE_PRICE_MAX);
 }
 
 /* Whether a hedge sent at at_us could run and still be of use. */
 static bool is_allowed(const struct hedge *hedge,
-		       const struct hedge_question *question, int64_t at_us)
+		       const struct hedge_context *question, int64_t at_us)
 {
 	int64_t median_us = quantile_get(&hedge->latency, HEDGE_MEDIAN);
 
@@ -50,7 +50,7 @@
 }
 
 int64_t hedge_delay_us(const struct hedge *hedge,
-		       const struct hedge_question *question, int64_t now_us)
+		       const struct hedge_context *question, int64_t now_us)
 {
 	int64_t delay_us = quantile_get(&hedge->latency, HEDGE_PERCENTILE);
 
@@ -61,7 +61,7 @@
 	return delay_us;
 }
 
-bool hedge_take(struct hedge *hedge, const struct hedge_question *question,
+bool hedge_take(struct hedge *hedge, const struct hedge_context *question,
 		int64_t now_us)
 {
 	if (!is_allowed(hedge, question, now_us))
--- a/comfreydockd/decide/limit.c
+++ b/comfreydockd/decide/limit.c
@@ -9,14 +9,14 @@
 #define LIMIT_SAMPLES_MIN 64
 #define LIMIT_WINDOW_US (100 * US_PER_MS)
 #define LIMIT_WINDOW_MAX_US (60 * US_PER_S)
-#define LIMIT_LOW_PERCENT 10
-#define LIMIT_LOW_GAIN ((int64_t)8) /* one window counts one part in so many */
+#define LIMIT_PERCENTILE 10
+#define LIMIT_P10_GAIN ((int64_t)8) /* one window counts one part in so many */
 #define LIMIT_SLOW_WINDOWS 4 /* in a row, before a trial */
 #define LIMIT_TOLERANCE 2 /* times the floor */
 #define LIMIT_CUT 4 /* one part in so many, on an overload */
 #define LIMIT_TRIAL_STEP 2 /* one part in so many, for a trial */
 #define LIMIT_FOLLOWED 0.8 /* of the way that the limit went */
-#define LIMIT_FLOOR_TURN_US (30 * US_PER_S)
+#define LIMIT_FLOOR_PERIOD_US (30 * US_PER_S)
 #define LIMIT_HOLD_MIN_US (2 * US_PER_S)
 #define LIMIT_HOLD_MAX_US (60 * US_PER_S)
 #define LIMIT_HOLD_TRIALS 16 /* times as long as the trial took */
@@ -28,7 +28,7 @@
 	limit->window.saturated = false;
 }
 
-static uint32_t limit_part(uint32_t value, uint32_t parts)
+static uint32_t limit_fraction(uint32_t value, uint32_t parts)
 {
 	return MAX(value / parts, 1);
 }
@@ -41,9 +41,9 @@
 	return (x > y) - (x < y);
 }
 
-static int64_t limit_window_low_us(struct limit_window *window)
+static int64_t limit_window_p10_us(struct limit_window *window)
 {
-	uint32_t rank = window->samples * LIMIT_LOW_PERCENT / 100;
+	uint32_t rank = window->samples * LIMIT_PERCENTILE / 100;
 
 	qsort(window->sample_us, window->samples, sizeof(int64_t),
 	      limit_compare_samples);
@@ -56,33 +56,33 @@
  * by far more: held against it, every other window of a healthy upstream looks
  * slow, and the trials take slots away that callers wait for.
  */
-static int64_t limit_note_low(struct limit *limit, int64_t low_us)
+static int64_t limit_note_p10(struct limit *limit, int64_t p10_us)
 {
-	limit->windows = MIN(limit->windows + 1, LIMIT_LOW_GAIN);
-	limit->low_us += (low_us - limit->low_us) / limit->windows;
-	return limit->low_us;
+	limit->windows = MIN(limit->windows + 1, LIMIT_P10_GAIN);
+	limit->p10_us += (p10_us - limit->p10_us) / limit->windows;
+	return limit->p10_us;
 }
 
 /* Returns the least p10 of this half minute and the one before it. */
-static int64_t limit_note_floor(struct limit *limit, int64_t low_us,
+static int64_t limit_note_floor(struct limit *limit, int64_t p10_us,
 				int64_t now_us)
 {
-	int64_t age_us = now_us - limit->floor_turn_us;
+	int64_t age_us = now_us - limit->floor_period_start_us;
 
-	if (age_us >= LIMIT_FLOOR_TURN_US) {
-		limit->floor_us[1] = age_us < 2 * LIMIT_FLOOR_TURN_US ?
+	if (age_us >= LIMIT_FLOOR_PERIOD_US) {
+		limit->floor_us[1] = age_us < 2 * LIMIT_FLOOR_PERIOD_US ?
 					     limit->floor_us[0] :
 					     INT64_MAX;
 		limit->floor_us[0] = INT64_MAX;
-		limit->floor_turn_us = now_us;
+		limit->floor_period_start_us = now_us;
 	}
-	limit->floor_us[0] = MIN(limit->floor_us[0], low_us);
+	limit->floor_us[0] = MIN(limit->floor_us[0], p10_us);
 	return MIN(limit->floor_us[0], limit->floor_us[1]);
 }
 
-static void limit_trial_begin(struct limit *limit, int64_t low_us)
+static void limit_trial_begin(struct limit *limit, int64_t p10_us)
 {
-	uint32_t step = limit_part(limit->current, LIMIT_TRIAL_STEP);
+	uint32_t step = limit_fraction(limit->current, LIMIT_TRIAL_STEP);
 
 	limit->trial = limit->next_trial;
 	if (limit->current == limit->slots)
@@ -94,7 +94,7 @@
 		return;
 	}
 	limit->trial_from = limit->current;
-	limit->trial_low_us = low_us;
+	limit->trial_p10_us = p10_us;
 	if (limit->trial == LIMIT_TRIAL_DOWN)
 		limit->current -= step;
 	else
@@ -106,7 +106,8 @@
 	return trial == LIMIT_TRIAL_DOWN ? LIMIT_TRIAL_UP : LIMIT_TRIAL_DOWN;
 }
 
-static void limit_hold(struct limit *limit, int64_t trial_us, int64_t now_us)
+static void limit_delay_next_trial(struct limit *limit, int64_t trial_us,
+				   int64_t now_us)
 {
 	limit->hold_until_us =
 		now_us + MAX(limit->hold_us, trial_us * LIMIT_HOLD_TRIALS);
@@ -114,36 +115,36 @@
 }
 
 /* True where the p10 went nearly all of the way that the limit went. */
-static bool limit_trial_was_followed(const struct limit *limit, int64_t low_us)
+static bool limit_trial_was_followed(const struct limit *limit, int64_t p10_us)
 {
 	bool down = limit->trial == LIMIT_TRIAL_DOWN;
 	double larger = MAX(limit->trial_from, limit->current);
 	double smaller = MIN(limit->trial_from, limit->current);
-	int64_t larger_low_us = down ? limit->trial_low_us : low_us;
-	int64_t smaller_low_us = down ? low_us : limit->trial_low_us;
+	int64_t larger_p10_us = down ? limit->trial_p10_us : p10_us;
+	int64_t smaller_p10_us = down ? p10_us : limit->trial_p10_us;
 
-	return smaller_low_us <=
-	       larger_low_us * (1 - LIMIT_FOLLOWED * (1 - smaller / larger));
+	return smaller_p10_us <=
+	       larger_p10_us * (1 - LIMIT_FOLLOWED * (1 - smaller / larger));
 }
 
-static void limit_trial_end(struct limit *limit, int64_t low_us,
+static void limit_trial_end(struct limit *limit, int64_t p10_us,
 			    const struct limit_window *window, int64_t now_us)
 {
 	enum limit_trial trial = limit->trial;
 	uint32_t larger = MAX(limit->trial_from, limit->current);
 	uint32_t smaller = MIN(limit->trial_from, limit->current);
-	bool followed = limit_trial_was_followed(limit, low_us);
+	bool followed = limit_trial_was_followed(limit, p10_us);
 
 	limit->trial = LIMIT_TRIAL_NONE;
 	if (!window->saturated) {
 		limit->current = larger;
-		limit_hold(limit, now_us - window->start_us, now_us);
+		limit_delay_next_trial(limit, now_us - window->start_us, now_us);
 		return;
 	}
 	limit->current = followed ? smaller : larger;
 	if (limit->current != limit->trial_from) {
 		limit->slow_windows = 0;
-		limit->slow_low_us = 0;
+		limit->slow_p10_us = 0;
 	}
 	limit->next_trial = trial;
 	if ((trial == LIMIT_TRIAL_DOWN) == followed) {
@@ -151,41 +152,41 @@
 		return;
 	}
 	limit->next_trial = limit_trial_opposite(trial);
-	limit_hold(limit, now_us - window->start_us, now_us);
+	limit_delay_next_trial(limit, now_us - window->start_us, now_us);
 }
 
 static void limit_window_end(struct limit *limit, int64_t now_us)
 {
-	int64_t low_us = limit_window_low_us(&limit->window);
+	int64_t p10_us = limit_window_p10_us(&limit->window);
 	bool saturated = limit->window.saturated;
 	int64_t mean_us;
 	int64_t floor_us;
 
 	if (limit->trial != LIMIT_TRIAL_NONE) {
-		limit_trial_end(limit, low_us, &limit->window, now_us);
+		limit_trial_end(limit, p10_us, &limit->window, now_us);
 		limit_window_begin(limit, now_us);
 		return;
 	}
 	limit_window_begin(limit, now_us);
-	mean_us = limit_note_low(limit, low_us);
+	mean_us = limit_note_p10(limit, p10_us);
 	/* The mean of a few windows strays as far as they do. */
-	if (limit->windows < LIMIT_LOW_GAIN)
+	if (limit->windows < LIMIT_P10_GAIN)
 		return;
 	floor_us = limit_note_floor(limit, mean_us, now_us);
-	if (low_us <= LIMIT_TOLERANCE * floor_us) {
+	if (p10_us <= LIMIT_TOLERANCE * floor_us) {
 		limit->slow_windows = 0;
-		limit->slow_low_us = 0;
+		limit->slow_p10_us = 0;
 		limit->current = MIN(limit->current + 1, limit->slots);
 		limit->hold_us = LIMIT_HOLD_MIN_US;
 		limit->next_trial = LIMIT_TRIAL_DOWN;
 		return;
 	}
 	limit->slow_windows++;
-	limit->slow_low_us += (low_us - limit->slow_low_us) /
+	limit->slow_p10_us += (p10_us - limit->slow_p10_us) /
 			      MIN(limit->slow_windows, LIMIT_SLOW_WINDOWS);
 	if (limit->slow_windows >= LIMIT_SLOW_WINDOWS && saturated &&
 	    now_us >= limit->hold_until_us)
-		limit_trial_begin(limit, limit->slow_low_us);
+		limit_trial_begin(limit, limit->slow_p10_us);
 }
 
 /*
@@ -205,7 +206,7 @@
 {
 	limit->trial = LIMIT_TRIAL_NONE;
 	if (limit->current > 1)
-		limit->current -= limit_part(limit->current, LIMIT_CUT);
+		limit->current -= limit_fraction(limit->current, LIMIT_CUT);
 	limit_window_begin(limit, now_us);
 }
 
@@ -260,7 +261,7 @@
 	limit->current = limit->slots;
 	limit->floor_us[0] = INT64_MAX;
 	limit->floor_us[1] = INT64_MAX;
-	limit->floor_turn_us = now_us;
+	limit->floor_period_start_us = now_us;
 	limit->next_trial = LIMIT_TRIAL_DOWN;
 	limit->hold_us = LIMIT_HOLD_MIN_US;
 	limit->hold_until_us = now_us;
--- a/comfreydockd/decide/pace.c
+++ b/comfreydockd/decide/pace.c
@@ -4,7 +4,7 @@
 
 bool pace_is_worse(uint32_t percent, uint32_t other_percent)
 {
-	return percent >= PACE_SLOW_TIMES * other_percent;
+	return percent >= PACE_SLOW_FACTOR * other_percent;
 }
 
 static void note_least(struct pace *pace, uint32_t percent, int64_t now_us)
@@ -73,7 +73,7 @@
 	if (item->work_us > 0)
 		return item->work_us;
 	return CLAMP(item->deadline_us - now_us, 0, PACE_DEADLINE_MAX_US) /
-	       PACE_DEADLINE_WORKS;
+	       PACE_DEADLINE_WORK_FACTOR;
 }
 
 /*
@@ -82,9 +82,9 @@
  * the last moment that an end of the spell leaves for it, and then refused:
  * begun, it would take a slot for an answer that nobody gets.
  */
-static enum pace_verdict judge_in_spell(const struct pace *pace,
-					const struct pace_item *item,
-					int64_t now_us)
+static enum pace_verdict judge_in_slow_spell(const struct pace *pace,
+					     const struct pace_item *item,
+					     int64_t now_us)
 {
 	int64_t work_us = expected_work_us(item, now_us);
 	int64_t usual_us = at_percent_us(work_us, pace_usual(pace));
@@ -94,8 +94,8 @@
 		return PACE_START;
 	if (now_us + usual_us <= item->target_us)
 		return PACE_HOLD;
-	if (item->is_busy &&
-	    now_us + (int64_t)(PACE_HOLD_SPARE * usual_us) <= item->deadline_us)
+	if (item->is_busy && now_us + (int64_t)(PACE_HOLD_MARGIN * usual_us) <=
+				     item->deadline_us)
 		return PACE_HOLD;
 	if (now_us + slow_us <= item->deadline_us)
 		return PACE_START;
@@ -106,9 +106,9 @@
 
 /* A host that nothing is known of gets what it can answer at this pace; the rest
  * waits for what may be the end of a spell. */
-static enum pace_verdict judge_at_first(const struct pace *pace,
-					const struct pace_item *item,
-					int64_t now_us)
+static enum pace_verdict judge_unknown_host(const struct pace *pace,
+					    const struct pace_item *item,
+					    int64_t now_us)
 {
 	int64_t work_us = expected_work_us(item, now_us);
 	int64_t slow_us = at_percent_us(work_us, pace->percent);
@@ -125,8 +125,8 @@
 	    pace_is_worse(pace->percent, item->other_percent))
 		return PACE_TURN_BACK;
 	if (pace_is_slow(pace))
-		return judge_in_spell(pace, item, now_us);
+		return judge_in_slow_spell(pace, item, now_us);
 	if (is_new(pace))
-		return judge_at_first(pace, item, now_us);
+		return judge_unknown_host(pace, item, now_us);
 	return PACE_START;
 }
--- a/comfreydockd/decide/pick.c
+++ b/comfreydockd/decide/pick.c
@@ -25,8 +25,8 @@
 #define PICK_ERROR_SLOWNESS 10.0
 /* Below this, the reported median of some twenty calls says nothing. */
 #define PICK_REPORTED_SLOW 2.0
-#define PICK_SPEED_MIN 0.5
-#define PICK_SPEED_MAX 20.0
+#define PICK_SLOWNESS_MIN 0.5
+#define PICK_SLOWNESS_MAX 20.0
 /* Weight of one report in the mean. */
 #define PICK_MEAN_ALPHA 0.05
 #define PICK_MEAN_IDLE_REPORTS 10.0
@@ -94,7 +94,7 @@
 	return true;
 }
 
-void pick_tried_forget(struct pick_tried *tried, const struct pick_tried *some)
+void pick_tried_remove(struct pick_tried *tried, const struct pick_tried *some)
 {
 	struct pick_tried kept = {.count = 0};
 
@@ -158,9 +158,9 @@
 }
 
 /* How much of the last report still holds: 1 at its arrival, 0 long after. */
-static double kept_of_report(const struct pick_set *set,
-			     const struct pick_candidate *candidate,
-			     int64_t now_us)
+static double report_weight(const struct pick_set *set,
+			    const struct pick_candidate *candidate,
+			    int64_t now_us)
 {
 	double age = (double)(now_us - candidate->load_at_us);
 	double memory = CLAMP(PICK_AGE_LATENCIES * set->typical_latency_us,
@@ -171,7 +171,7 @@
 
 /* What to expect of an upstream whose last report has faded: the mean of its
  * own reports, and after a while without any the mean of all. */
-static double usual_utilisation(const struct pick_set *set,
+static double prior_utilisation(const struct pick_set *set,
 				const struct pick_candidate *candidate,
 				int64_t now_us)
 {
@@ -188,9 +188,9 @@
 			    const struct pick_candidate *candidate,
 			    int64_t now_us)
 {
-	double prior = usual_utilisation(set, candidate, now_us) *
+	double prior = prior_utilisation(set, candidate, now_us) *
 		       capacity_of(candidate);
-	double kept = kept_of_report(set, candidate, now_us);
+	double kept = report_weight(set, candidate, now_us);
 
 	return candidate->outstanding + kept * candidate->others +
 	       (1 - kept) * prior;
@@ -206,7 +206,7 @@
 static bool has_room(const struct pick_set *set,
 		     const struct pick_candidate *candidate, int64_t now_us)
 {
-	double kept = kept_of_report(set, candidate, now_us);
+	double kept = report_weight(set, candidate, now_us);
 	double room = kept + (1 - kept) * PICK_ROOM_UNKNOWN;
 
 	return estimate_work(set, candidate, now_us) <
@@ -323,7 +323,7 @@
 {
 	return CLAMP(MAX(own_slowness(set, candidate, now_us),
 			 reported_slowness(set, candidate, now_us)),
-		     PICK_SPEED_MIN, PICK_SPEED_MAX);
+		     PICK_SLOWNESS_MIN, PICK_SLOWNESS_MAX);
 }
 
 double pick_score(const struct pick_set *set,
--- a/comfreydockd/decide/pick_policy.c
+++ b/comfreydockd/decide/pick_policy.c
@@ -17,13 +17,13 @@
 #define PICK_FULL_UTILISATION 1.1
 /* Among hosts that would begin a request at once the emptier one is preferred by
  * so much; an assumption. */
-#define PICK_EMPTIER 0.1
+#define PICK_IDLE_PREFERENCE 0.1
 
 /* Power of two choices. */
 #define PICK_CHOICES 2
 /* Where all that is quick has a queue: of two, three and four the best with few
  * entries, and no worse with hundreds; see docs/design/decisions.md. */
-#define PICK_QUEUES 3
+#define PICK_QUEUE_CHOICES 3
 
 typedef double (*cost_function)(const struct pick_set *set,
 				const struct pick_candidate *candidate,
@@ -185,22 +185,22 @@
 	return free;
 }
 
-static double pace_times(const struct pick_set *set,
-			 const struct pick_candidate *candidate, int64_t now_us)
+static double pace_factor(const struct pick_set *set,
+			  const struct pick_candidate *candidate, int64_t now_us)
 {
 	return (double)pick_pace(set, candidate, now_us) / PACE_USUAL_PERCENT;
 }
 
 /* How long a request is there, in usual times: what is full has a queue, what is
  * slow takes longer however empty it is. */
-static double cost_stay(const struct pick_set *set,
-			const struct pick_candidate *candidate, int64_t now_us)
+static double cost_sojourn(const struct pick_set *set,
+			   const struct pick_candidate *candidate, int64_t now_us)
 {
 	double utilisation = pick_utilisation(set, candidate, now_us);
 
-	return (MAX(utilisation, 1.0) + PICK_EMPTIER * utilisation) *
+	return (MAX(utilisation, 1.0) + PICK_IDLE_PREFERENCE * utilisation) *
 	       pick_relative_latency(set, candidate, now_us) *
-	       pace_times(set, candidate, now_us);
+	       pace_factor(set, candidate, now_us);
 }
 
 static double cost_own_by_pace(const struct pick_set *set,
@@ -208,7 +208,7 @@
 			       int64_t now_us)
 {
 	return pick_own_score(set, candidate, now_us) *
-	       pace_times(set, candidate, now_us);
+	       pace_factor(set, candidate, now_us);
 }
 
 /*
@@ -241,7 +241,8 @@
 					   struct pick_candidate **candidates,
 					   size_t count, int64_t now_us)
 {
-	return choose_of(set, candidates, count, PICK_QUEUES, now_us, cost_stay);
+	return choose_of(set, candidates, count, PICK_QUEUE_CHOICES, now_us,
+			 cost_sojourn);
 }
 
 static struct pick_candidate *
--- a/comfreydockd/decide/quarantine.c
+++ b/comfreydockd/decide/quarantine.c
@@ -10,7 +10,7 @@
 #define EXPIRE_EVERY_US ((int64_t)1000 * 1000)
 
 /* The last answer to a request; another one's takes its place. */
-struct good_slot {
+struct answered_slot {
 	uint64_t key;
 	int64_t answered_us;
 };
@@ -23,7 +23,7 @@
 	struct quarantine_list news; /* to be told, the next one first */
 	struct quarantine_list settled; /* told often enough */
 	int64_t expired_us;
-	struct good_slot good[QUARANTINE_GOOD_SLOTS];
+	struct answered_slot good[QUARANTINE_ANSWERED_SLOTS];
 };
 
 struct quarantine *quarantine_create(int64_t trial_us,
@@ -174,11 +174,11 @@
 static bool was_answered(const struct quarantine *quarantine, uint64_t key,
 			 int64_t now_us)
 {
-	const struct good_slot *slot =
-		&quarantine->good[key % QUARANTINE_GOOD_SLOTS];
+	const struct answered_slot *slot =
+		&quarantine->good[key % QUARANTINE_ANSWERED_SLOTS];
 
 	return slot->key == key && slot->answered_us &&
-	       now_us - slot->answered_us <= QUARANTINE_GOOD_US;
+	       now_us - slot->answered_us <= QUARANTINE_ANSWERED_US;
 }
 
 bool quarantine_note_crash(struct quarantine *quarantine, uint64_t key,
@@ -221,7 +221,8 @@
 void quarantine_note_answer(struct quarantine *quarantine, uint64_t key,
 			    int64_t now_us)
 {
-	struct good_slot *slot = &quarantine->good[key % QUARANTINE_GOOD_SLOTS];
+	struct answered_slot *slot =
+		&quarantine->good[key % QUARANTINE_ANSWERED_SLOTS];
 	struct quarantine_record *record = find(quarantine, key);
 
 	slot->key = key;
@@ -249,11 +250,11 @@
 	make_news(quarantine, record);
 }
 
-struct quarantine_answer quarantine_judge(struct quarantine *quarantine,
-					  uint64_t key, int64_t now_us)
+struct quarantine_decision quarantine_judge(struct quarantine *quarantine,
+					    uint64_t key, int64_t now_us)
 {
 	struct quarantine_record *record = find(quarantine, key);
-	struct quarantine_answer answer = {.verdict = QUARANTINE_FREE};
+	struct quarantine_decision answer = {.verdict = QUARANTINE_FREE};
 
 	if (!record || !quarantine_record_is_held(record) ||
 	    quarantine->trial_us == 0)
@@ -324,10 +325,10 @@
 		record = add_record(quarantine, heard->key);
 		if (!record)
 			return;
-		record_take_over(record, heard);
+		record_replace(record, heard);
 	} else if (heard->round > record->round) {
-		record_take_over(record, heard);
-	} else if (!record_unite(record, heard)) {
+		record_replace(record, heard);
+	} else if (!record_merge(record, heard)) {
 		note_asked(quarantine, record, heard->asked_us);
 		return;
 	}
@@ -341,7 +342,7 @@
 	return !TAILQ_EMPTY(&quarantine->news);
 }
 
-bool quarantine_has_untold(const struct quarantine *quarantine)
+bool quarantine_has_unsent(const struct quarantine *quarantine)
 {
 	const struct quarantine_record *record = TAILQ_FIRST(&quarantine->news);
 
@@ -372,7 +373,7 @@
 		       struct quarantine_record *out, size_t size)
 {
 	size_t count = tell_news(quarantine, times_max, out, size);
-	size_t most = MIN(size, count + QUARANTINE_RETOLD_MAX);
+	size_t most = MIN(size, count + QUARANTINE_RESENT_MAX);
 	struct quarantine_record *first = TAILQ_FIRST(&quarantine->settled);
 	struct quarantine_record *record = first;
 
--- a/comfreydockd/decide/quarantine_record.c
+++ b/comfreydockd/decide/quarantine_record.c
@@ -72,8 +72,8 @@
 	record->failed_trials = 0;
 }
 
-void record_take_over(struct quarantine_record *record,
-		      const struct quarantine_record *heard)
+void record_replace(struct quarantine_record *record,
+		    const struct quarantine_record *heard)
 {
 	record->round = heard->round;
 	record->is_cleared = heard->is_cleared;
@@ -84,7 +84,7 @@
 	record->asked_us = heard->asked_us;
 }
 
-bool record_unite(struct quarantine_record *record,
+bool record_merge(struct quarantine_record *record,
 		  const struct quarantine_record *heard)
 {
 	bool is_changed = false;
--- a/comfreydockd/decide/quarantine_record.h
+++ b/comfreydockd/decide/quarantine_record.h
@@ -18,11 +18,11 @@
 void record_begin_round(struct quarantine_record *record);
 
 /* All but the key, and what concerns its telling. */
-void record_take_over(struct quarantine_record *record,
-		      const struct quarantine_record *heard);
+void record_replace(struct quarantine_record *record,
+		    const struct quarantine_record *heard);
 
 /* Of the same round. RETURN VALUE: whether the record has changed. */
-bool record_unite(struct quarantine_record *record,
+bool record_merge(struct quarantine_record *record,
 		  const struct quarantine_record *heard);
 
 #endif
--- a/comfreydockd/decide/queue.c
+++ b/comfreydockd/decide/queue.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 #include "comfreydockd/decide/queue_admit.h"
-#include "comfreydockd/decide/queue_foresee.h"
 #include "comfreydockd/decide/queue_lane.h"
+#include "comfreydockd/decide/queue_predict.h"
 
 static bool queue_is_stale_before(const struct heap_node *a,
 				  const struct heap_node *b)
@@ -69,7 +69,7 @@
 }
 
 /* What remains once an item has left its lane. */
-static void queue_forget(struct queue *queue, struct queue_item *item)
+static void queue_detach(struct queue *queue, struct queue_item *item)
 {
 	heap_remove(&queue->by_latest_start, &item->by_latest_start);
 	queue->length--;
@@ -81,7 +81,7 @@
 	if (!item->is_queued)
 		return false;
 	fair_remove(&queue->lanes[item->lane], &item->fair);
-	queue_forget(queue, item);
+	queue_detach(queue, item);
 	return true;
 }
 
@@ -140,11 +140,11 @@
 		item = heap_entry(next, struct queue_item, fair);
 		if (!queue_lane_is_missed(queue, item, now_us))
 			break;
-		item->lane += QUEUE_LATE_ALONE;
+		item->lane += QUEUE_LATE_LANES;
 		fair_push(&queue->lanes[item->lane], &item->fair);
 	}
 	queue_lane_note_turn(queue, lane);
-	queue_forget(queue, item);
+	queue_detach(queue, item);
 	*verdict = QUEUE_ACCEPTED;
 	return item;
 }
--- a/comfreydockd/decide/queue_admit.c
+++ b/comfreydockd/decide/queue_admit.c
@@ -2,14 +2,14 @@
 
 #include <glib.h>
 
-#include "comfreydockd/decide/queue_foresee.h"
 #include "comfreydockd/decide/queue_lane.h"
+#include "comfreydockd/decide/queue_predict.h"
 
-#define QUEUE_DOUBT_TURN 4
+#define QUEUE_OVERRIDE_INTERVAL 4
 /* What a caller may have in a full queue, one part of the bound in so many, and all
  * of them together, so many times the bound. Assumptions. */
-#define QUEUE_FULL_PARTS 256
-#define QUEUE_FULL_TIMES 4
+#define QUEUE_FULL_CALLER_PARTS 256
+#define QUEUE_FULL_FACTOR 4
 
 /* One caller that fills the queue must not shut out the others: each may have a
  * small part of it beyond the bound. */
@@ -21,14 +21,14 @@
 
 	if (queue->length < queue->max_items)
 		return false;
-	return queue->length / QUEUE_FULL_TIMES >= queue->max_items ||
+	return queue->length / QUEUE_FULL_FACTOR >= queue->max_items ||
 	       fair_flow_length(lane, item->key_hash) >=
-		       queue->max_items / QUEUE_FULL_PARTS;
+		       queue->max_items / QUEUE_FULL_CALLER_PARTS;
 }
 
-static enum queue_verdict queue_name_refusal(const struct queue *queue,
-					     const struct queue_item *item,
-					     int64_t wait_us, int64_t now_us)
+static enum queue_verdict queue_refusal_reason(const struct queue *queue,
+					       const struct queue_item *item,
+					       int64_t wait_us, int64_t now_us)
 {
 	const struct fair *lane =
 		&queue->lanes[queue_lane_in_time(queue, item->class)];
@@ -48,16 +48,17 @@
  * nothing runs to correct it. Where a slot is free, an item is therefore let
  * through against the estimate now and then, and always where nothing runs.
  */
-static bool queue_doubts_estimate(struct queue *queue,
-				  const struct queue_item *item,
-				  const struct queue_slots *slots, int64_t now_us)
+static bool queue_overrides_estimate(struct queue *queue,
+				     const struct queue_item *item,
+				     const struct queue_slots *slots,
+				     int64_t now_us)
 {
 	if (!queue_has_free_slot(queue, slots) || item->deadline_us <= now_us)
 		return false;
 	if (queue->policy->latest_start_us(queue, item) >= now_us)
 		return false;
 	if (slots->running > 0 &&
-	    ++queue->doubts[item->class] % QUEUE_DOUBT_TURN != 0)
+	    ++queue->doubts[item->class] % QUEUE_OVERRIDE_INTERVAL != 0)
 		return false;
 	queue->in_doubt[item->class] = true;
 	return true;
@@ -77,14 +78,14 @@
 	if (queue_is_full_for(queue, item))
 		return QUEUE_REFUSED_FULL;
 	wait_us = queue->policy->by_class && queue_is_standing(queue, now_us) ?
-			  queue_foresee_later_us(queue, item, slots) :
-			  queue_foresee_wait_us(queue, item->lane,
+			  queue_predict_wait_with_arrivals_us(queue, item, slots) :
+			  queue_predict_wait_us(queue, item->lane,
 						item->key_hash, slots);
 	allowed_us = queue->policy->allowed_wait_us(queue, item, now_us);
 	if (wait_us <= allowed_us)
 		return QUEUE_ACCEPTED;
 	*retry_after_ms = queue_to_retry_after_ms(wait_us - allowed_us);
-	return queue_name_refusal(queue, item, wait_us, now_us);
+	return queue_refusal_reason(queue, item, wait_us, now_us);
 }
 
 /* Past it a wait would only make others late; a start at once may still be of
@@ -106,7 +107,7 @@
 	item->wait_until_us = queue_wait_until_us(queue, item, now_us);
 	item->lane = queue_lane_for(queue, item, slots, now_us);
 	item->latest_start_us = queue->policy->latest_start_us(queue, item);
-	if (queue_doubts_estimate(queue, item, slots, now_us)) {
+	if (queue_overrides_estimate(queue, item, slots, now_us)) {
 		item->latest_start_us = item->deadline_us;
 		return QUEUE_ACCEPTED;
 	}
--- a/comfreydockd/decide/queue_lane.c
+++ b/comfreydockd/decide/queue_lane.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-#include "comfreydockd/decide/queue_foresee.h"
+#include "comfreydockd/decide/queue_predict.h"
 
 uint32_t queue_lane_in_time(const struct queue *queue, enum config_class class)
 {
@@ -24,18 +24,18 @@
 {
 	uint32_t lane = queue_lane_in_time(queue, item->class);
 	int64_t wait_us =
-		queue_foresee_wait_us(queue, lane, item->key_hash, slots);
+		queue_predict_wait_us(queue, lane, item->key_hash, slots);
 
 	if (queue->policy->by_class &&
 	    queue_misses_target(queue, item, wait_us, now_us))
-		lane += QUEUE_LATE_ALONE;
+		lane += QUEUE_LATE_LANES;
 	return lane;
 }
 
 bool queue_lane_is_missed(const struct queue *queue,
 			  const struct queue_item *item, int64_t now_us)
 {
-	return queue->policy->by_class && item->lane < QUEUE_LATE_ALONE &&
+	return queue->policy->by_class && item->lane < QUEUE_LATE_LANES &&
 	       queue_misses_target(queue, item, 0, now_us);
 }
 
@@ -46,8 +46,8 @@
 	for (uint32_t i = 0; i < QUEUE_LANES; i++) {
 		if (queue->lanes[i].length == 0)
 			continue;
-		if (i < QUEUE_LATE_ALONE &&
-		    queue->passed_over[i] >= QUEUE_CLASS_TURN)
+		if (i < QUEUE_LATE_LANES &&
+		    queue->passed_over[i] >= QUEUE_PASSED_OVER_MAX)
 			return i;
 		first = MIN(first, i);
 	}
@@ -56,7 +56,7 @@
 
 void queue_lane_note_turn(struct queue *queue, uint32_t chosen)
 {
-	for (uint32_t i = 0; i < QUEUE_LATE_ALONE; i++) {
+	for (uint32_t i = 0; i < QUEUE_LATE_LANES; i++) {
 		if (i == chosen || queue->lanes[i].length == 0)
 			queue->passed_over[i] = 0;
 		else if (i > chosen)
--- a/comfreydockd/decide/queue_foresee.c
+++ b/comfreydockd/decide/queue_predict.c
@@ -1,4 +1,4 @@
-#include "comfreydockd/decide/queue_foresee.h"
+#include "comfreydockd/decide/queue_predict.h"
 
 #include <glib.h>
 
@@ -33,7 +33,7 @@
 	return queue_wait_for_us(queue, work_us, slots);
 }
 
-int64_t queue_foresee_wait_us(const struct queue *queue, uint32_t lane,
+int64_t queue_predict_wait_us(const struct queue *queue, uint32_t lane,
 			      uint64_t key_hash, const struct queue_slots *slots)
 {
 	int64_t work_us = fair_work_ahead_us(&queue->lanes[lane], key_hash);
@@ -41,12 +41,12 @@
 	return queue_wait_behind_us(queue, lane, work_us, slots);
 }
 
-int64_t queue_foresee_later_us(const struct queue *queue,
-			       const struct queue_item *item,
-			       const struct queue_slots *slots)
+int64_t queue_predict_wait_with_arrivals_us(const struct queue *queue,
+					    const struct queue_item *item,
+					    const struct queue_slots *slots)
 {
-	int64_t work_us = fair_work_ahead_later_us(&queue->lanes[item->lane],
-						   item->key_hash);
+	int64_t work_us = fair_work_ahead_with_arrivals_us(
+		&queue->lanes[item->lane], item->key_hash);
 
 	return queue_wait_behind_us(queue, item->lane, work_us, slots);
 }
--- a/comfreydockd/decide/retry.c
+++ b/comfreydockd/decide/retry.c
@@ -50,23 +50,23 @@
 	return budget_take(&retry->budget, cost);
 }
 
-double retry_left(struct retry *retry, int64_t now_us)
+double retry_available(struct retry *retry, int64_t now_us)
 {
 	if (retry->is_shared)
-		return window_budget_left(&retry->window, now_us);
+		return window_budget_available(&retry->window, now_us);
 	return retry->budget.tokens;
 }
 
-double retry_most(struct retry *retry, int64_t now_us)
+double retry_capacity(struct retry *retry, int64_t now_us)
 {
 	if (retry->is_shared)
-		return window_budget_most(&retry->window, now_us);
+		return window_budget_capacity(&retry->window, now_us);
 	return retry->budget.burst;
 }
 
 /* Whether another attempt could run the request a second time, or answer it a
  * second time. */
-static enum retry_verdict check_safe(const struct retry_question *question)
+static enum retry_verdict check_safe(const struct retry_context *question)
 {
 	if (question->answer_begun)
 		return RETRY_NO_ANSWERED;
@@ -93,7 +93,7 @@
 }
 
 /* No work was done and the cause is this one upstream. */
-static bool is_free(enum retry_outcome outcome)
+static bool is_free_of_charge(enum retry_outcome outcome)
 {
 	return !retry_counts(outcome) || outcome == RETRY_OUTCOME_BUSY;
 }
@@ -119,7 +119,7 @@
 				     (uint64_t)MAX(hint_us, 0) / RETRY_SPREAD);
 }
 
-static enum retry_verdict check_room(const struct retry_question *question,
+static enum retry_verdict check_room(const struct retry_context *question,
 				     int64_t delay_us, int64_t now_us)
 {
 	if (retry_counts(question->outcome) &&
@@ -132,14 +132,14 @@
 	return RETRY_GO;
 }
 
-struct retry_answer retry_decide(struct retry *retry,
-				 const struct retry_question *question,
-				 struct random_state *random, int64_t now_us)
+struct retry_decision retry_decide(struct retry *retry,
+				   const struct retry_context *question,
+				   struct random_state *random, int64_t now_us)
 {
-	bool free_of_charge = is_free(question->outcome);
+	bool free_of_charge = is_free_of_charge(question->outcome);
 	int64_t wait_us = backoff_us(question->attempts, random) +
 			  question->retry_after_us;
-	struct retry_answer answer = {
+	struct retry_decision answer = {
 		.delay_us = free_of_charge ? 0 : wait_us,
 	};
 
--- a/comfreydockd/decide/window_budget.c
+++ b/comfreydockd/decide/window_budget.c
@@ -62,7 +62,7 @@
 			budget->slack;
 }
 
-double window_budget_most(struct window_budget *budget, int64_t now_us)
+double window_budget_capacity(struct window_budget *budget, int64_t now_us)
 {
 	const struct window_budget_slot *oldest;
 	double calls = 0;
@@ -74,14 +74,14 @@
 	return slack_of(budget) + budget->share * (calls - oldest->calls);
 }
 
-double window_budget_left(struct window_budget *budget, int64_t now_us)
+double window_budget_available(struct window_budget *budget, int64_t now_us)
 {
-	return window_budget_most(budget, now_us) - taken(budget);
+	return window_budget_capacity(budget, now_us) - taken(budget);
 }
 
 bool window_budget_take(struct window_budget *budget, double cost, int64_t now_us)
 {
-	if (window_budget_left(budget, now_us) < cost)
+	if (window_budget_available(budget, now_us) < cost)
 		return false;
 	slot_of(budget, budget->newest)->taken += cost;
 	return true;
--- a/comfreydockd/member/swim_rumour.c
+++ b/comfreydockd/member/swim_rumour.c
@@ -84,7 +84,7 @@
 void swim_rumour_tick(struct swim *swim)
 {
 	bool is_urgent = swim->quarantine && swim->quarantine_budget_bytes > 0 &&
-			 quarantine_has_untold(swim->quarantine);
+			 quarantine_has_unsent(swim->quarantine);
 	bool has_news =
 		is_urgent || !TAILQ_EMPTY(&swim->urgent) ||
 		!TAILQ_EMPTY(&swim->rumours) || swim->head_transmits ||
--- a/comfreydockd/upstream/crash.c
+++ b/comfreydockd/upstream/crash.c
@@ -167,11 +167,11 @@
 		quarantine_end_trial(quarantine, content);
 }
 
-static struct quarantine_answer judge(const struct owner *owner,
-				      const struct owner_attempt *attempt)
+static struct quarantine_decision judge(const struct owner *owner,
+					const struct owner_attempt *attempt)
 {
 	const char *host = owner->daemon->settings->host;
-	struct quarantine_answer answer =
+	struct quarantine_decision answer =
 		quarantine_judge(owner->daemon->quarantine,
 				 attempt->request->content_key, clock_mono_us());
 
@@ -191,7 +191,7 @@
 
 bool crash_may_wait(struct owner *owner, struct owner_attempt *attempt)
 {
-	struct quarantine_answer answer = judge(owner, attempt);
+	struct quarantine_decision answer = judge(owner, attempt);
 
 	if (answer.verdict != QUARANTINE_HELD)
 		return true;
@@ -214,7 +214,7 @@
 
 bool crash_may_start(struct owner *owner, struct owner_attempt *attempt)
 {
-	struct quarantine_answer answer = judge(owner, attempt);
+	struct quarantine_decision answer = judge(owner, attempt);
 
 	if (answer.verdict == QUARANTINE_HELD) {
 		refuse(attempt, answer.left_us);
--- a/comfreydockd/upstream/gate.c
+++ b/comfreydockd/upstream/gate.c
@@ -177,7 +177,7 @@
 
 void gate_note_run(struct owner *owner, bool is_answer)
 {
-	if (!breaker_note(&owner->breaker, is_answer))
+	if (!breaker_note_result(&owner->breaker, is_answer))
 		return;
 	log_event(EV_OWNER_BREAKER, LOG_INT("open", owner->breaker.is_open),
 		  LOG_INT("streak", owner->breaker.streak),
--- a/include/bench/decide/replay.h
+++ b/include/bench/decide/replay.h
@@ -81,7 +81,7 @@
 	int64_t wasted_us; /* of it, for answers that reached nobody in time */
 	int64_t goodput_us; /* work of what was answered in time */
 	int64_t slot_time_us; /* of all slots in the window */
-	int64_t slowest_refusal_us; /* from the owner's word to the caller */
+	int64_t latest_refusal_us; /* from the owner's word to the caller */
 };
 
 void replay_run(const struct trace *trace, const struct replay_options *options,
--- a/include/bench/decide/replay_internal.h
+++ b/include/bench/decide/replay_internal.h
@@ -93,7 +93,7 @@
 	struct pick_candidate *candidates;
 	struct health health;
 	struct health_upstream *upstreams;
-	struct deadline_path *paths;
+	struct deadline_rtt *paths;
 	struct retry retry;
 	struct hedge hedge;
 	int64_t ticked_us;
--- a/include/comfreydockd/caller/call_internal.h
+++ b/include/comfreydockd/caller/call_internal.h
@@ -23,7 +23,7 @@
 void call_end_now(struct call *call);
 
 void call_fill_hedge_question(const struct call *call,
-			      struct hedge_question *question);
+			      struct hedge_context *question);
 
 /* RETURN VALUE: the attempts so far that count against the rule's. */
 uint32_t call_work_attempts(const struct call *call);
@@ -35,7 +35,7 @@
 /* RETURN VALUE: the upstreams left to try. */
 size_t call_untried(const struct call *call);
 void call_fill_retry_question(const struct call *call, enum retry_outcome outcome,
-			      struct retry_question *question);
+			      struct retry_context *question);
 
 /* beside.c: attempts that are sent beside one that is out, as it may be slow
  * (a hedge) or its owner may be gone (an overtaking one). */
--- a/include/comfreydockd/caller/services.h
+++ b/include/comfreydockd/caller/services.h
@@ -34,7 +34,7 @@
 	struct pick_candidate candidate;
 	struct health_upstream health;
 	enum health_state logged_state;
-	struct deadline_path path;
+	struct deadline_rtt path;
 };
 
 TAILQ_HEAD(service_upstream_list, service_upstream);
--- a/include/comfreydockd/decide/breaker.h
+++ b/include/comfreydockd/decide/breaker.h
@@ -3,12 +3,12 @@
  *	breaker - keep requests from an upstream that breaks off all it is given
  *
  * DESCRIPTION
- *	One for each owner. After BREAKER_STREAK runs in a row that gave no
+ *	One for each owner. After BREAKER_FAILURES runs in a row that gave no
  *	answer (broken off, strange, none long after the deadline) it is open:
  *	requests that another upstream may take are turned back as not run, also
  *	where the others are slow or busy. A request that no other has taken is
  *	begun all the same, and to find out one that may be repeated every
- *	BREAKER_TRIAL_US and any other every BREAKER_RISKY_TRIAL_US. BREAKER_GOOD
+ *	BREAKER_TRIAL_US and any other every BREAKER_UNSAFE_TRIAL_US. BREAKER_SUCCESSES
  *	answers in a row close it.
  *
  *	An upstream's own 5xx is an answer. Whether these are the upstream's
@@ -25,7 +25,7 @@
  *	and their callers have to look up each.
  *
  * GROUNDS
- *	BREAKER_STREAK: an upstream that loses one answer in twenty, as under a
+ *	BREAKER_FAILURES: an upstream that loses one answer in twenty, as under a
  *	poor network, opens it once in three million runs; one that loses four
  *	in ten once in a hundred. BREAKER_TRIAL_US: ten requests a second that
  *	may be repeated are little beside what an upstream does, and it is back
@@ -41,10 +41,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define BREAKER_STREAK 5
-#define BREAKER_GOOD 2
+#define BREAKER_FAILURES 5
+#define BREAKER_SUCCESSES 2
 #define BREAKER_TRIAL_US ((int64_t)100 * 1000)
-#define BREAKER_RISKY_TRIAL_US ((int64_t)1000 * 1000)
+#define BREAKER_UNSAFE_TRIAL_US ((int64_t)1000 * 1000)
 
 /* All zero at the start: closed. */
 struct breaker {
@@ -55,7 +55,7 @@
 };
 
 /* RETURN VALUE: true where the breaker has opened or closed by this. */
-bool breaker_note(struct breaker *breaker, bool is_answer);
+bool breaker_note_result(struct breaker *breaker, bool is_answer);
 
 /*
  * RETURN VALUE: true where the request is to be turned back. false counts as a
--- a/include/comfreydockd/decide/deadline.h
+++ b/include/comfreydockd/decide/deadline.h
@@ -45,16 +45,16 @@
 #include <stdint.h>
 
 #define DEADLINE_DEPTH_MAX 13
-#define DEADLINE_PATH_DEFAULT_US ((int64_t)3000)
+#define DEADLINE_RTT_DEFAULT_US ((int64_t)3000)
 /* A verdict may wait for the end of a turn of the owner's loop. */
-#define DEADLINE_VERDICT_MIN_US ((int64_t)10000)
+#define DEADLINE_OVERDUE_REPLY_MIN_US ((int64_t)10000)
 
 /* A begun answer may take longer than the deadline, but not stand still for
  * longer than this beyond it. A lost segment is repeated well within. */
-#define DEADLINE_SILENCE_US ((int64_t)2 * 1000 * 1000)
+#define DEADLINE_IDLE_US ((int64_t)2 * 1000 * 1000)
 
 /* Round trips to one peer; all zero at the start. */
-struct deadline_path {
+struct deadline_rtt {
 	int64_t mean_us;
 	int64_t deviation_us;
 	bool known;
@@ -62,15 +62,15 @@
 
 /* A longer round trip was a pause of one side. Regions on opposite sides of the
  * earth are some 300 ms apart, there and back; an assumption. */
-#define DEADLINE_PATH_MAX_US ((int64_t)400 * 1000)
+#define DEADLINE_RTT_MAX_US ((int64_t)400 * 1000)
 
 /* Notes a round trip in which no work was done: a refusal, a load report. One
- * above DEADLINE_PATH_MAX_US is left out. */
-void deadline_path_note(struct deadline_path *path, int64_t round_trip_us);
+ * above DEADLINE_RTT_MAX_US is left out. */
+void deadline_rtt_note(struct deadline_rtt *path, int64_t round_trip_us);
 
 /* RETURN VALUE: time to allow for the way there and back;
- * DEADLINE_PATH_DEFAULT_US before the first round trip. */
-int64_t deadline_path_us(const struct deadline_path *path);
+ * DEADLINE_RTT_DEFAULT_US before the first round trip. */
+int64_t deadline_rtt_us(const struct deadline_rtt *path);
 
 /*
  * The deadline of a request that arrived now: the earlier of what its sender
@@ -106,13 +106,13 @@
  * such an upstream would end at their deadlines, though another could have
  * answered them.
  *
- * The owner is asked whether it is overdue, and has deadline_verdict_us() to
+ * The owner is asked whether it is overdue, and has deadline_overdue_reply_us() to
  * say so. Only then, or without an answer, another attempt is sent beside it.
  * Sent unasked, each call that had waited for long would make a second one, and
  * one saw these by the thousand under overload.
  */
-int64_t deadline_patience_us(int64_t deadline_us, int64_t now_us);
-int64_t deadline_verdict_us(const struct deadline_path *path);
+int64_t deadline_attempt_timeout_us(int64_t deadline_us, int64_t now_us);
+int64_t deadline_overdue_reply_us(const struct deadline_rtt *path);
 
 /*
  * How long a begun answer may still be silent. The deadline covers its head
@@ -124,8 +124,8 @@
  * RETURN VALUE
  *	0 or less: it is to be broken off.
  */
-int64_t deadline_silence_left_us(int64_t deadline_us, int64_t heard_us,
-				 int64_t now_us);
+int64_t deadline_idle_left_us(int64_t deadline_us, int64_t heard_us,
+			      int64_t now_us);
 
 /* True where work has run for at least as long as time remains. */
 bool deadline_is_overdue(int64_t started_us, int64_t deadline_us, int64_t now_us);
--- a/include/comfreydockd/decide/fair.h
+++ b/include/comfreydockd/decide/fair.h
@@ -106,7 +106,8 @@
  * The same where others keep arriving: what comes later to flows that hold
  * less overtakes, so that no bound by what waits now holds.
  */
-int64_t fair_work_ahead_later_us(const struct fair *fair, uint64_t key_hash);
+int64_t fair_work_ahead_with_arrivals_us(const struct fair *fair,
+					 uint64_t key_hash);
 
 /* True where others wait too and this key's flow holds more than an equal
  * share of the waiting slot time. */
--- a/include/comfreydockd/decide/health.h
+++ b/include/comfreydockd/decide/health.h
@@ -10,12 +10,12 @@
  *	after another is let through as a trial. A trial that fails ejects it
  *	again for twice the time; after HEALTH_TRIALS good ones it is back.
  *
- *	At most HEALTH_CEILING of the available upstreams are ejected, and
+ *	At most HEALTH_EJECTED_SHARE_MAX of the available upstreams are ejected, and
  *	never the last one that is usable: when all fail alike the cause lies
  *	elsewhere, and an answer from a poor upstream beats none.
  *
  *	An owner that is asked for an attempt answers within a turn of its loop,
- *	however slow its upstream is. One that leaves HEALTH_MUTE_ASKED questions
+ *	however slow its upstream is. One that leaves HEALTH_MUTE_QUESTIONS questions
  *	open, with nothing else heard for HEALTH_MUTE_US, is mute: frozen, cut
  *	off or without power. The mute are ejected beyond the ceiling, as a call
  *	sent there is lost. Where all are mute it is this entry that is cut off:
@@ -59,24 +59,24 @@
 #define HEALTH_ERROR_RATE 0.4
 #define HEALTH_OUTLIER_FACTOR 3.0
 /* Ejected after so many errors in a row, unless the others fail too. */
-#define HEALTH_STREAK 5
+#define HEALTH_ERRORS_IN_A_ROW 5
 /* Ejected if so many attempts are out and nothing came for so long. */
 #define HEALTH_SILENT_ATTEMPTS 3
 #define HEALTH_SILENCE_US ((int64_t)2 * 1000 * 1000)
 /* As long as a pause of a daemon that is called one; a daemon on a fifth of a
  * core stands still for 80 ms at a time when it has spent its share. */
 #define HEALTH_MUTE_US ((int64_t)300 * 1000)
-#define HEALTH_MUTE_ASKED 2
+#define HEALTH_MUTE_QUESTIONS 2
 /* Between two trials of a group that is mute as a whole: what a caller that may
  * not be served twice loses by a trial is more. */
 #define HEALTH_MUTE_TRIAL_US ((int64_t)100 * 1000)
-#define HEALTH_MUTE_RISKY_TRIAL_US ((int64_t)1000 * 1000)
-#define HEALTH_CEILING 0.34
+#define HEALTH_MUTE_UNSAFE_TRIAL_US ((int64_t)1000 * 1000)
+#define HEALTH_EJECTED_SHARE_MAX 0.34
 #define HEALTH_TRIALS 3
 #define HEALTH_EJECT_US ((int64_t)1000 * 1000)
-#define HEALTH_EJECT_CAP_US ((int64_t)60 * 1000 * 1000)
+#define HEALTH_EJECT_MAX_US ((int64_t)60 * 1000 * 1000)
 /* After so long without an ejection the times start anew. */
-#define HEALTH_FORGIVE_US ((int64_t)120 * 1000 * 1000)
+#define HEALTH_EJECTION_RESET_US ((int64_t)120 * 1000 * 1000)
 
 enum health_state {
 	HEALTH_CLOSED, /* in use */
@@ -100,7 +100,7 @@
 	uint32_t streak; /* errors in a row */
 	uint32_t unanswered; /* attempts out */
 	int64_t heard_us; /* last sign, or the first send after none was out */
-	uint32_t mutes; /* questions left open since */
+	uint32_t open_questions; /* questions left open since */
 	int64_t until_us; /* HEALTH_EJECTED */
 	int64_t ejected_us; /* the last time */
 	uint32_t ejections; /* in a row, for the growing time */
--- a/include/comfreydockd/decide/hedge.h
+++ b/include/comfreydockd/decide/hedge.h
@@ -13,7 +13,7 @@
  *	Only for requests that are idempotent. There is no retry budget in it:
  *	hedges have their own.
  *
- *	A hedge that seldom wins is dear: the budget pays up to HEDGE_DEAR times
+ *	A hedge that seldom wins is dear: the budget pays up to HEDGE_PRICE_MAX times
  *	for it. Where an answer is late because its work is long, or because
  *	all upstreams are slow alike, the second attempt is as late as the first
  *	and only takes a slot.
@@ -54,10 +54,10 @@
 #define HEDGE_PERCENTILE 0.95
 #define HEDGE_MIN_SAMPLES 100
 #define HEDGE_BURST 5.0
-#define HEDGE_DEAR 5.0
+#define HEDGE_PRICE_MAX 5.0
 /* Weight of one hedge in the share that wins, and what that begins with. */
 #define HEDGE_WIN_ALPHA 0.25
-#define HEDGE_WIN_FIRST 0.5
+#define HEDGE_WIN_INITIAL 0.5
 
 struct hedge {
 	struct budget budget;
@@ -66,7 +66,7 @@
 	double win_share; /* of recent hedges */
 };
 
-struct hedge_question {
+struct hedge_context {
 	bool enabled; /* by the rule */
 	bool idempotent;
 	bool answer_begun;
@@ -87,10 +87,10 @@
 
 /* RETURN VALUE: the time to wait from now on, or -1 for no hedge. */
 int64_t hedge_delay_us(const struct hedge *hedge,
-		       const struct hedge_question *question, int64_t now_us);
+		       const struct hedge_context *question, int64_t now_us);
 
 /* Asks again, at the time of the hedge, and takes the tokens. */
-bool hedge_take(struct hedge *hedge, const struct hedge_question *question,
+bool hedge_take(struct hedge *hedge, const struct hedge_context *question,
 		int64_t now_us);
 
 #endif
--- a/include/comfreydockd/decide/knee.h
+++ b/include/comfreydockd/decide/knee.h
@@ -26,7 +26,7 @@
  * GROUNDS
  *	KNEE_SHARE is where upstreams that slow down were seen to do so. At that
  *	share they do as much as when full if these take 1 / KNEE_SHARE = 1.25
- *	times as long; KNEE_WORSE leaves room for chance. Times spread by a
+ *	times as long; KNEE_SLOWDOWN leaves room for chance. Times spread by a
  *	third around their mean: with KNEE_SAMPLES on each side the ratio of
  *	the means strays by a tenth.
  */
@@ -40,25 +40,25 @@
 
 #define KNEE_CLASSES (CONFIG_CLASS_BULK + 1)
 #define KNEE_SHARE 0.8
-#define KNEE_WORSE 1.35
+#define KNEE_SLOWDOWN 1.35
 #define KNEE_SAMPLES 20
 /* A finding is forgotten half in this time, so that it is tried again. */
-#define KNEE_HALF_US ((int64_t)30 * 1000 * 1000)
+#define KNEE_HALF_LIFE_US ((int64_t)30 * 1000 * 1000)
 
-struct knee_side {
+struct knee_stats {
 	double mean_us;
 	double samples; /* fades */
 };
 
 struct knee_class {
-	struct knee_side below;
-	struct knee_side beyond;
+	struct knee_stats below;
+	struct knee_stats above;
 };
 
 /* All zero at the start. */
 struct knee {
 	struct knee_class classes[KNEE_CLASSES];
-	int64_t faded_us;
+	int64_t decayed_us;
 };
 
 /* A request ended well: busy slots at its start, itself included, and how long
--- a/include/comfreydockd/decide/limit.h
+++ b/include/comfreydockd/decide/limit.h
@@ -103,16 +103,16 @@
 	uint32_t slots;
 	uint32_t current;
 	struct limit_window window;
-	int64_t low_us; /* mean p10 of recent windows */
+	int64_t p10_us; /* mean p10 of recent windows */
 	int64_t windows; /* that it is the mean of */
 	uint32_t slow_windows; /* in a row */
-	int64_t slow_low_us; /* mean p10 of the last of them */
+	int64_t slow_p10_us; /* mean p10 of the last of them */
 	int64_t floor_us[2]; /* least p10 of this half minute and the last */
-	int64_t floor_turn_us; /* start of this half minute */
+	int64_t floor_period_start_us; /* start of this half minute */
 	enum limit_trial trial;
 	enum limit_trial next_trial; /* the direction to try first */
 	uint32_t trial_from; /* limit before the trial */
-	int64_t trial_low_us; /* p10 before the trial */
+	int64_t trial_p10_us; /* p10 before the trial */
 	int64_t hold_us;
 	int64_t hold_until_us;
 };
--- a/include/comfreydockd/decide/pace.h
+++ b/include/comfreydockd/decide/pace.h
@@ -20,13 +20,13 @@
  *	the slots are free elsewhere.
  *
  * GROUNDS
- *	PACE_SLOW_TIMES: turning back costs a round trip between failure
+ *	PACE_SLOW_FACTOR: turning back costs a round trip between failure
  *	domains and some work of two daemons, 1 to 3 ms; half as long again is
  *	7 ms for the shortest work of 15 ms.
  *	A host is slow only beside others, or beside itself a moment ago: where
  *	all have just been started each takes twice as long for seconds, and
  *	turning back from one to the next would only take time.
- *	PACE_HOLD_SPARE: what is begun slow keeps its slot seven times as long,
+ *	PACE_HOLD_MARGIN: what is begun slow keeps its slot seven times as long,
  *	also after the spell; where slots are scarce it is held as long as half
  *	as much time again as it needs is left.
  *	PACE_WINDOW_US: three spells' length; slower for longer is usual.
@@ -43,10 +43,10 @@
 #include <stdint.h>
 
 #define PACE_USUAL_PERCENT 100
-#define PACE_SLOW_TIMES 1.5
-#define PACE_HOLD_SPARE 1.5
+#define PACE_SLOW_FACTOR 1.5
+#define PACE_HOLD_MARGIN 1.5
 /* A deadline commonly leaves room for so many times the work. */
-#define PACE_DEADLINE_WORKS 6
+#define PACE_DEADLINE_WORK_FACTOR 6
 /* One that is further away says nothing of the work. */
 #define PACE_DEADLINE_MAX_US ((int64_t)60 * 1000 * 1000)
 #define PACE_WINDOW_US ((int64_t)1500 * 1000)
--- a/include/comfreydockd/decide/pick.h
+++ b/include/comfreydockd/decide/pick.h
@@ -50,7 +50,7 @@
  *
  *	The constants that runs compared: PICK_AGE_LATENCIES,
  *	PICK_MEAN_ALPHA, PICK_ROOM_UNKNOWN, PICK_REFUSAL_SHARE,
- *	PICK_FULL_UTILISATION, PICK_QUEUES and PICK_REPORTED_SLOW. All others
+ *	PICK_FULL_UTILISATION, PICK_QUEUE_CHOICES and PICK_REPORTED_SLOW. All others
  *	are assumptions.
  *
  * UNITS
@@ -167,7 +167,7 @@
 bool pick_tried_add(struct pick_tried *tried, uint64_t id);
 
 /* Takes those out of tried that are in some. */
-void pick_tried_forget(struct pick_tried *tried, const struct pick_tried *some);
+void pick_tried_remove(struct pick_tried *tried, const struct pick_tried *some);
 
 /* Counts one request, whatever its number of attempts. */
 void pick_note_request(struct pick_set *set);
--- a/include/comfreydockd/decide/ahead.h
+++ b/include/comfreydockd/decide/pipeline.h
@@ -22,28 +22,28 @@
  *	their targets beside free slots.
  *
  * GROUNDS
- *	AHEAD_CALLS_MAX: browsers and client libraries send up to six or eight
+ *	PIPELINE_CALLS_MAX: browsers and client libraries send up to six or eight
  *	at once; more would let one caller take an upstream's slots at a stroke.
- *	AHEAD_WINDOW_BYTES: answers of lookups are some KiB, and come whole.
- *	AHEAD_TOTAL_MAX: a quarter of the 64 MiB that a daemon may keep, as
- *	each holds AHEAD_WINDOW_BYTES at most; 256 large answers behind a slow
+ *	PIPELINE_WINDOW_BYTES: answers of lookups are some KiB, and come whole.
+ *	PIPELINE_TOTAL_MAX: a quarter of the 64 MiB that a daemon may keep, as
+ *	each holds PIPELINE_WINDOW_BYTES at most; 256 large answers behind a slow
  *	one hold 8 MiB.
  */
-#ifndef COMFREYDOCKD_DECIDE_AHEAD_H
-#define COMFREYDOCKD_DECIDE_AHEAD_H
+#ifndef COMFREYDOCKD_DECIDE_PIPELINE_H
+#define COMFREYDOCKD_DECIDE_PIPELINE_H
 
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
 /* Requests of one connection that are begun and not answered. */
-#define AHEAD_CALLS_MAX 8
+#define PIPELINE_CALLS_MAX 8
 /* Of an answer that waits for its turn, so much is taken from its owner. */
-#define AHEAD_WINDOW_BYTES (32 * 1024)
+#define PIPELINE_WINDOW_BYTES (32 * 1024)
 /* Begun ahead and not answered, on all connections of a daemon. */
-#define AHEAD_TOTAL_MAX 512
+#define PIPELINE_TOTAL_MAX 512
 
-struct ahead_question {
+struct pipeline_request {
 	uint32_t unanswered; /* in front, on the same connection */
 	bool idempotent;
 	bool has_body;
@@ -52,6 +52,6 @@
 
 /* RETURN VALUE: whether to begin it now; else once those in front have their
  * answers. */
-bool ahead_may_begin(const struct ahead_question *question);
+bool pipeline_may_start(const struct pipeline_request *question);
 
 #endif
--- a/include/comfreydockd/decide/quarantine.h
+++ b/include/comfreydockd/decide/quarantine.h
@@ -8,7 +8,7 @@
  *	QUARANTINE_CRASHES marks, of as many crashes, is held: it is refused
  *	before it reaches an upstream. An answer of an upstream, wherever, that
  *	is no failure (5xx) clears a request of its marks, and one that was
- *	answered within QUARANTINE_GOOD_US is not marked at all.
+ *	answered within QUARANTINE_ANSWERED_US is not marked at all.
  *
  *	A request is held for QUARANTINE_TRIAL_US, or for what the settings say.
  *	Then one run is allowed, at one host only, which the marks name: an
@@ -54,8 +54,8 @@
 
 #define QUARANTINE_CRASHES 3
 #define QUARANTINE_RECORDS_MAX 256
-#define QUARANTINE_GOOD_SLOTS 4096
-#define QUARANTINE_GOOD_US ((int64_t)60 * 1000 * 1000)
+#define QUARANTINE_ANSWERED_SLOTS 4096
+#define QUARANTINE_ANSWERED_US ((int64_t)60 * 1000 * 1000)
 #define QUARANTINE_TRIAL_US ((int64_t)60 * 1000 * 1000)
 #define QUARANTINE_TRIALS_MAX 3 /* that fail */
 /* From the last change, from when a trial was due, or since it last came. */
@@ -63,7 +63,7 @@
 /* How exactly it is told when it last came. */
 #define QUARANTINE_ASKED_EVERY_US (QUARANTINE_FORGET_US / 8)
 /* Told again to whoever may have missed it, beside the news of a packet. */
-#define QUARANTINE_RETOLD_MAX 2
+#define QUARANTINE_RESENT_MAX 2
 
 struct quarantine_record {
 	TAILQ_ENTRY(quarantine_record) link;
@@ -96,7 +96,7 @@
 	QUARANTINE_TRIAL, /* may run at one host, and nowhere else */
 };
 
-struct quarantine_answer {
+struct quarantine_decision {
 	enum quarantine_verdict verdict;
 	int64_t left_us; /* QUARANTINE_HELD: until a trial is allowed */
 	uint32_t trial_host; /* as in the names of its crashes */
@@ -140,8 +140,8 @@
 			    int64_t now_us);
 
 /* Also notes that a held request still comes. */
-struct quarantine_answer quarantine_judge(struct quarantine *quarantine,
-					  uint64_t key, int64_t now_us);
+struct quarantine_decision quarantine_judge(struct quarantine *quarantine,
+					    uint64_t key, int64_t now_us);
 
 /* A run that the verdict allowed as a trial begins here, and ends. */
 void quarantine_begin_trial(struct quarantine *quarantine, uint64_t key);
@@ -156,7 +156,7 @@
 
 /* Something to tell; and something that was told to nobody yet. */
 bool quarantine_has_news(const struct quarantine *quarantine);
-bool quarantine_has_untold(const struct quarantine *quarantine);
+bool quarantine_has_unsent(const struct quarantine *quarantine);
 
 /* RETURN VALUE: the number of records to tell with a packet, copied to out;
  * each change is told times_max times. */
--- a/include/comfreydockd/decide/queue.h
+++ b/include/comfreydockd/decide/queue.h
@@ -7,7 +7,7 @@
  *	foreseen wait and typical service would pass its deadline. What waits
  *	comes out by class, within a class by callers in turn (see fair), and
  *	within one caller by deadline. A class that was passed over
- *	QUEUE_CLASS_TURN times in a row comes next, so that none starves.
+ *	QUEUE_PASSED_OVER_MAX times in a row comes next, so that none starves.
  *
  *	An item whose remaining time has fallen below the typical service time
  *	is stale and comes out of queue_pop() or queue_pop_stale() to be
@@ -91,9 +91,9 @@
 /* By class those that can still be in time, then by class those that can't and are
  * alone on their connection. A late one that holds others is begun where a slot is
  * free and else refused, at its target at the latest: it waits in no lane. */
-#define QUEUE_LATE_ALONE QUEUE_CLASSES /* the first lane of the latter */
+#define QUEUE_LATE_LANES QUEUE_CLASSES /* the first lane of the latter */
 #define QUEUE_LANES (2 * QUEUE_CLASSES)
-#define QUEUE_CLASS_TURN 16
+#define QUEUE_PASSED_OVER_MAX 16
 
 enum queue_verdict {
 	QUEUE_ACCEPTED,
--- a/include/comfreydockd/decide/queue_foresee.h
+++ b/include/comfreydockd/decide/queue_predict.h
@@ -6,8 +6,8 @@
  *	Internal to queue, as queue_admit and queue_lane are; these ask here,
  *	and nothing here asks them.
  */
-#ifndef COMFREYDOCKD_DECIDE_QUEUE_FORESEE_H
-#define COMFREYDOCKD_DECIDE_QUEUE_FORESEE_H
+#ifndef COMFREYDOCKD_DECIDE_QUEUE_PREDICT_H
+#define COMFREYDOCKD_DECIDE_QUEUE_PREDICT_H
 
 #include "comfreydockd/decide/queue.h"
 
@@ -15,13 +15,13 @@
  * RETURN VALUE: the wait of a new item of the key in a lane, behind what waits
  * now.
  */
-int64_t queue_foresee_wait_us(const struct queue *queue, uint32_t lane,
+int64_t queue_predict_wait_us(const struct queue *queue, uint32_t lane,
 			      uint64_t key_hash, const struct queue_slots *slots);
 
 /* The same in the item's lane, with those that will overtake it. */
-int64_t queue_foresee_later_us(const struct queue *queue,
-			       const struct queue_item *item,
-			       const struct queue_slots *slots);
+int64_t queue_predict_wait_with_arrivals_us(const struct queue *queue,
+					    const struct queue_item *item,
+					    const struct queue_slots *slots);
 
 /* RETURN VALUE: a wait as callers are told it, at least 1. */
 uint32_t queue_to_retry_after_ms(int64_t wait_us);
--- a/include/comfreydockd/decide/retry.h
+++ b/include/comfreydockd/decide/retry.h
@@ -105,7 +105,7 @@
 	RETRY_NO_BUDGET,
 };
 
-struct retry_question {
+struct retry_context {
 	enum retry_outcome outcome;
 	bool idempotent;
 	bool answer_begun; /* a byte of an answer went to the caller */
@@ -118,7 +118,7 @@
 	int64_t retry_after_us; /* the owner's hint; 0: none */
 };
 
-struct retry_answer {
+struct retry_decision {
 	enum retry_verdict verdict;
 	int64_t delay_us; /* RETRY_GO: until the next attempt */
 	int64_t come_back_us; /* otherwise: to tell the caller */
@@ -146,13 +146,13 @@
 void retry_note_request(struct retry *retry, int64_t now_us);
 
 /* RETURN VALUE: the repeats that may be made at once, and how many these can be. */
-double retry_left(struct retry *retry, int64_t now_us);
-double retry_most(struct retry *retry, int64_t now_us);
+double retry_available(struct retry *retry, int64_t now_us);
+double retry_capacity(struct retry *retry, int64_t now_us);
 
 /* Takes the tokens where the verdict is RETRY_GO and the retry costs any. */
-struct retry_answer retry_decide(struct retry *retry,
-				 const struct retry_question *question,
-				 struct random_state *random, int64_t now_us);
+struct retry_decision retry_decide(struct retry *retry,
+				   const struct retry_context *question,
+				   struct random_state *random, int64_t now_us);
 
 /* A fixed word for the time line and the logs. */
 const char *retry_verdict_name(enum retry_verdict verdict);
--- a/include/comfreydockd/decide/window_budget.h
+++ b/include/comfreydockd/decide/window_budget.h
@@ -61,7 +61,7 @@
 			int64_t now_us);
 
 /* RETURN VALUE: what the window allows in all, and what of it is left. */
-double window_budget_most(struct window_budget *budget, int64_t now_us);
-double window_budget_left(struct window_budget *budget, int64_t now_us);
+double window_budget_capacity(struct window_budget *budget, int64_t now_us);
+double window_budget_available(struct window_budget *budget, int64_t now_us);
 
 #endif
--- a/tests/queue_owner.c
+++ b/tests/queue_owner.c
@@ -34,7 +34,7 @@
 	call->answered = true;
 	call->refused_us = owner->now_us;
 	owner->refused[call->hot]++;
-	owner->slowest_refusal_us = MAX(owner->slowest_refusal_us, late_us);
+	owner->latest_refusal_us = MAX(owner->latest_refusal_us, late_us);
 }
 
 static void owner_start(struct owner *owner, struct call *call)
@@ -127,8 +127,8 @@
 }
 
 /* Calls of a load (1: all slots busy) with the given mean service time. */
-void owner_plan(struct owner *owner, double load, double mean_us,
-		int64_t deadline_us)
+void owner_generate_calls(struct owner *owner, double load, double mean_us,
+			  int64_t deadline_us)
 {
 	int64_t at_us = 0;
 
@@ -144,7 +144,7 @@
 	}
 }
 
-void owner_play(struct owner *owner, const char *what)
+void owner_simulate(struct owner *owner, const char *what)
 {
 	for (int i = 0; i < CALLS; i++)
 		owner_receive(owner, &owner->calls[i]);
--- a/tests/queue_owner.h
+++ b/tests/queue_owner.h
@@ -36,7 +36,7 @@
 	int in_time[2]; /* by call.hot */
 	int late[2];
 	int refused[2];
-	int64_t slowest_refusal_us; /* past the last time it could have run */
+	int64_t latest_refusal_us; /* past the last time it could have run */
 };
 
 struct call *call_of(struct queue_item *item);
@@ -53,9 +53,9 @@
 int64_t draw_exponential(double mean_us);
 
 /* Calls of a load (1: all slots busy) with the given mean service time. */
-void owner_plan(struct owner *owner, double load, double mean_us,
-		int64_t deadline_us);
-void owner_play(struct owner *owner, const char *what);
+void owner_generate_calls(struct owner *owner, double load, double mean_us,
+			  int64_t deadline_us);
+void owner_simulate(struct owner *owner, const char *what);
 int owner_in_time(const struct owner *owner);
 
 #endif
--- a/tests/test_breaker.c
+++ b/tests/test_breaker.c
@@ -23,7 +23,7 @@
 	}
 	play->begun++;
 	play->lost += !is_answer && !idempotent;
-	breaker_note(&play->breaker, is_answer);
+	breaker_note_result(&play->breaker, is_answer);
 }
 
 /*
@@ -38,7 +38,7 @@
 
 	for (int i = 0; i < 180; i++)
 		offer(&play, i % 3 != 0, true, false, i * 33 * MS);
-	g_assert_cmpuint(play.lost, <=, BREAKER_STREAK);
+	g_assert_cmpuint(play.lost, <=, BREAKER_FAILURES);
 	g_assert_cmpuint(play.turned_back, >, 100);
 }
 
@@ -48,7 +48,7 @@
 	struct play play = {.lost = 0};
 	int64_t now = 0;
 
-	for (int i = 0; i < BREAKER_STREAK; i++)
+	for (int i = 0; i < BREAKER_FAILURES; i++)
 		offer(&play, true, true, false, now += 33 * MS);
 	g_assert_true(play.breaker.is_open);
 	for (int i = 0; i < 10; i++)
@@ -60,7 +60,7 @@
  * A network that loses one answer in twenty. Were such an upstream closed off,
  * and its likes with it, the rest would be overrun for little.
  */
-static void test_some_losses_are_borne(void)
+static void test_few_losses_keep_breaker_closed(void)
 {
 	struct random_state random = {.state = 5};
 	struct play play = {.lost = 0};
@@ -75,7 +75,7 @@
  * turned back everywhere is begun where it returns to: a poor chance is better
  * than none, and its caller decides about another try.
  */
-static void test_last_resort_is_begun(void)
+static void test_last_resort_is_started(void)
 {
 	struct play play = {.lost = 0};
 
@@ -90,7 +90,8 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/breaker/reset", test_reset_upstream_loses_few);
 	g_test_add_func("/breaker/closes", test_closes_after_good_answers);
-	g_test_add_func("/breaker/some-losses", test_some_losses_are_borne);
-	g_test_add_func("/breaker/last-resort", test_last_resort_is_begun);
+	g_test_add_func("/breaker/some-losses",
+			test_few_losses_keep_breaker_closed);
+	g_test_add_func("/breaker/last-resort", test_last_resort_is_started);
 	return g_test_run();
 }
--- a/tests/test_deadline.c
+++ b/tests/test_deadline.c
@@ -85,34 +85,34 @@
  * to its upstream: each is refused as late, so nothing corrects the estimate,
  * and callers are told "not run" by a service that is idle.
  */
-static void test_a_pause_is_no_path(void)
+static void test_pause_is_not_counted_as_round_trip(void)
 {
-	struct deadline_path path = {0};
+	struct deadline_rtt path = {0};
 	int64_t all_us = 2 * US_PER_S;
 
 	for (int i = 0; i < 20; i++)
-		deadline_path_note(&path, 2500 * US_PER_MS);
-	g_assert_cmpint(deadline_path_us(&path), ==, DEADLINE_PATH_DEFAULT_US);
+		deadline_rtt_note(&path, 2500 * US_PER_MS);
+	g_assert_cmpint(deadline_rtt_us(&path), ==, DEADLINE_RTT_DEFAULT_US);
 	for (int i = 0; i < 20; i++)
-		deadline_path_note(&path, DEADLINE_PATH_MAX_US * (i % 2));
-	g_assert_cmpint(deadline_for_hop_us(all_us, deadline_path_us(&path), 0),
+		deadline_rtt_note(&path, DEADLINE_RTT_MAX_US * (i % 2));
+	g_assert_cmpint(deadline_for_hop_us(all_us, deadline_rtt_us(&path), 0),
 			>, all_us / 2);
-	g_assert_cmpint(deadline_for_hop_us(100, deadline_path_us(&path), 0), >,
+	g_assert_cmpint(deadline_for_hop_us(100, deadline_rtt_us(&path), 0), >,
 			50);
 }
 
 /* A path of 1 ms is allowed little more, one that varies its variance. */
-static void test_path_follows_round_trips(void)
+static void test_rtt_follows_round_trips(void)
 {
-	struct deadline_path path = {0};
+	struct deadline_rtt path = {0};
 
-	g_assert_cmpint(deadline_path_us(&path), ==, DEADLINE_PATH_DEFAULT_US);
+	g_assert_cmpint(deadline_rtt_us(&path), ==, DEADLINE_RTT_DEFAULT_US);
 	for (int i = 0; i < 100; i++)
-		deadline_path_note(&path, 1000);
-	g_assert_cmpint(deadline_path_us(&path), <=, 1020);
+		deadline_rtt_note(&path, 1000);
+	g_assert_cmpint(deadline_rtt_us(&path), <=, 1020);
 	for (int i = 0; i < 100; i++)
-		deadline_path_note(&path, i % 2 ? 1000 : 3000);
-	g_assert_cmpint(deadline_path_us(&path), >, 3000);
+		deadline_rtt_note(&path, i % 2 ? 1000 : 3000);
+	g_assert_cmpint(deadline_rtt_us(&path), >, 3000);
 }
 
 /*
@@ -123,7 +123,7 @@
  */
 static void test_started_late_is_not_overdue(void)
 {
-	g_assert_cmpint(deadline_patience_us(1000, 0), ==, 500);
+	g_assert_cmpint(deadline_attempt_timeout_us(1000, 0), ==, 500);
 	g_assert_false(deadline_is_overdue(480, 1000, 500));
 	g_assert_true(deadline_is_overdue(0, 1000, 500));
 	g_assert_true(deadline_is_overdue(999, 1000, 1000));
@@ -135,33 +135,34 @@
  * would wait for ever; one whose answer goes on for longer than its deadline gets
  * the whole of it.
  */
-static void test_begun_answer_must_go_on(void)
+static void test_stalled_answer_is_aborted(void)
 {
 	int64_t deadline_us = 1000;
-	int64_t heard_us = deadline_us + 5 * DEADLINE_SILENCE_US;
-	int64_t due_us = heard_us + DEADLINE_SILENCE_US;
-
-	g_assert_cmpint(deadline_silence_left_us(deadline_us, heard_us, heard_us),
-			==, DEADLINE_SILENCE_US);
-	g_assert_cmpint(
-		deadline_silence_left_us(deadline_us, heard_us, due_us - 1), >,
-		0);
-	g_assert_cmpint(deadline_silence_left_us(deadline_us, heard_us, due_us),
+	int64_t heard_us = deadline_us + 5 * DEADLINE_IDLE_US;
+	int64_t due_us = heard_us + DEADLINE_IDLE_US;
+
+	g_assert_cmpint(deadline_idle_left_us(deadline_us, heard_us, heard_us),
+			==, DEADLINE_IDLE_US);
+	g_assert_cmpint(deadline_idle_left_us(deadline_us, heard_us, due_us - 1),
+			>, 0);
+	g_assert_cmpint(deadline_idle_left_us(deadline_us, heard_us, due_us),
 			<=, 0);
-	g_assert_cmpint(deadline_silence_left_us(2 * due_us, heard_us, due_us),
-			==, due_us);
+	g_assert_cmpint(deadline_idle_left_us(2 * due_us, heard_us, due_us), ==,
+			due_us);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/deadline/pause", test_a_pause_is_no_path);
+	g_test_add_func("/deadline/pause-is-not-a-round-trip",
+			test_pause_is_not_counted_as_round_trip);
 	g_test_add_func("/deadline/hops", test_no_hop_extends_a_deadline);
 	g_test_add_func("/deadline/depth", test_time_left_after_13_hops);
 	g_test_add_func("/deadline/retries", test_retries_do_not_multiply);
 	g_test_add_func("/deadline/late", test_late_work_is_not_started);
-	g_test_add_func("/deadline/path", test_path_follows_round_trips);
+	g_test_add_func("/deadline/rtt", test_rtt_follows_round_trips);
 	g_test_add_func("/deadline/overdue", test_started_late_is_not_overdue);
-	g_test_add_func("/deadline/silence", test_begun_answer_must_go_on);
+	g_test_add_func("/deadline/stalled-answer",
+			test_stalled_answer_is_aborted);
 	return g_test_run();
 }
--- a/tests/test_fair.c
+++ b/tests/test_fair.c
@@ -81,7 +81,7 @@
  * the class of the hot one: these few notice that their requests are refused at
  * an upstream where everybody else is served, for as long as it runs.
  */
-static void test_no_caller_shares_with_a_hot_one(void)
+static void test_no_caller_shares_a_flow_with_a_hot_one(void)
 {
 	struct request *requests = g_new0(struct request, 1000);
 	struct fair *fair = fair_create(true);
@@ -106,7 +106,7 @@
 }
 
 /* Switched off, what was sent first comes first, whoever sent it. */
-static void test_off_keeps_the_order(void)
+static void test_disabled_keeps_arrival_order(void)
 {
 	struct request *requests = g_new0(struct request, 100);
 	struct fair *fair = fair_create(false);
@@ -128,7 +128,7 @@
  * two of the largest cost more slot time than it does, whatever their numbers
  * and costs.
  */
-static void test_shares_of_waiting_callers_stay_close(void)
+static void test_waiting_callers_get_equal_shares(void)
 {
 	struct request *requests = g_new0(struct request, ITEMS);
 	struct fair *fair = fair_create(true);
@@ -165,9 +165,9 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/fair/hot", test_hot_caller_does_not_delay_others);
-	g_test_add_func("/fair/no-sharing", test_no_caller_shares_with_a_hot_one);
-	g_test_add_func("/fair/off", test_off_keeps_the_order);
-	g_test_add_func("/fair/shares",
-			test_shares_of_waiting_callers_stay_close);
+	g_test_add_func("/fair/no-sharing",
+			test_no_caller_shares_a_flow_with_a_hot_one);
+	g_test_add_func("/fair/disabled", test_disabled_keeps_arrival_order);
+	g_test_add_func("/fair/shares", test_waiting_callers_get_equal_shares);
 	return g_test_run();
 }
--- a/tests/test_health.c
+++ b/tests/test_health.c
@@ -98,7 +98,7 @@
  * and each failure keeps it away for longer, so that a flapping upstream costs
  * fewer and fewer callers an error. A late end of an older call is no trial.
  */
-static void test_flapping_costs_less_and_less(void)
+static void test_flapping_upstream_is_ejected_for_longer(void)
 {
 	struct fixture f;
 	struct health_upstream *u = &f.upstreams[0];
@@ -108,7 +108,7 @@
 
 	set_up(&f, &health_outlier);
 	old = health_note_sent(&f.health, u, now);
-	for (int i = 0; i < HEALTH_STREAK; i++)
+	for (int i = 0; i < HEALTH_ERRORS_IN_A_ROW; i++)
 		call(&f, 0, HEALTH_LOST, now);
 	for (int i = 0; i < 5; i++) {
 		g_assert_cmpint(u->state, ==, HEALTH_EJECTED);
@@ -177,7 +177,8 @@
 		if (all > 0)
 			g_assert_cmpuint(all - out, >, 0);
 		if (all - out < open && f.upstreams[u].available && available)
-			g_assert_cmpfloat(out, <=, MAX(1, HEALTH_CEILING * all));
+			g_assert_cmpfloat(
+				out, <=, MAX(1, HEALTH_EJECTED_SHARE_MAX * all));
 	}
 }
 
@@ -186,7 +187,7 @@
  * them, to be lost at its deadline: the ceiling, made for common faults, would
  * keep most of them in use although the others answer.
  */
-static void test_mute_beyond_the_ceiling(void)
+static void test_mute_are_ejected_beyond_the_ceiling(void)
 {
 	struct fixture f;
 
@@ -194,7 +195,7 @@
 	for (size_t u = 0; u < UPSTREAMS; u++)
 		health_note_sent(&f.health, &f.upstreams[u], 0);
 	for (size_t u = 0; u < 4; u++) {
-		for (int i = 0; i < HEALTH_MUTE_ASKED; i++)
+		for (int i = 0; i < HEALTH_MUTE_QUESTIONS; i++)
 			health_note_mute(&f.health, &f.upstreams[u], 250 * MS);
 		g_assert_true(health_is_usable(&f.upstreams[u]));
 	}
@@ -229,7 +230,7 @@
  * daemons could serve them. They are refused at once instead, but for a trial
  * now and then, and with the first sign of life all go through again.
  */
-static void test_all_mute(void)
+static void test_all_mute_allows_trials_only(void)
 {
 	int64_t now = SECOND;
 	struct fixture f;
@@ -239,7 +240,7 @@
 	for (size_t u = 0; u < UPSTREAMS; u++) {
 		health_note_sent(&f.health, &f.upstreams[u], 0);
 		g_assert_true(health_may_try(&f.health, false, now));
-		for (int i = 0; i < HEALTH_MUTE_ASKED; i++)
+		for (int i = 0; i < HEALTH_MUTE_QUESTIONS; i++)
 			health_note_mute(&f.health, &f.upstreams[u], now);
 	}
 	for (int i = 0; i < 1000; i++)
@@ -260,10 +261,12 @@
 	g_test_add_func("/health/fail-fast", test_failing_upstream_is_ejected);
 	g_test_add_func("/health/common", test_common_fault_ejects_few);
 	g_test_add_func("/health/black-hole", test_black_hole_is_ejected);
-	g_test_add_func("/health/flapping", test_flapping_costs_less_and_less);
-	g_test_add_func("/health/mute", test_mute_beyond_the_ceiling);
+	g_test_add_func("/health/flapping",
+			test_flapping_upstream_is_ejected_for_longer);
+	g_test_add_func("/health/mute-beyond-share",
+			test_mute_are_ejected_beyond_the_ceiling);
 	g_test_add_func("/health/slow", test_slow_is_not_mute);
-	g_test_add_func("/health/all-mute", test_all_mute);
+	g_test_add_func("/health/all-mute", test_all_mute_allows_trials_only);
 	g_test_add_func("/health/last", test_never_ejects_the_last);
 	return g_test_run();
 }
--- a/tests/test_hedge.c
+++ b/tests/test_hedge.c
@@ -4,7 +4,7 @@
 
 #define MS ((int64_t)1000)
 
-static const struct hedge_question good = {
+static const struct hedge_context good = {
 	.enabled = true,
 	.idempotent = true,
 	.untried = 1,
@@ -57,7 +57,7 @@
 
 	set_up(&hedge, 5);
 	for (int i = 0; i < 20000; i++) {
-		struct hedge_question q = {
+		struct hedge_context q = {
 			.enabled = g_test_rand_bit(),
 			.idempotent = g_test_rand_bit(),
 			.answer_begun = g_test_rand_int_range(0, 5) == 0,
--- a/tests/test_knee.c
+++ b/tests/test_knee.c
@@ -64,7 +64,7 @@
  * all slots would stay in use, and callers would wait 170 ms in place of 100 for an
  * upstream that does less.
  */
-static void test_rush_does_not_hide_it(void)
+static void test_rush_does_not_hide_slowdown(void)
 {
 	struct random_state random = {.state = 5};
 	struct knee knee = {0};
@@ -90,7 +90,7 @@
  * 200 ms. That these take ten times as long says nothing of how full it is; with
  * slots left free for it, callers would be refused beside them.
  */
-static void test_other_work_is_no_slowness(void)
+static void test_different_classes_are_not_compared(void)
 {
 	struct random_state random = {.state = 6};
 	struct knee knee = {0};
@@ -113,7 +113,7 @@
 
 /* What was found holds while it is seen, and is tried again after a while: the
  * upstream may have been mended. */
-static void test_finding_fades(void)
+static void test_finding_decays(void)
 {
 	struct random_state random = {.state = 7};
 	struct knee knee = {0};
@@ -121,7 +121,7 @@
 
 	play(&knee, &random, 1.7, 400, &now_us);
 	g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, 7);
-	now_us += 10 * KNEE_HALF_US;
+	now_us += 10 * KNEE_HALF_LIFE_US;
 	knee_note(&knee, CONFIG_CLASS_NORMAL, 1, SLOTS, USUAL_US, now_us);
 	g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, SLOTS);
 }
@@ -139,7 +139,7 @@
 
 /* Requests done in so many seconds by an upstream that starts under more work
  * than it can do: as soon as one ends, the next begins. */
-static unsigned int done_under_overload(double factor, int64_t seconds)
+static unsigned int count_done_under_overload(double factor, int64_t seconds)
 {
 	struct random_state random = {.state = 11};
 	int64_t ends_us[SLOTS] = {0};
@@ -179,18 +179,18 @@
  * do more with two slots left free. Of 33 requests a second that it can do it
  * does 24, and callers are refused for ten seconds more.
  */
-static void test_never_less_than_full(void)
+static void test_overload_from_the_start_is_explored(void)
 {
-	unsigned int done = done_under_overload(1.7, 10);
+	unsigned int done = count_done_under_overload(1.7, 10);
 
 	g_test_message("%u done in 10 s", done);
 	g_assert_cmpuint(done, >=, 310);
 }
 
 /* Finding out costs an upstream that does not slow hardly anything. */
-static void test_looking_costs_little(void)
+static void test_exploring_costs_little(void)
 {
-	unsigned int done = done_under_overload(1.0, 120);
+	unsigned int done = count_done_under_overload(1.0, 120);
 
 	g_test_message("%u done in 120 s", done);
 	g_assert_cmpuint(done, >=, 120 * SLOTS / 0.21 * 0.98);
@@ -202,11 +202,13 @@
 	g_test_add_func("/knee/slows",
 			test_full_upstream_that_slows_keeps_slots_free);
 	g_test_add_func("/knee/steady", test_steady_upstream_keeps_all);
-	g_test_add_func("/knee/rush", test_rush_does_not_hide_it);
-	g_test_add_func("/knee/other-work", test_other_work_is_no_slowness);
-	g_test_add_func("/knee/fades", test_finding_fades);
-	g_test_add_func("/knee/never-less-than-full", test_never_less_than_full);
-	g_test_add_func("/knee/looking", test_looking_costs_little);
+	g_test_add_func("/knee/rush", test_rush_does_not_hide_slowdown);
+	g_test_add_func("/knee/different-classes",
+			test_different_classes_are_not_compared);
+	g_test_add_func("/knee/decays", test_finding_decays);
+	g_test_add_func("/knee/overload-from-start",
+			test_overload_from_the_start_is_explored);
+	g_test_add_func("/knee/exploring-cost", test_exploring_costs_little);
 	g_test_add_func("/knee/few-slots", test_few_slots);
 	return g_test_run();
 }
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -182,7 +182,7 @@
  * The upstream is slow, a trial halves the limit, and then the burst is over.
  * The next one, an hour later, must not meet half the slots.
  */
-static void test_trial_ends_with_its_traffic(void)
+static void test_trial_ends_when_traffic_stops(void)
 {
 	struct upstream up;
 
@@ -228,7 +228,7 @@
 	g_test_add_func("/limit/slow", test_slow_jobs_keep_their_slots);
 	g_test_add_func("/limit/thrashing", test_thrashing_lowers_the_limit);
 	g_test_add_func("/limit/shedding", test_shedding_cuts_once);
-	g_test_add_func("/limit/trial-ends", test_trial_ends_with_its_traffic);
+	g_test_add_func("/limit/trial-ends", test_trial_ends_when_traffic_stops);
 	g_test_add_func("/limit/bounds", test_limit_stays_in_bounds);
 	return g_test_run();
 }
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -32,7 +32,7 @@
  * begins meanwhile takes seven times as long to its end: the caller on the line
  * waits 420 ms in place of 60, while other hosts have free slots.
  */
-static void test_slow_host_turns_back(void)
+static void test_slow_host_refuses(void)
 {
 	struct pace pace = told(SLOW, 10 * MS);
 	struct pace_item item = item_of(60, 200, 500);
@@ -45,7 +45,7 @@
 	g_assert_cmpint(pace_judge(&pace, &item, 10 * MS), ==, PACE_HOLD);
 }
 
-static void test_last_host_holds_then_begins(void)
+static void test_last_host_holds_then_starts(void)
 {
 	struct pace pace = told(SLOW, 10 * MS);
 	struct pace_item item = item_of(60, 200, 600);
@@ -62,7 +62,7 @@
 }
 
 /* Short work is in time even so, and gains nothing by waiting. */
-static void test_short_work_begins_in_a_spell(void)
+static void test_short_work_starts_in_a_slow_spell(void)
 {
 	struct pace pace = told(SLOW, 10 * MS);
 	struct pace_item item = item_of(15, 200, 500);
@@ -93,7 +93,7 @@
  * seconds. Were that held for a slow spell, each would turn back what all others
  * turn back too, and hold it for an end that does not come.
  */
-static void test_a_cold_start_is_no_spell(void)
+static void test_cold_start_is_not_a_slow_spell(void)
 {
 	struct pace pace = {0};
 	struct pace_item item = item_of(60, 200, 500);
@@ -114,7 +114,7 @@
 
 /* Guards against work begun for nothing at a host that has just been started and
  * whose first figures fall into a slow spell. */
-static void test_first_figure_may_be_of_a_spell(void)
+static void test_first_report_may_be_from_a_slow_spell(void)
 {
 	struct pace pace = {0};
 	struct pace_item item = item_of(0, 1200, 2000);
@@ -133,7 +133,7 @@
 	g_assert_cmpint(pace_judge(&pace, &item, 500 * MS), ==, PACE_START);
 }
 
-static void test_entries_hear_of_turns_only(void)
+static void test_only_large_changes_are_reported(void)
 {
 	struct pace pace = {0};
 
@@ -220,15 +220,17 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/pace/first-figure",
-			test_first_figure_may_be_of_a_spell);
-	g_test_add_func("/pace/turns-back", test_slow_host_turns_back);
-	g_test_add_func("/pace/last-host", test_last_host_holds_then_begins);
-	g_test_add_func("/pace/short-work", test_short_work_begins_in_a_spell);
+	g_test_add_func("/pace/first-report",
+			test_first_report_may_be_from_a_slow_spell);
+	g_test_add_func("/pace/turns-back", test_slow_host_refuses);
+	g_test_add_func("/pace/last-host", test_last_host_holds_then_starts);
+	g_test_add_func("/pace/short-work",
+			test_short_work_starts_in_a_slow_spell);
 	g_test_add_func("/pace/scarce-slots",
 			test_scarce_slots_are_not_given_to_slow_work);
-	g_test_add_func("/pace/cold-start", test_a_cold_start_is_no_spell);
-	g_test_add_func("/pace/turns", test_entries_hear_of_turns_only);
+	g_test_add_func("/pace/cold-start", test_cold_start_is_not_a_slow_spell);
+	g_test_add_func("/pace/report-large-changes",
+			test_only_large_changes_are_reported);
 	g_test_add_func("/pace/usual", test_times_at_the_usual_pace);
 	g_test_add_func("/pace/load", test_callers_get_answers_in_time);
 	return g_test_run();
--- a/tests/test_pick.c
+++ b/tests/test_pick.c
@@ -171,7 +171,7 @@
  * One of a hundred calls is a job of a second among calls of 5 ms. An upstream
  * that happened to run it is not slow, and the others must not be crowded.
  */
-static void test_long_job_is_no_slow_upstream(void)
+static void test_long_job_does_not_mark_upstream_slow(void)
 {
 	struct fixture f;
 	const int64_t quick[] = {5 * MS, 5 * MS};
@@ -190,7 +190,7 @@
  * its latency it would look fifty times quicker than the rest and draw all
  * calls, and the callers would get errors.
  */
-static void test_quick_errors_do_not_attract(void)
+static void test_quick_errors_do_not_attract_calls(void)
 {
 	struct fixture f;
 	const int64_t quick[] = {5 * MS, 5 * MS};
@@ -303,7 +303,7 @@
  * makes a call a second and has made none there since; a refusal from its owner
  * is enough to keep its calls away, or one in three callers waits.
  */
-static void test_owner_tells_that_it_is_slow(void)
+static void test_reported_slowness_diverts_calls(void)
 {
 	const struct pick_load slow = {
 		.running = 5, .limit = 10, .service_us = 100 * MS};
@@ -397,13 +397,16 @@
 	g_test_add_func("/pick/count-once", test_own_calls_count_once);
 	g_test_add_func("/pick/reports", test_reports_count_and_fade);
 	g_test_add_func("/pick/slow", test_slow_upstream_gets_less);
-	g_test_add_func("/pick/long-job", test_long_job_is_no_slow_upstream);
-	g_test_add_func("/pick/fail-fast", test_quick_errors_do_not_attract);
+	g_test_add_func("/pick/long-job",
+			test_long_job_does_not_mark_upstream_slow);
+	g_test_add_func("/pick/fail-fast",
+			test_quick_errors_do_not_attract_calls);
 	g_test_add_func("/pick/spill", test_spills_before_full);
 	g_test_add_func("/pick/warm", test_warming_gets_its_weight);
 	g_test_add_func("/pick/overload", test_no_refusals_where_all_are_full);
 	g_test_add_func("/pick/budget", test_refusals_keep_their_budget);
-	g_test_add_func("/pick/told-slow", test_owner_tells_that_it_is_slow);
+	g_test_add_func("/pick/reported-slow",
+			test_reported_slowness_diverts_calls);
 	g_test_add_func("/pick/short-queue-before-slow",
 			test_short_queue_before_slow_host);
 	g_test_add_func("/pick/unknown-as-slow-as-others",
--- /dev/null
+++ b/tests/test_pipeline.c
@@ -0,0 +1,76 @@
+#include <glib.h>
+
+#include "comfreydockd/decide/pipeline.h"
+
+static const struct pipeline_request lookup_behind_one = {
+	.unanswered = 1,
+	.idempotent = true,
+};
+
+static void test_first_request_always_starts(void)
+{
+	struct pipeline_request question = {.has_body = true,
+					    .total = PIPELINE_TOTAL_MAX};
+
+	g_assert_true(pipeline_may_start(&question));
+}
+
+static void test_lookup_starts_behind_another(void)
+{
+	g_assert_true(pipeline_may_start(&lookup_behind_one));
+}
+
+/*
+ * A booking stands behind a lookup whose answer closes the connection. Its
+ * caller sends it again, as it must be taken for unread; had it been begun, the
+ * franchise would be billed twice.
+ */
+static void test_booking_waits(void)
+{
+	struct pipeline_request question = lookup_behind_one;
+
+	question.idempotent = false;
+	g_assert_false(pipeline_may_start(&question));
+}
+
+static void test_body_waits(void)
+{
+	struct pipeline_request question = lookup_behind_one;
+
+	question.has_body = true;
+	g_assert_false(pipeline_may_start(&question));
+}
+
+/* One caller sends without end, and its answers pile up behind a stuck one. */
+static void test_bounds(void)
+{
+	struct pipeline_request question = lookup_behind_one;
+
+	question.unanswered = PIPELINE_CALLS_MAX - 1;
+	g_assert_true(pipeline_may_start(&question));
+	question.unanswered = PIPELINE_CALLS_MAX;
+	g_assert_false(pipeline_may_start(&question));
+	question = lookup_behind_one;
+	question.total = PIPELINE_TOTAL_MAX;
+	g_assert_false(pipeline_may_start(&question));
+}
+
+/* All answers that may wait for their turn stay within a quarter of the 64 MiB
+ * that a daemon may keep. */
+static void test_memory(void)
+{
+	g_assert_cmpuint(PIPELINE_TOTAL_MAX * PIPELINE_WINDOW_BYTES, <=,
+			 64 * 1024 * 1024 / 4);
+}
+
+int main(int argc, char **argv)
+{
+	g_test_init(&argc, &argv, NULL);
+	g_test_add_func("/pipeline/first", test_first_request_always_starts);
+	g_test_add_func("/pipeline/lookup", test_lookup_starts_behind_another);
+	g_test_add_func("/pipeline/booking", test_booking_waits);
+	g_test_add_func("/pipeline/body", test_body_waits);
+	g_test_add_func("/pipeline/bounds", test_bounds);
+	g_test_add_func("/pipeline/memory", test_memory);
+	return g_test_run();
+}
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -36,7 +36,7 @@
 {
 	struct quarantine *quarantine =
 		quarantine_create(QUARANTINE_TRIAL_US, NULL, NULL);
-	struct quarantine_answer answer;
+	struct quarantine_decision answer;
 
 	for (int i = 0; i < QUARANTINE_CRASHES; i++) {
 		g_assert_cmpint(verdict(quarantine, DEADLY, START), ==,
@@ -51,7 +51,7 @@
 	quarantine_destroy(quarantine);
 }
 
-static void test_off_holds_nothing(void)
+static void test_disabled_holds_nothing(void)
 {
 	struct quarantine *quarantine = quarantine_create(0, NULL, NULL);
 
@@ -75,14 +75,14 @@
 
 /* Guards against popular requests that are refused as they run everywhere, and so
  * beside each request that crashes an upstream. */
-static void test_who_is_answered_is_not_marked(void)
+static void test_recently_answered_is_not_marked(void)
 {
 	struct quarantine *quarantine =
 		quarantine_create(QUARANTINE_TRIAL_US, NULL, NULL);
 	int64_t now = START;
 
 	for (int i = 0; i < 2 * QUARANTINE_CRASHES; i++) {
-		now += QUARANTINE_GOOD_US / 2;
+		now += QUARANTINE_ANSWERED_US / 2;
 		quarantine_note_answer(quarantine, DEADLY, now);
 		g_assert_false(quarantine_note_crash(quarantine, DEADLY,
 						     crash_at("a"), now));
@@ -92,11 +92,11 @@
 }
 
 /* Guards against a request that was good once and is let through for good. */
-static void test_a_good_name_ends(void)
+static void test_old_answer_does_not_protect(void)
 {
 	struct quarantine *quarantine =
 		quarantine_create(QUARANTINE_TRIAL_US, NULL, NULL);
-	int64_t now = START + QUARANTINE_GOOD_US + SECOND;
+	int64_t now = START + QUARANTINE_ANSWERED_US + SECOND;
 
 	quarantine_note_answer(quarantine, DEADLY, START);
 	for (int i = 0; i < QUARANTINE_CRASHES; i++)
@@ -115,7 +115,7 @@
 	int64_t now = START;
 
 	for (int i = 0; i < 3 * QUARANTINE_CRASHES; i++) {
-		now += QUARANTINE_GOOD_US + SECOND;
+		now += QUARANTINE_ANSWERED_US + SECOND;
 		quarantine_note_crash(quarantine, DEADLY, crash_at("a"), now);
 		quarantine_note_answer(quarantine, DEADLY, now);
 		g_assert_cmpint(verdict(quarantine, DEADLY, now), ==,
@@ -130,7 +130,7 @@
 {
 	struct quarantine *quarantine = create_holding(DEADLY);
 	int64_t due = START + QUARANTINE_TRIAL_US;
-	struct quarantine_answer answer =
+	struct quarantine_decision answer =
 		quarantine_judge(quarantine, DEADLY, due);
 
 	g_assert_cmpint(answer.verdict, ==, QUARANTINE_TRIAL);
@@ -202,7 +202,7 @@
 }
 
 /* Guards against a trial that ended without a word and bars all others. */
-static void test_a_trial_that_tells_nothing(void)
+static void test_trial_without_result_allows_another(void)
 {
 	struct quarantine *quarantine = create_holding(DEADLY);
 	int64_t due = START + QUARANTINE_TRIAL_US;
@@ -256,7 +256,7 @@
 
 /* Guards against a mark, told by a daemon that missed the answer, which brings a
  * request back that was cleared. */
-static void test_cleared_goes_before_marked(void)
+static void test_cleared_takes_precedence_over_marked(void)
 {
 	struct quarantine *behind = create_holding(DEADLY);
 	struct quarantine *ahead =
@@ -275,7 +275,7 @@
 
 /* Guards against popular requests that are held by daemons which never saw them
  * answered: who did says so. */
-static void test_a_witness_clears(void)
+static void test_answer_seen_by_another_daemon_clears(void)
 {
 	struct quarantine *witness =
 		quarantine_create(QUARANTINE_TRIAL_US, NULL, NULL);
@@ -291,7 +291,7 @@
 
 /* Guards against a daemon that forgets what is still refused at others, and lets it
  * through when it comes there. */
-static void test_what_still_comes_is_known_everywhere(void)
+static void test_requests_still_sent_are_remembered_everywhere(void)
 {
 	struct quarantine *asked = create_holding(DEADLY);
 	struct quarantine *told =
@@ -311,7 +311,7 @@
 
 /* Guards against daemons that hold different requests for good, by the order in
  * which they heard. */
-static void test_any_order_ends_alike(void)
+static void test_merge_order_does_not_matter(void)
 {
 	enum {
 		DAEMONS = 4,
@@ -329,7 +329,7 @@
 		quarantine_note_crash(one, key, crash_at("a"), START);
 		if (random_below(&random, 20) == 0)
 			quarantine_note_answer(one, key,
-					       START - QUARANTINE_GOOD_US);
+					       START - QUARANTINE_ANSWERED_US);
 		tell_all(one, daemons[random_below(&random, DAEMONS)], START);
 	}
 	for (int i = 0; i < 4 * DAEMONS * DAEMONS; i++)
@@ -348,23 +348,28 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/quarantine/three", test_three_crashes_hold);
-	g_test_add_func("/quarantine/off", test_off_holds_nothing);
+	g_test_add_func("/quarantine/off", test_disabled_holds_nothing);
 	g_test_add_func("/quarantine/once", test_a_crash_counts_once);
 	g_test_add_func("/quarantine/popular",
-			test_who_is_answered_is_not_marked);
-	g_test_add_func("/quarantine/good-ends", test_a_good_name_ends);
+			test_recently_answered_is_not_marked);
+	g_test_add_func("/quarantine/old-answer",
+			test_old_answer_does_not_protect);
 	g_test_add_func("/quarantine/answer", test_an_answer_clears);
 	g_test_add_func("/quarantine/trial", test_a_trial_at_one_host);
 	g_test_add_func("/quarantine/trials-end", test_trials_end);
 	g_test_add_func("/quarantine/trial-hosts",
 			test_each_trial_is_at_another_host);
 	g_test_add_func("/quarantine/still-comes",
-			test_what_still_comes_is_known_everywhere);
-	g_test_add_func("/quarantine/no-word", test_a_trial_that_tells_nothing);
+			test_requests_still_sent_are_remembered_everywhere);
+	g_test_add_func("/quarantine/trial-without-result",
+			test_trial_without_result_allows_another);
 	g_test_add_func("/quarantine/bounded", test_the_table_is_bounded);
 	g_test_add_func("/quarantine/forgotten", test_old_records_are_forgotten);
-	g_test_add_func("/quarantine/cleared", test_cleared_goes_before_marked);
-	g_test_add_func("/quarantine/witness", test_a_witness_clears);
-	g_test_add_func("/quarantine/order", test_any_order_ends_alike);
+	g_test_add_func("/quarantine/cleared",
+			test_cleared_takes_precedence_over_marked);
+	g_test_add_func("/quarantine/answered-elsewhere",
+			test_answer_seen_by_another_daemon_clears);
+	g_test_add_func("/quarantine/merge-order",
+			test_merge_order_does_not_matter);
 	return g_test_run();
 }
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -15,26 +15,26 @@
 	struct owner *plain = owner_create(&queue_fifo, false);
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 
-	owner_plan(plain, 2, 10 * MS, 100 * MS);
-	owner_play(plain, "overload");
-	owner_plan(owner, 2, 10 * MS, 100 * MS);
-	owner_play(owner, "overload");
+	owner_generate_calls(plain, 2, 10 * MS, 100 * MS);
+	owner_simulate(plain, "overload");
+	owner_generate_calls(owner, 2, 10 * MS, 100 * MS);
+	owner_simulate(owner, "overload");
 	g_assert_cmpint(owner_in_time(owner), >, CALLS * 45 / 100);
 	g_assert_cmpint(owner_in_time(owner), >, 10 * owner_in_time(plain));
 	g_assert_cmpint(owner->late[0], <, CALLS / 50);
-	g_assert_cmpint(owner->slowest_refusal_us, <=, 0);
+	g_assert_cmpint(owner->latest_refusal_us, <=, 0);
 	owner_destroy(plain);
 	owner_destroy(owner);
 }
 
 /* RETURN VALUE: calls answered within their target, at 1.3 times what the slots
  * can do for a while, then less; targets are told to the queue or not. */
-static int play_targets(bool told)
+static int simulate_targets(bool told)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 	int in_target = 0;
 
-	owner_plan(owner, 1.3, 60 * MS, 500 * MS);
+	owner_generate_calls(owner, 1.3, 60 * MS, 500 * MS);
 	for (int i = 0; i < CALLS; i++) {
 		struct call *call = &owner->calls[i];
 
@@ -61,8 +61,8 @@
  */
 static void test_targets_go_first(void)
 {
-	int without = play_targets(false);
-	int with = play_targets(true);
+	int without = simulate_targets(false);
+	int with = simulate_targets(true);
 
 	g_test_message("in target: %d without, %d with, of %d", without, with,
 		       CALLS);
@@ -72,11 +72,11 @@
 
 /* RETURN VALUE: the longest that a call waited to be refused, at twice what the
  * slots can do, with a target of 200 ms and a deadline of 2 s. */
-static int64_t play_refusals(struct owner *owner)
+static int64_t simulate_refusals(struct owner *owner)
 {
 	int64_t longest_us = 0;
 
-	owner_plan(owner, 2, 60 * MS, 2000 * MS);
+	owner_generate_calls(owner, 2, 60 * MS, 2000 * MS);
 	for (int i = 0; i < CALLS; i++) {
 		struct call *call = &owner->calls[i];
 
@@ -103,10 +103,10 @@
  * time; it was held for nearly its two seconds, for nothing, and the answers of the
  * caller's other lookups stood behind that one.
  */
-static void test_hopeless_is_told_at_once(void)
+static void test_unreachable_target_is_refused_early(void)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
-	int64_t longest_us = play_refusals(owner);
+	int64_t longest_us = simulate_refusals(owner);
 
 	g_test_message("told after %d ms at most, %d answered",
 		       (int)(longest_us / MS), owner_in_time(owner));
@@ -123,13 +123,13 @@
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 
-	owner_plan(owner, 0.5, 10 * MS, 1000 * MS);
+	owner_generate_calls(owner, 0.5, 10 * MS, 1000 * MS);
 	for (int i = 10000; i < 11000; i++) {
 		owner->calls[i].arrives_us = owner->calls[10000].arrives_us;
 		owner->calls[i].item.deadline_us =
 			owner->calls[10000].item.deadline_us;
 	}
-	owner_play(owner, "burst");
+	owner_simulate(owner, "burst");
 	g_assert_cmpint(owner_in_time(owner), >, CALLS * 99 / 100);
 	owner_destroy(owner);
 }
@@ -141,13 +141,13 @@
 	return INT64_MAX;
 }
 
-static void play_long_among_short(int in_time[2])
+static void simulate_long_among_short(int in_time[2])
 {
 	struct queue_policy all = queue_by_deadline;
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 	struct owner *hindsight;
 
-	owner_plan(owner, 0.8, 30 * MS, 300 * MS);
+	owner_generate_calls(owner, 0.8, 30 * MS, 300 * MS);
 	for (int i = 0; i < CALLS; i++) {
 		struct call *call = &owner->calls[i];
 
@@ -160,8 +160,8 @@
 	all.allowed_wait_us = wait_any;
 	hindsight = owner_create(&all, true);
 	memcpy(hindsight->calls, owner->calls, CALLS * sizeof(struct call));
-	owner_play(owner, "long among short (+long)");
-	owner_play(hindsight, "long among short (+long)");
+	owner_simulate(owner, "long among short (+long)");
+	owner_simulate(hindsight, "long among short (+long)");
 	in_time[0] += owner->in_time[0];
 	in_time[1] += hindsight->in_time[0];
 	owner_destroy(hindsight);
@@ -179,7 +179,7 @@
 	int in_time[2] = {0};
 
 	for (int round = 0; round < 4; round++)
-		play_long_among_short(in_time);
+		simulate_long_among_short(in_time);
 	g_assert_cmpint(in_time[0], >, in_time[1] * 97 / 100);
 }
 
@@ -187,12 +187,12 @@
  * One caller in a loop sends twice what the upstream can do, while others send
  * a fifth of it. The others' calls are answered as if it were not there.
  */
-static void test_hot_caller_bears_the_refusals(void)
+static void test_refusals_hit_the_hot_caller(void)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 	int others = 0;
 
-	owner_plan(owner, 2.2, 10 * MS, 200 * MS);
+	owner_generate_calls(owner, 2.2, 10 * MS, 200 * MS);
 	for (int i = 0; i < CALLS; i++) {
 		struct call *call = &owner->calls[i];
 
@@ -200,7 +200,7 @@
 		call->item.key_hash = call->hot ? 0 : i % 10 + 1;
 		others += !call->hot;
 	}
-	owner_play(owner, "hot caller (+hot)");
+	owner_simulate(owner, "hot caller (+hot)");
 	g_assert_cmpint(owner->in_time[0], >, others * 98 / 100);
 	owner_destroy(owner);
 }
@@ -210,7 +210,7 @@
  * believed, all requests of 1 s would be refused, and since none runs the
  * estimate would stay. So it goes also while one bundle takes an hour.
  */
-static void test_slow_spell_is_forgotten(void)
+static void test_estimate_recovers_after_slow_spell(void)
 {
 	for (int bundles = 0; bundles < 2; bundles++) {
 		struct owner *owner = owner_create(&queue_by_deadline, true);
@@ -218,12 +218,12 @@
 		for (int i = 0; i < 2000; i++)
 			queue_note_done(&owner->queue, CONFIG_CLASS_INTERACTIVE,
 					10 * US_PER_S);
-		owner_plan(owner, 0.5, 10 * MS, 1000 * MS);
+		owner_generate_calls(owner, 0.5, 10 * MS, 1000 * MS);
 		if (bundles > 0) {
 			owner->calls[0].service_us = 3600 * US_PER_S;
 			owner->calls[0].item.deadline_us = INT64_MAX;
 		}
-		owner_play(owner, "after a slow spell");
+		owner_simulate(owner, "after a slow spell");
 		g_assert_cmpint(owner_in_time(owner), >, CALLS * 95 / 100);
 		owner_destroy(owner);
 	}
@@ -235,15 +235,15 @@
  * that gets through, most are refused, though all slots are free; a caller sees
  * "not run" from an idle service.
  */
-static void test_quiet_hour_after_a_slow_spell(void)
+static void test_estimate_recovers_at_low_load(void)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 
 	for (int i = 0; i < 50; i++)
 		queue_note_done(&owner->queue, CONFIG_CLASS_INTERACTIVE,
 				10 * US_PER_S);
-	owner_plan(owner, 0.1, 10 * MS, 1000 * MS);
-	owner_play(owner, "quiet, after a slow spell");
+	owner_generate_calls(owner, 0.1, 10 * MS, 1000 * MS);
+	owner_simulate(owner, "quiet, after a slow spell");
 	g_assert_cmpint(CALLS - owner_in_time(owner), <=, 10);
 	owner_destroy(owner);
 }
@@ -420,7 +420,7 @@
  * still in the queue when the next one is looked at. Taken for a queue, it would
  * make all but the first be refused as busy beside free slots.
  */
-static void test_rush_finds_the_free_slots(void)
+static void test_rush_uses_the_free_slots(void)
 {
 	const struct queue_options options = {.policy = &queue_by_deadline,
 					      .fair = true};
@@ -453,7 +453,7 @@
  * request under a new name must not make the queue grow without end: the daemon
  * would run out of memory, and all requests on its host fail.
  */
-static void test_full_queue_has_an_end(void)
+static void test_full_queue_is_bounded(void)
 {
 	const struct queue_options options = {
 		.policy = &queue_by_deadline, .fair = true, .max_items = FULL};
@@ -487,16 +487,18 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/queue/overload", test_overload_serves_what_it_can);
 	g_test_add_func("/queue/targets", test_targets_go_first);
-	g_test_add_func("/queue/hopeless", test_hopeless_is_told_at_once);
+	g_test_add_func("/queue/unreachable-target",
+			test_unreachable_target_is_refused_early);
 	g_test_add_func("/queue/burst", test_burst_is_absorbed);
 	g_test_add_func("/queue/long-jobs", test_short_jobs_among_long_ones);
-	g_test_add_func("/queue/hot", test_hot_caller_bears_the_refusals);
-	g_test_add_func("/queue/slow-spell", test_slow_spell_is_forgotten);
-	g_test_add_func("/queue/quiet-hour", test_quiet_hour_after_a_slow_spell);
-	g_test_add_func("/queue/full", test_full_queue_has_an_end);
+	g_test_add_func("/queue/hot", test_refusals_hit_the_hot_caller);
+	g_test_add_func("/queue/slow-spell",
+			test_estimate_recovers_after_slow_spell);
+	g_test_add_func("/queue/low-load", test_estimate_recovers_at_low_load);
+	g_test_add_func("/queue/full", test_full_queue_is_bounded);
 	g_test_add_func("/queue/classes", test_no_class_starves);
 	g_test_add_func("/queue/order", test_earliest_deadline_comes_first);
-	g_test_add_func("/queue/rush", test_rush_finds_the_free_slots);
+	g_test_add_func("/queue/rush", test_rush_uses_the_free_slots);
 	g_test_add_func("/queue/busy", test_refuses_busy_at_once);
 	g_test_add_data_func("/queue/once/fifo", &queue_fifo,
 			     test_each_item_comes_out_once);
--- a/tests/test_retry.c
+++ b/tests/test_retry.c
@@ -7,7 +7,7 @@
 static struct random_state generator = {7};
 
 /* A question that gets a retry; each test spoils one thing. */
-static const struct retry_question good = {
+static const struct retry_context good = {
 	.outcome = RETRY_OUTCOME_UNKNOWN,
 	.idempotent = true,
 	.attempts = 1,
@@ -17,7 +17,7 @@
 };
 
 static enum retry_verdict verdict_of(struct retry *retry,
-				     const struct retry_question *question)
+				     const struct retry_context *question)
 {
 	return retry_decide(retry, question, &generator, 0).verdict;
 }
@@ -29,7 +29,7 @@
 static void test_booking_is_not_repeated(void)
 {
 	struct retry retry;
-	struct retry_question q = good;
+	struct retry_context q = good;
 
 	retry_init(&retry, 100);
 	q.idempotent = false;
@@ -49,13 +49,13 @@
 static void test_drain_costs_no_budget(void)
 {
 	struct retry retry;
-	struct retry_question q = good;
+	struct retry_context q = good;
 
 	retry_init(&retry, 0);
 	q.outcome = RETRY_OUTCOME_NOT_HERE;
 	q.max_attempts = 1;
 	for (int i = 0; i < 1000; i++) {
-		struct retry_answer a = retry_decide(&retry, &q, &generator, 0);
+		struct retry_decision a = retry_decide(&retry, &q, &generator, 0);
 
 		g_assert_cmpint(a.verdict, ==, RETRY_GO);
 		g_assert_cmpint(a.delay_us, ==, 0);
@@ -66,11 +66,11 @@
  * All upstreams are over their limit and say when to come back. A caller whose
  * deadline is before that gets the final answer at once, with that time.
  */
-static void test_gives_up_at_once_with_a_time(void)
+static void test_refuses_at_once_with_retry_time(void)
 {
 	struct retry retry;
-	struct retry_question q = good;
-	struct retry_answer a;
+	struct retry_context q = good;
+	struct retry_decision a;
 
 	retry_init(&retry, 100);
 	q.outcome = RETRY_OUTCOME_OVERLOAD;
@@ -86,10 +86,10 @@
  * A rush of a thousand calls is refused within a few milliseconds, each with
  * the hint of one second. If all came back then, they would be refused again.
  */
-static void test_callers_come_back_spread(void)
+static void test_retry_times_are_spread(void)
 {
 	struct retry retry;
-	struct retry_question q = good;
+	struct retry_context q = good;
 	int early = 0;
 
 	retry_init(&retry, 0);
@@ -113,7 +113,7 @@
 static void test_deep_calls_retry_less(void)
 {
 	struct retry top, deep;
-	struct retry_question q = good;
+	struct retry_context q = good;
 	int retries_top = 0, retries_deep = 0;
 
 	retry_init(&top, 10);
@@ -131,9 +131,9 @@
 	g_assert_cmpint(retries_deep, >, 60);
 }
 
-static struct retry_question random_question(int64_t now_us)
+static struct retry_context random_question(int64_t now_us)
 {
-	return (struct retry_question){
+	return (struct retry_context){
 		.outcome = (enum retry_outcome)g_test_rand_int_range(0, 7),
 		.idempotent = g_test_rand_bit(),
 		.answer_begun = g_test_rand_int_range(0, 8) == 0,
@@ -147,8 +147,8 @@
 	};
 }
 
-static void check_answer(const struct retry_question *q,
-			 const struct retry_answer *a, int64_t now_us)
+static void check_answer(const struct retry_context *q,
+			 const struct retry_decision *a, int64_t now_us)
 {
 	if (a->verdict != RETRY_GO) {
 		g_assert_cmpint(a->come_back_us, >, 0);
@@ -181,8 +181,8 @@
 
 	retry_init(&retry, PERCENT);
 	for (int i = 0; i < CALLS; i++) {
-		struct retry_question q = random_question(i);
-		struct retry_answer a;
+		struct retry_context q = random_question(i);
+		struct retry_decision a;
 		double before;
 
 		retry_note_request(&retry, i);
@@ -219,7 +219,7 @@
 			retry_set_shared(&all[d], 20, 56, daemons[i]);
 		for (unsigned int n = 0; n < requests; n++) {
 			struct retry *retry = &all[n % daemons[i]];
-			struct retry_question question = {
+			struct retry_context question = {
 				.outcome = RETRY_OUTCOME_UNKNOWN,
 				.idempotent = true,
 				.attempts = 1,
@@ -254,7 +254,7 @@
 		retry_note_request(&retry, now);
 	}
 	for (int i = 0; i < 10; i++) {
-		struct retry_question question = good;
+		struct retry_context question = good;
 
 		question.deadline_us = now + 10 * SECOND;
 		repeats += retry_decide(&retry, &question, &random, now).verdict ==
@@ -269,10 +269,11 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/retry/booking", test_booking_is_not_repeated);
 	g_test_add_func("/retry/drain", test_drain_costs_no_budget);
-	g_test_add_func("/retry/at-once", test_gives_up_at_once_with_a_time);
+	g_test_add_func("/retry/retry-time",
+			test_refuses_at_once_with_retry_time);
 	g_test_add_func("/retry/depth", test_deep_calls_retry_less);
 	g_test_add_func("/retry/any", test_rules_hold_for_any_question);
-	g_test_add_func("/retry/spread", test_callers_come_back_spread);
+	g_test_add_func("/retry/spread", test_retry_times_are_spread);
 	g_test_add_func("/retry/shared", test_shared_budget_holds_for_all);
 	g_test_add_func("/retry/shared-burst", test_shared_budget_serves_a_burst);
 	return g_test_run();
--- a/tests/test_retry_estimate.c
+++ b/tests/test_retry_estimate.c
@@ -23,9 +23,9 @@
 	struct pick_load quick = {.service_us = 40 * MS};
 	struct pick_load slow = {.service_us = 2040 * MS};
 	struct random_state random = {.state = 1};
-	struct retry_answer answer;
+	struct retry_decision answer;
 	struct retry retry;
-	struct retry_question question = {
+	struct retry_context question = {
 		.outcome = RETRY_OUTCOME_NOT_HERE,
 		.attempts = 0,
 		.max_attempts = 3,
--- a/tests/test_speed.c
+++ b/tests/test_speed.c
@@ -31,7 +31,7 @@
 }
 
 /* One job of two hundred takes a second; the upstream is as quick as ever. */
-static void test_long_job_is_no_slowness(void)
+static void test_long_job_does_not_look_slow(void)
 {
 	struct speed speed = usual();
 
@@ -77,7 +77,7 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/speed/slower",
 			test_ten_times_slower_shows_after_twenty);
-	g_test_add_func("/speed/long-job", test_long_job_is_no_slowness);
+	g_test_add_func("/speed/long-job", test_long_job_does_not_look_slow);
 	g_test_add_func("/speed/errors", test_errors_count_as_slow);
 	g_test_add_func("/speed/unknown", test_nothing_is_told_before_an_answer);
 	return g_test_run();
--- a/tests/test_subset.c
+++ b/tests/test_subset.c
@@ -54,7 +54,7 @@
  * An upstream leaves. If that changed the subsets at large, every entry would
  * open new connections at once, at a millisecond each.
  */
-static void test_a_leave_changes_little(void)
+static void test_removal_changes_one_choice_at_most(void)
 {
 	for (int round = 0; round < 200; round++) {
 		struct fixture f;
@@ -125,7 +125,8 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/subset/balance", test_choices_are_balanced);
-	g_test_add_func("/subset/stable", test_a_leave_changes_little);
+	g_test_add_func("/subset/removal",
+			test_removal_changes_one_choice_at_most);
 	g_test_add_func("/subset/small", test_small_service_stays_whole);
 	g_test_add_func("/subset/large", test_few_entries_reach_a_large_service);
 	return g_test_run();
--- a/tests/test_window_budget.c
+++ b/tests/test_window_budget.c
@@ -21,20 +21,21 @@
 	g_assert_false(window_budget_take(&budget, 1, 16 * SECOND));
 }
 
-static void test_what_was_seen_can_be_taken_at_once(void)
+static void test_whole_allowance_can_be_taken_at_once(void)
 {
 	struct window_budget budget = {0};
 
 	window_budget_set(&budget, SHARE, 0);
 	for (int i = 0; i < 50; i++)
 		window_budget_note_call(&budget, 100 * SECOND + i * SECOND / 5);
-	g_assert_cmpfloat(window_budget_left(&budget, 110 * SECOND - 1), >=, 9);
+	g_assert_cmpfloat(window_budget_available(&budget, 110 * SECOND - 1),
+			  >=, 9);
 	g_assert_true(window_budget_take(&budget, 9, 110 * SECOND - 1));
 	g_assert_false(window_budget_take(&budget, 2, 110 * SECOND - 1));
 }
 
 /* Guards against a quiet time that saves up for the rush after it. */
-static void test_an_old_window_is_lost(void)
+static void test_unused_allowance_expires(void)
 {
 	struct window_budget budget = {0};
 
@@ -43,7 +44,8 @@
 		window_budget_note_call(&budget, 100 * SECOND);
 	g_assert_false(window_budget_take(&budget, 1, 111 * SECOND));
 	window_budget_note_call(&budget, 200 * SECOND);
-	g_assert_cmpfloat(window_budget_most(&budget, 200 * SECOND), ==, SHARE);
+	g_assert_cmpfloat(window_budget_capacity(&budget, 200 * SECOND), ==,
+			  SHARE);
 }
 
 struct moment {
@@ -53,7 +55,7 @@
 
 /* Guards against more repeats in some window than all daemons together may make:
  * none holds more than the slack and its share of a window's calls. */
-static void test_no_window_holds_more(void)
+static void test_no_window_exceeds_its_allowance(void)
 {
 	enum {
 		MOMENTS = 3000
@@ -100,8 +102,9 @@
 	g_test_add_func("/window-budget/first",
 			test_slack_is_small_in_the_first_window);
 	g_test_add_func("/window-budget/at-once",
-			test_what_was_seen_can_be_taken_at_once);
-	g_test_add_func("/window-budget/old", test_an_old_window_is_lost);
-	g_test_add_func("/window-budget/any", test_no_window_holds_more);
+			test_whole_allowance_can_be_taken_at_once);
+	g_test_add_func("/window-budget/expires", test_unused_allowance_expires);
+	g_test_add_func("/window-budget/any-window",
+			test_no_window_exceeds_its_allowance);
 	return g_test_run();
 }
