--- a/comfreydockd/decide/deadline.c
+++ b/comfreydockd/decide/deadline.c
@@ -5,17 +5,19 @@
 
 #include "common/clock.h"
 
-#define DEADLINE_HOP_SHARE 32 /* one part in so many is kept by each hop */
-#define DEADLINE_RTT_SHARE 4 /* one part in so many goes to the path at most */
+/* Each hop keeps 1/32 of the remaining time for itself. */
+#define DEADLINE_HOP_SHARE 32
+/* At most 1/4 of the remaining time is set aside for the round trip. */
+#define DEADLINE_RTT_SHARE 4
 #define DEADLINE_PERMILLE_PER_PERCENT 10
 
-/* Gains and weight of RFC 6298. */
+/* Gains and deviation factor of RFC 6298. */
 #define DEADLINE_MEAN_GAIN 8
 #define DEADLINE_DEVIATION_GAIN 4
 #define DEADLINE_DEVIATIONS 4
 
-/* A millisecond covers a round trip within a failure domain; 10 ms one to
- * another region's nearest. */
+/* 1 ms covers a round trip within a failure domain, 10 ms one to the nearest
+ * host of another region. */
 #define DEADLINE_CANCEL_LEAD_MIN_US ((int64_t)1000)
 #define DEADLINE_CANCEL_LEAD_MAX_US ((int64_t)10000)
 #define DEADLINE_CANCEL_LEAD_SHARE 20
--- a/comfreydockd/decide/fair.c
+++ b/comfreydockd/decide/fair.c
@@ -4,17 +4,17 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define FAIR_QUANTUM_DECAY 64 /* one part in so many with each push */
+#define FAIR_QUANTUM_DECAY 64 /* The quantum loses 1/64 with each push. */
 
 uint64_t fair_hash(const char *key)
 {
 	return XXH3_64bits(key, strlen(key));
 }
 
-/* What stands for a key that doesn't wait. */
+/* Stands for a key that has no waiting item. */
 static const struct fair_flow empty_flow;
 
-/* Switched off, there is one flow. */
+/* With fairness disabled all items share one flow. */
 static uint64_t fair_key_of(const struct fair *fair, uint64_t key_hash)
 {
 	return fair->enabled ? key_hash : 0;
@@ -153,7 +153,7 @@
 	return NULL;
 }
 
-/* The flows that would wait if an item of this flow were added. */
+/* Counts the flows that would wait if an item were added to this flow. */
 static int64_t fair_flows_with(const struct fair *fair,
 			       const struct fair_flow *flow)
 {
--- a/comfreydockd/decide/health.c
+++ b/comfreydockd/decide/health.c
@@ -36,9 +36,9 @@
 	upstream->streak = 0;
 }
 
-/* All that are available may be ejected once the others have left. Then the
- * service would refuse all calls although an upstream stands ready, so the one
- * whose time is over first is taken back. */
+/* Once the other upstreams have left, all available ones may be ejected. The
+ * service would then refuse every call although an upstream is ready, so the
+ * upstream whose ejection ends first is taken back. */
 static void keep_one_in_use(struct health *health)
 {
 	struct health_upstream *upstream;
@@ -280,7 +280,7 @@
 	return false;
 }
 
-/* The mean error rate of the other upstreams in use. */
+/* Returns the mean error rate of the other upstreams in use. */
 static double rate_of_others(const struct health *health,
 			     const struct health_upstream *upstream)
 {
--- a/comfreydockd/decide/heap.c
+++ b/comfreydockd/decide/heap.c
@@ -6,7 +6,7 @@
 	heap->is_before = is_before;
 }
 
-/* Joins two trees, each without siblings, and returns the one on top. */
+/* Joins two trees whose roots have no siblings. Returns the new root. */
 static struct heap_node *heap_join(const struct heap *heap, struct heap_node *a,
 				   struct heap_node *b)
 {
@@ -27,7 +27,8 @@
 	return top;
 }
 
-/* Joins siblings in pairs from the left, then the pairs from the right. */
+/* Joins siblings in pairs from left to right, then the pairs from right to
+ * left. */
 static struct heap_node *heap_join_siblings(const struct heap *heap,
 					    struct heap_node *first)
 {
--- a/comfreydockd/decide/hedge.c
+++ b/comfreydockd/decide/hedge.c
@@ -36,7 +36,8 @@
 		     HEDGE_PRICE_MAX);
 }
 
-/* Whether a hedge sent at at_us could run and still be of use. */
+/* Returns true if a hedge sent at at_us is permitted and can end before the
+ * deadline. */
 static bool is_allowed(const struct hedge *hedge,
 		       const struct hedge_context *question, int64_t at_us)
 {
--- a/comfreydockd/decide/knee.c
+++ b/comfreydockd/decide/knee.c
@@ -2,9 +2,10 @@
 
 #include <math.h>
 
-/* Weight of one sample, once there are many. */
+/* Lowest weight of a sample, reached after 20 samples. */
 #define GAIN 0.05
-/* A job that hung tells nothing of how full the upstream was. */
+/* Longer samples are clipped to this multiple of the mean: a request that hung
+ * says nothing about how full the upstream was. */
 #define OUTLIER_FACTOR_MAX 5.0
 
 static void stats_add(struct knee_stats *side, double took_us)
@@ -45,13 +46,13 @@
 		stats_add(&of->below, capped_us);
 }
 
-/* What the classes together say, each by as many samples as its poorer side
- * has. */
+/* Totals over all classes. Each class is weighted by the smaller of its two
+ * sample counts. */
 struct comparison {
-	double below; /* samples in all */
+	double below; /* sum of samples */
 	double above;
 	double weight;
-	double slowdown; /* weighted sum of how many times as long above */
+	double slowdown; /* weighted sum of the ratios above / below */
 };
 
 static struct comparison compare(const struct knee *knee)
@@ -79,7 +80,8 @@
 
 	if (kept == 0 || sum.above < KNEE_SAMPLES)
 		return slots;
-	/* Never less than full: it has to be, to find out. */
+	/* An upstream that is always full gets fewer slots for a while, as it
+	 * yields no samples to compare with otherwise. */
 	if (sum.below < KNEE_SAMPLES || sum.weight <= 0)
 		return kept;
 	return sum.slowdown < KNEE_SLOWDOWN * sum.weight ? slots : kept;
--- a/comfreydockd/decide/limit.c
+++ b/comfreydockd/decide/limit.c
@@ -10,16 +10,16 @@
 #define LIMIT_WINDOW_US (100 * US_PER_MS)
 #define LIMIT_WINDOW_MAX_US (60 * US_PER_S)
 #define LIMIT_PERCENTILE 10
-#define LIMIT_P10_GAIN ((int64_t)8) /* one window counts one part in so many */
+#define LIMIT_P10_GAIN ((int64_t)8) /* the mean moves by 1/8 per window */
 #define LIMIT_SLOW_WINDOWS 4 /* in a row, before a trial */
-#define LIMIT_TOLERANCE 2 /* times the floor */
-#define LIMIT_CUT 4 /* one part in so many, on an overload */
-#define LIMIT_TRIAL_STEP 2 /* one part in so many, for a trial */
-#define LIMIT_FOLLOWED 0.8 /* of the way that the limit went */
+#define LIMIT_TOLERANCE 2 /* times the floor; above it a window is slow */
+#define LIMIT_CUT 4 /* an overload cuts the limit by 1/4 */
+#define LIMIT_TRIAL_STEP 2 /* a trial changes the limit by 1/2 */
+#define LIMIT_FOLLOWED 0.8 /* share of the change that the p10 must follow */
 #define LIMIT_FLOOR_PERIOD_US (30 * US_PER_S)
 #define LIMIT_HOLD_MIN_US (2 * US_PER_S)
 #define LIMIT_HOLD_MAX_US (60 * US_PER_S)
-#define LIMIT_HOLD_TRIALS 16 /* times as long as the trial took */
+#define LIMIT_HOLD_TRIALS 16 /* the hold time in durations of the trial */
 
 static void limit_window_begin(struct limit *limit, int64_t now_us)
 {
@@ -51,10 +51,11 @@
 }
 
 /*
- * Returns the mean of the p10 of recent windows. That of one window of
- * exponential service times strays by a third of itself, and the least of many
- * by far more: held against it, every other window of a healthy upstream looks
- * slow, and the trials take slots away that callers wait for.
+ * Returns the moving mean of the p10. With exponential service times the p10 of
+ * a single window deviates by a third of itself, and the minimum of many
+ * windows by far more. Compared with that minimum, every other window of a
+ * healthy upstream would look slow, and the trials would take away slots that
+ * callers wait for.
  */
 static int64_t limit_note_p10(struct limit *limit, int64_t p10_us)
 {
@@ -63,7 +64,7 @@
 	return limit->p10_us;
 }
 
-/* Returns the least p10 of this half minute and the one before it. */
+/* Returns the lowest p10 of the current and the previous 30 s period. */
 static int64_t limit_note_floor(struct limit *limit, int64_t p10_us,
 				int64_t now_us)
 {
@@ -114,7 +115,8 @@
 	limit->hold_us = MIN(limit->hold_us * 2, LIMIT_HOLD_MAX_US);
 }
 
-/* True where the p10 went nearly all of the way that the limit went. */
+/* Returns true if the p10 changed by at least LIMIT_FOLLOWED of the relative
+ * change of the limit. */
 static bool limit_trial_was_followed(const struct limit *limit, int64_t p10_us)
 {
 	bool down = limit->trial == LIMIT_TRIAL_DOWN;
@@ -169,7 +171,7 @@
 	}
 	limit_window_begin(limit, now_us);
 	mean_us = limit_note_p10(limit, p10_us);
-	/* The mean of a few windows strays as far as they do. */
+	/* A mean of only a few windows deviates as far as the windows do. */
 	if (limit->windows < LIMIT_P10_GAIN)
 		return;
 	floor_us = limit_note_floor(limit, mean_us, now_us);
@@ -190,9 +192,9 @@
 }
 
 /*
- * A window that traffic was too thin to fill mixes what is long past with the
- * present. Kept, it would judge by both, and a trial that the end of a burst
- * left open would meet the next one with half the slots.
+ * Discards a window that too little traffic left open for too long: its samples
+ * mix old and current conditions. A trial ends with it. Otherwise, a trial left
+ * open at the end of a burst would meet the next burst with half the slots.
  */
 static void limit_window_abandon(struct limit *limit, int64_t now_us)
 {
--- a/comfreydockd/decide/measure.c
+++ b/comfreydockd/decide/measure.c
@@ -6,16 +6,16 @@
 #define MEASURE_TOKENS_PER_US ((int64_t)1000)
 #define MEASURE_PERMILLE_MAX 1000
 
-/* One probe: the depth of the bucket. */
+/* The depth of the bucket is the cost of one probe. */
 #define MEASURE_DEPTH (MEASURE_PROBE_COST_US * MEASURE_TOKENS_PER_US)
 
-/* Tokens for each microsecond. */
+/* Returns tokens per microsecond. */
 static int64_t measure_rate(const struct measure *measure)
 {
 	return (int64_t)measure->slots * measure->permille;
 }
 
-/* The time until the bucket is full, rounded up. */
+/* Returns the time until the bucket is full, rounded up. */
 static int64_t measure_time_to_full_us(const struct measure *measure)
 {
 	int64_t rate = measure_rate(measure);
--- a/comfreydockd/decide/pace.c
+++ b/comfreydockd/decide/pace.c
@@ -18,7 +18,7 @@
 		pace->least = percent;
 }
 
-/* What this host had at its best of late. */
+/* Returns the lowest recent percentage of this host. */
 static uint32_t pace_usual(const struct pace *pace)
 {
 	if (!pace->least_before)
@@ -56,13 +56,14 @@
 	return took_us * PACE_USUAL_PERCENT / percent;
 }
 
-/* Watched for less than a window: all that was seen may be one spell. */
+/* Returns true before the first full window: until then all reports may come
+ * from one slow spell. */
 static bool is_new(const struct pace *pace)
 {
 	return pace->least_before == 0;
 }
 
-/* How long work takes at that pace. */
+/* Returns how long the work takes at the given pace. */
 static int64_t at_percent_us(int64_t work_us, uint32_t percent)
 {
 	return work_us * percent / PACE_USUAL_PERCENT;
@@ -77,10 +78,12 @@
 }
 
 /*
- * Held while an end of the spell would still bring the answer in time, or slots
- * are scarce; then begun if it can be answered at all at this pace; else held to
- * the last moment that an end of the spell leaves for it, and then refused:
- * begun, it would take a slot for an answer that nobody gets.
+ * Decides during a slow spell. The request is held while an end of the spell
+ * would still bring the answer in time, or, if slots are scarce, while enough
+ * time remains. After that it starts if it can still be answered at the slow
+ * pace. Otherwise it is held for as long as the end of the spell could still
+ * save it, and then refused: started, it would take a slot for an answer that
+ * nobody receives.
  */
 static enum pace_verdict judge_in_slow_spell(const struct pace *pace,
 					     const struct pace_item *item,
@@ -104,8 +107,9 @@
 	return PACE_TOO_LATE;
 }
 
-/* A host that nothing is known of gets what it can answer at this pace; the rest
- * waits for what may be the end of a spell. */
+/* Decides for a host without a known usual pace. A request that can be answered
+ * at the current pace starts; the others wait, as the report may come from a
+ * slow spell that ends. */
 static enum pace_verdict judge_unknown_host(const struct pace *pace,
 					    const struct pace_item *item,
 					    int64_t now_us)
--- a/comfreydockd/decide/pick.c
+++ b/comfreydockd/decide/pick.c
@@ -5,39 +5,42 @@
 
 #include "comfreydockd/decide/pace.h"
 
-/* Refusals: so many for each request on average, and so many in a burst. */
+/* The budget for busy refusals: tokens per request, and the burst. */
 #define PICK_REFUSAL_SHARE 0.5
 #define PICK_REFUSAL_BURST 10.0
-/* A report fades with the work it told of: within so many typical latencies,
- * but in no less and no more than these times. */
+/* A report decays with the work that it described: its time constant is this
+ * multiple of the typical latency, within these bounds. */
 #define PICK_AGE_LATENCIES 1.0
 #define PICK_AGE_MIN_US 1000.0
 #define PICK_AGE_MAX_US 1000000.0
-/* Where nothing is known, room is expected while the mean work is below so many
- * times the limit: some upstreams are free while the mean is a little full. */
+/* Without a fresh report an upstream is expected to have room while the mean
+ * work is below this multiple of its limit: some upstreams are free while the
+ * mean is slightly above full. */
 #define PICK_ROOM_UNKNOWN 1.5
-/* What is known of an upstream's speed fades in this time, so that one which
- * is avoided for being slow is tried again. */
+/* Knowledge of an upstream's latency decays with this time constant, so that an
+ * upstream that is avoided for being slow is tried again. */
 #define PICK_LATENCY_AGE_US 10e6
 #define PICK_LATENCY_STEP 0.05
-/* An error counts as an answer that took so many times as long as usual. The
- * median stays where it is until half of the answers are errors. */
+/* An error counts as an answer that took this multiple of the typical latency.
+ * The median does not move until half of the answers are errors. */
 #define PICK_ERROR_SLOWNESS 10.0
-/* Below this, the reported median of some twenty calls says nothing. */
+/* Reported slowness below this factor is ignored: the reported median of some
+ * twenty calls is too noisy. */
 #define PICK_REPORTED_SLOW 2.0
 #define PICK_SLOWNESS_MIN 0.5
 #define PICK_SLOWNESS_MAX 20.0
-/* Weight of one report in the mean. */
+/* Weight of one report in the mean over all upstreams. */
 #define PICK_MEAN_ALPHA 0.05
 #define PICK_MEAN_IDLE_REPORTS 10.0
 #define PICK_OWN_MEAN_ALPHA 0.2
 #define PICK_OWN_MEAN_AGE_US 1e6
 #define PICK_WARM_MIN 0.05
 #define PICK_DEFAULT_LIMIT 8.0
-/* An owner tells when a slow spell ends. Should that word be lost, its host is
- * tried again after twice the time that spells commonly last. */
+/* An owner reports the end of a slow spell. If that report is lost, the host is
+ * tried again after twice the usual duration of a spell. */
 #define PICK_SLOW_MEMORY_US (1000 * 1000)
-/* Of fewer hosts all may be in a slow spell by chance. */
+/* With fewer reports than this, all known hosts may be in a slow spell by
+ * chance. */
 #define PICK_PACE_HOSTS 3
 
 void pick_set_init(struct pick_set *set, const struct pick_policy *policy,
@@ -157,7 +160,8 @@
 	return limit_of(candidate) * MAX(candidate->warm, PICK_WARM_MIN);
 }
 
-/* How much of the last report still holds: 1 at its arrival, 0 long after. */
+/* Returns the weight of the last report: 1 on arrival, falling toward 0 with
+ * age. */
 static double report_weight(const struct pick_set *set,
 			    const struct pick_candidate *candidate,
 			    int64_t now_us)
@@ -169,8 +173,9 @@
 	return candidate->load_known ? exp(-age / memory) : 0;
 }
 
-/* What to expect of an upstream whose last report has faded: the mean of its
- * own reports, and after a while without any the mean of all. */
+/* Returns the utilisation expected once the last report has decayed: the mean
+ * of the upstream's own reports or, a while after the last of them, the mean
+ * over all upstreams. */
 static double prior_utilisation(const struct pick_set *set,
 				const struct pick_candidate *candidate,
 				int64_t now_us)
@@ -183,7 +188,7 @@
 	       (1 - kept) * set->mean_utilisation;
 }
 
-/* The work at the upstream, without the attempt to be placed. */
+/* Estimates the work at the upstream without the attempt to be placed. */
 static double estimate_work(const struct pick_set *set,
 			    const struct pick_candidate *candidate,
 			    int64_t now_us)
@@ -265,8 +270,8 @@
 	return true;
 }
 
-/* Moves a running median: in large steps at first, then in steady ones. A rare
- * long job moves it as little as any other sample. */
+/* Moves a running median, in large steps at first and in constant ones later. A
+ * rare long job moves it no further than any other sample. */
 static void move_median(double *median, uint32_t *samples, double value)
 {
 	double step = MAX(PICK_LATENCY_STEP, 1.0 / (*samples + 1.0));
@@ -291,9 +296,9 @@
 	       (1 - kept) * set->typical_latency_us;
 }
 
-/* What the owner says of its upstream's speed, over the usual one; 0 where that
- * is nothing out of the ordinary. It sees all calls there, an entry among
- * hundreds only a few of its own. */
+/* Returns the service time that the owner reported, relative to the typical one
+ * and aged toward 1; 0 if it is not clearly above. The owner sees all calls
+ * there; one entry among hundreds sees only a few of its own. */
 static double reported_slowness(const struct pick_set *set,
 				const struct pick_candidate *candidate,
 				int64_t now_us)
@@ -340,8 +345,8 @@
 	       pick_relative_latency(set, candidate, now_us);
 }
 
-/* Starts as if some idle upstreams had reported: the first report, from one
- * that is full, must not make all others look full. */
+/* Starts as if ten idle upstreams had reported: otherwise, the first report of
+ * a full upstream would make all others look full. */
 static void note_mean(struct pick_set *set, double utilisation)
 {
 	double first = 1.0 / (PICK_MEAN_IDLE_REPORTS + set->reports);
@@ -360,11 +365,13 @@
 	return (x > y) - (x < y);
 }
 
-/* Of what set->services holds. The median of the upstreams, not of the reports:
- * one that answers nothing but errors reports most often, and the same all the
- * time. Of an even number the lower of the two in the middle: where one of two
- * upstreams answers late, a retry would be refused for lack of time with the
- * other one free, and the late one would pass for the usual. */
+/* Takes the median of set->services, which holds one value per upstream. A
+ * median over reports would be dominated by an upstream that answers only
+ * errors, since that one reports most often and always the same value. With an
+ * even number of values the lower of the two middle ones is taken: where one of
+ * two upstreams is slow, the higher one would pass the slow time off as
+ * typical, and retries would be refused for lack of time although the other
+ * upstream is free. */
 static void note_typical_service(struct pick_set *set)
 {
 	GArray *services = set->services;
@@ -378,11 +385,12 @@
 }
 
 /*
- * What the last reports of all say together.
+ * Updates what the last reports of all upstreams say together.
  *
- * An unknown host is taken for as quick as the best that is known. Were it taken
- * for as quick as a host ever is, all entries would rush to it while the others,
- * just started, are slow, and these would turn requests back for its sake.
+ * A host without a recent report is assumed to be as fast as the best known
+ * one. If it were assumed to run at full speed, all entries would rush to it
+ * while the others, just started, are slow, and these would turn requests back
+ * in its favour.
  */
 static void note_last_reports(struct pick_set *set, int64_t now_us)
 {
@@ -423,7 +431,7 @@
 	note_last_reports(set, now_us);
 }
 
-/* Notes a latency of the candidate alone. */
+/* Notes a latency of this candidate only. */
 static void note_own_latency(const struct pick_set *set,
 			     struct pick_candidate *candidate,
 			     double latency_us, int64_t now_us)
--- a/comfreydockd/decide/pick_policy.c
+++ b/comfreydockd/decide/pick_policy.c
@@ -4,33 +4,35 @@
 #include "comfreydockd/decide/pace.h"
 #include "comfreydockd/decide/pick.h"
 
-/* Work stays in the entry's failure domain up to this utilisation: early
- * enough to spill before calls are refused or queued there. An owner refuses at
- * once what it has no slot for, so there is no need to leave earlier, which only
- * sends more bytes between domains; see docs/design/teranga.md. */
+/* Work stays in the entry's failure domain up to this utilisation, which spills
+ * calls before they are refused or queued there. An owner refuses at once when
+ * it has no free slot, so leaving earlier gains nothing and only sends more
+ * bytes between domains; see docs/design/teranga.md. */
 #define PICK_SPILL_UTILISATION 0.9
-/* A local upstream that is so many times slower than usual has no preference:
- * the way to another domain costs less. */
+/* A local upstream slower than this multiple of the typical latency gets no
+ * preference: the round trip to another domain costs less. */
 #define PICK_SPILL_SLOWNESS 1.5
 
-/* From here on all seem full: the best that the reports offer has a queue. */
+/* Above this, every upstream seems full: even the best reported one has a
+ * queue. */
 #define PICK_FULL_UTILISATION 1.1
-/* Among hosts that would begin a request at once the emptier one is preferred by
- * so much; an assumption. */
+/* Weight of utilisation among hosts that would start a request at once: the
+ * less loaded one is preferred. */
 #define PICK_IDLE_PREFERENCE 0.1
 
 /* Power of two choices. */
 #define PICK_CHOICES 2
-/* Where all that is quick has a queue: of two, three and four the best with few
- * entries, and no worse with hundreds; see docs/design/decisions.md. */
+/* Candidates compared where every fast host has a queue. Of two, three and
+ * four, three gave the best results with few entries and no worse ones with
+ * hundreds; see docs/design/decisions.md. */
 #define PICK_QUEUE_CHOICES 3
 
 typedef double (*cost_function)(const struct pick_set *set,
 				const struct pick_candidate *candidate,
 				int64_t now_us);
 
-/* The cheapest; among equal ones any, so that entries which know nothing
- * don't all go to the first. */
+/* Returns the cheapest candidate. Ties are broken at random, so that entries
+ * without any knowledge do not all choose the first one. */
 static struct pick_candidate *choose_cheapest(struct pick_set *set,
 					      struct pick_candidate **candidates,
 					      size_t count, int64_t now_us,
@@ -63,7 +65,8 @@
 	candidates[b] = candidate;
 }
 
-/* Moves so many random ones to the front and takes the cheapest. */
+/* Moves that many random candidates to the front and returns the cheapest of
+ * them. */
 static struct pick_candidate *choose_of(struct pick_set *set,
 					struct pick_candidate **candidates,
 					size_t count, size_t choices,
@@ -77,7 +80,7 @@
 }
 
 /* Moves the local candidates with room to the front. RETURN VALUE: how many
- * are left to choose from. */
+ * candidates are left to choose from. */
 static size_t prefer_local(const struct pick_set *set,
 			   struct pick_candidate **candidates, size_t count,
 			   int64_t now_us)
@@ -156,8 +159,8 @@
 	return best;
 }
 
-/* Moves those that don't run slow to the front. RETURN VALUE: how many these
- * are. */
+/* Moves the candidates that do not run slow to the front. RETURN VALUE: their
+ * number. */
 static size_t prefer_quick(const struct pick_set *set,
 			   struct pick_candidate **candidates, size_t count,
 			   int64_t now_us)
@@ -171,7 +174,7 @@
 	return quick;
 }
 
-/* Moves those with room to the front. RETURN VALUE: how many these are. */
+/* Moves the candidates with room to the front. RETURN VALUE: their number. */
 static size_t prefer_free(const struct pick_set *set,
 			  struct pick_candidate **candidates, size_t count,
 			  int64_t now_us)
@@ -191,8 +194,8 @@
 	return (double)pick_pace(set, candidate, now_us) / PACE_USUAL_PERCENT;
 }
 
-/* How long a request is there, in usual times: what is full has a queue, what is
- * slow takes longer however empty it is. */
+/* Estimates how long a request stays at the upstream, in typical latencies: a
+ * full upstream has a queue, and a slow one takes longer however idle it is. */
 static double cost_sojourn(const struct pick_set *set,
 			   const struct pick_candidate *candidate, int64_t now_us)
 {
@@ -212,11 +215,11 @@
 }
 
 /*
- * When a slow spell begins, all entries are told at once and leave that host for
- * the few quick ones with room. Were each to take the best of these, they would
- * all meet at the same one, be refused there and go round together: the better
- * of two random ones spreads them. Between hosts of one pace there is no such
- * rush, and the best of all avoids one that fails.
+ * Chooses among fast hosts with room. When a slow spell begins, all entries
+ * learn of it at once and leave that host for the few fast ones. If each entry
+ * took the best of these, all would meet at the same host, be refused there and
+ * move on together; the better of two random ones spreads them. Without a slow
+ * host there is no such rush, and the best of all avoids a host that fails.
  */
 static struct pick_candidate *choose_free(struct pick_set *set,
 					  struct pick_candidate **candidates,
@@ -232,10 +235,11 @@
 }
 
 /*
- * Where no quick host has room a slow one that stands empty looks best by its
- * utilisation. A request that goes there waits for the end of the slow spell
- * beside free slots, while the queue of a quick one moves with each answer. All
- * entries have the same late report of these queues, so each looks at a few only.
+ * Chooses where no fast host has room. By utilisation alone a slow, idle host
+ * would look best, but a request waits there beside free slots until the slow
+ * spell ends, while the queue of a fast host moves with each answer. All
+ * entries see the same late reports of these queues, so each looks at a few
+ * random candidates only.
  */
 static struct pick_candidate *choose_queue(struct pick_set *set,
 					   struct pick_candidate **candidates,
--- a/comfreydockd/decide/quarantine.c
+++ b/comfreydockd/decide/quarantine.c
@@ -5,11 +5,12 @@
 
 #include "quarantine_record.h"
 
-#define TRIAL_RUNS_US \
-	((int64_t)1000 * 1000) /* to ask again, while one is out */
+/* Callers are told to come back after this time while a trial runs. */
+#define TRIAL_RUNS_US ((int64_t)1000 * 1000)
 #define EXPIRE_EVERY_US ((int64_t)1000 * 1000)
 
-/* The last answer to a request; another one's takes its place. */
+/* The last time a request was answered. Another request with the same slot
+ * replaces it. */
 struct answered_slot {
 	uint64_t key;
 	int64_t answered_us;
@@ -19,9 +20,9 @@
 	int64_t trial_us;
 	quarantine_handler handler;
 	void *data;
-	GHashTable *by_key; /* key of record -> record */
-	struct quarantine_list news; /* to be told, the next one first */
-	struct quarantine_list settled; /* told often enough */
+	GHashTable *by_key; /* key of a record -> record */
+	struct quarantine_list news; /* records to send, next one first */
+	struct quarantine_list settled; /* records that have been sent often enough */
 	int64_t expired_us;
 	struct answered_slot good[QUARANTINE_ANSWERED_SLOTS];
 };
@@ -116,7 +117,8 @@
 		report(quarantine, record, QUARANTINE_MARKED);
 }
 
-/* RETURN VALUE: which goes first where there are too many; -1: none goes. */
+/* RETURN VALUE: the record with the highest rank is evicted first; -1: it is
+ * kept. */
 static int eviction_rank(const struct quarantine_record *record)
 {
 	if (quarantine_record_is_held(record))
@@ -140,7 +142,7 @@
 	return best;
 }
 
-/* RETURN VALUE: false where all that are there are held. */
+/* RETURN VALUE: false if all records in the full table are held. */
 static bool make_room(struct quarantine *quarantine)
 {
 	struct quarantine_record *record;
@@ -156,7 +158,7 @@
 	return true;
 }
 
-/* RETURN VALUE: NULL where there is no room. */
+/* RETURN VALUE: NULL if there is no room. */
 static struct quarantine_record *add_record(struct quarantine *quarantine,
 					    uint64_t key)
 {
@@ -197,7 +199,7 @@
 	if (record->is_cleared)
 		record_begin_round(record);
 	record->asked_us = now_us;
-	/* A failed trial must not change which hosts try. */
+	/* A failed trial must not change the hosts at which trials run. */
 	if (!quarantine_record_is_held(record))
 		is_changed = record_add_crash(record, crash);
 	if (record->is_on_trial) {
--- a/comfreydockd/decide/quarantine_record.c
+++ b/comfreydockd/decide/quarantine_record.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define HOST_SHIFT 32 /* in the name of a crash */
+#define HOST_SHIFT 32 /* position of the host hash in a crash id */
 
 uint64_t quarantine_crash_id(uint32_t host, uint64_t random)
 {
@@ -46,8 +46,8 @@
 		record->crashes[record->failed_trials % QUARANTINE_CRASHES]);
 }
 
-/* The lowest are kept, so that daemons that hear of four in another order hold the
- * same three. */
+/* Keeps the lowest ids, so that daemons that hear of four crashes in different
+ * orders keep the same three. */
 bool record_add_crash(struct quarantine_record *record, uint64_t crash)
 {
 	uint32_t at = 0;
--- a/comfreydockd/decide/quarantine_record.h
+++ b/comfreydockd/decide/quarantine_record.h
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	quarantine_record - one record of the quarantine, and how two become one
+ *	quarantine_record - a single quarantine record and how two of them merge
  *
  * DESCRIPTION
  *	Internal to decide/quarantine.
@@ -12,16 +12,17 @@
 
 uint32_t record_trial_host(const struct quarantine_record *record);
 
-/* RETURN VALUE: whether it is new. */
+/* RETURN VALUE: true if the crash was not in the record yet. */
 bool record_add_crash(struct quarantine_record *record, uint64_t crash);
 
 void record_begin_round(struct quarantine_record *record);
 
-/* All but the key, and what concerns its telling. */
+/* Copies the state of heard, except the key and the fields that track how often
+ * it was sent. */
 void record_replace(struct quarantine_record *record,
 		    const struct quarantine_record *heard);
 
-/* Of the same round. RETURN VALUE: whether the record has changed. */
+/* Merges a record of the same round. RETURN VALUE: true if record changed. */
 bool record_merge(struct quarantine_record *record,
 		  const struct quarantine_record *heard);
 
--- a/comfreydockd/decide/queue.c
+++ b/comfreydockd/decide/queue.c
@@ -68,7 +68,7 @@
 	return verdict;
 }
 
-/* What remains once an item has left its lane. */
+/* Completes the removal of an item that has left its lane. */
 static void queue_detach(struct queue *queue, struct queue_item *item)
 {
 	heap_remove(&queue->by_latest_start, &item->by_latest_start);
--- a/comfreydockd/decide/queue_admit.c
+++ b/comfreydockd/decide/queue_admit.c
@@ -6,13 +6,14 @@
 #include "comfreydockd/decide/queue_predict.h"
 
 #define QUEUE_OVERRIDE_INTERVAL 4
-/* What a caller may have in a full queue, one part of the bound in so many, and all
- * of them together, so many times the bound. Assumptions. */
+/* In a full queue each caller may still have 1/256 of the bound, and the whole
+ * queue may grow to four times the bound. */
 #define QUEUE_FULL_CALLER_PARTS 256
 #define QUEUE_FULL_FACTOR 4
 
-/* One caller that fills the queue must not shut out the others: each may have a
- * small part of it beyond the bound. */
+/* Returns true if the queue is full for this item. A caller that fills the
+ * queue must not shut out the others, so each caller may have a small part of
+ * it beyond the bound. */
 static bool queue_is_full_for(const struct queue *queue,
 			      const struct queue_item *item)
 {
@@ -44,9 +45,10 @@
 }
 
 /*
- * An estimate left high by a slow spell would refuse everything, so that
- * nothing runs to correct it. Where a slot is free, an item is therefore let
- * through against the estimate now and then, and always where nothing runs.
+ * Returns true if an item is accepted against the estimate. An estimate left
+ * high by a slow spell would refuse everything, and then nothing would run to
+ * correct it. If a slot is free, every fourth such item is therefore accepted,
+ * and every one if nothing runs.
  */
 static bool queue_overrides_estimate(struct queue *queue,
 				     const struct queue_item *item,
@@ -88,8 +90,8 @@
 	return queue_refusal_reason(queue, item, wait_us, now_us);
 }
 
-/* Past it a wait would only make others late; a start at once may still be of
- * use. */
+/* Returns until when an item that holds up others may wait. A longer wait would
+ * only make the others late; an immediate start may still be useful. */
 static int64_t queue_wait_until_us(const struct queue *queue,
 				   const struct queue_item *item, int64_t now_us)
 {
--- a/comfreydockd/decide/queue_lane.c
+++ b/comfreydockd/decide/queue_lane.c
@@ -9,7 +9,7 @@
 	return queue->policy->by_class ? (uint32_t) class : 0;
 }
 
-/* True where a start after wait_us would be answered beyond the target. */
+/* Returns true if a start after wait_us would miss the target. */
 static bool queue_misses_target(const struct queue *queue,
 				const struct queue_item *item, int64_t wait_us,
 				int64_t now_us)
--- a/comfreydockd/decide/queue_policy.c
+++ b/comfreydockd/decide/queue_policy.c
@@ -4,7 +4,8 @@
 
 #include "comfreydockd/decide/deadline.h"
 
-#define QUEUE_STANDING_SHARE 2 /* of the remaining time, one part in so many */
+/* In a standing queue at most 1/2 of the remaining time is spent waiting. */
+#define QUEUE_STANDING_SHARE 2
 
 static struct queue_item *queue_item_of(const struct heap_node *node)
 {
--- a/comfreydockd/decide/queue_predict.c
+++ b/comfreydockd/decide/queue_predict.c
@@ -8,10 +8,10 @@
 #define QUEUE_STANDING_US (100 * US_PER_MS)
 #define QUEUE_STANDING_SERVICES 32
 #define QUEUE_OFFERED_WINDOW_US (100 * US_PER_MS)
-#define QUEUE_OFFERED_SHARE 0.75 /* of the slots: so much keeps them full */
+#define QUEUE_OFFERED_SHARE 0.75 /* of the slots: keeps them full */
 #define QUEUE_RETRY_AFTER_MAX_MS 10000
 
-/* The time that work ahead of an item takes on these slots. */
+/* Returns how long the slots need for the work ahead of an item. */
 static int64_t queue_wait_for_us(const struct queue *queue, int64_t work_us,
 				 const struct queue_slots *slots)
 {
@@ -23,7 +23,8 @@
 	return (work_us + to_end * queue->overall.mean_us) / limit;
 }
 
-/* The wait behind work of its own lane and all of the lanes above. */
+/* Returns the wait behind work of the item's own lane and of all lanes above
+ * it. */
 static int64_t queue_wait_behind_us(const struct queue *queue, uint32_t lane,
 				    int64_t work_us,
 				    const struct queue_slots *slots)
@@ -75,10 +76,10 @@
 }
 
 /*
- * All that was accepted is in the queue until the end of the turn, also where
- * slots are free. Were an item there taken for a queue, of requests that arrive
- * in one turn all but the first would be refused as busy beside free slots, and go
- * round to other hosts; one notices extra attempts on a calm day.
+ * Accepted items stay in the queue until the end of the loop iteration, even if
+ * slots are free. If they counted as waiting, all but the first of several
+ * requests that arrive in one iteration would be refused as busy beside free
+ * slots and sent to other hosts. The fault shows as extra attempts at low load.
  */
 bool queue_has_free_slot(const struct queue *queue,
 			 const struct queue_slots *slots)
--- a/comfreydockd/decide/retry.c
+++ b/comfreydockd/decide/retry.c
@@ -33,7 +33,7 @@
 	double share = budget_percent / 100.0 / RETRY_SHARED_PARTS;
 
 	retry->is_shared = true;
-	/* Below one no repeat would ever be made. */
+	/* With less than one token no retry would ever be made. */
 	window_budget_set(&retry->window, share, MAX(part, 1.0));
 }
 
@@ -64,8 +64,7 @@
 	return retry->budget.burst;
 }
 
-/* Whether another attempt could run the request a second time, or answer it a
- * second time. */
+/* Refuses a retry that could run the request twice or answer it twice. */
 static enum retry_verdict check_safe(const struct retry_context *question)
 {
 	if (question->answer_begun)
@@ -92,13 +91,14 @@
 	       outcome != RETRY_OUTCOME_NOT_HERE;
 }
 
-/* No work was done and the cause is this one upstream. */
+/* Returns true if the attempt did no work and failed because of this upstream
+ * alone. */
 static bool is_free_of_charge(enum retry_outcome outcome)
 {
 	return !retry_counts(outcome) || outcome == RETRY_OUTCOME_BUSY;
 }
 
-/* Full jitter: anything up to a bound that doubles with each attempt. */
+/* Full jitter: any delay up to a bound that doubles with each attempt. */
 static int64_t backoff_us(uint32_t attempts, struct random_state *random)
 {
 	int64_t bound = RETRY_BASE_US;
@@ -109,9 +109,9 @@
 }
 
 /*
- * Calls that one owner refuses get nearly the same hint. Were it passed on as it
- * is, all their callers would come back in the same few milliseconds, and the
- * rush would repeat itself.
+ * Returns a random addition to the owner's hint. An owner gives nearly the same
+ * hint to all calls that it refuses. Passed on unchanged, it would bring all
+ * their callers back within a few milliseconds, and the burst would repeat.
  */
 static int64_t spread_us(int64_t hint_us, struct random_state *random)
 {
--- a/comfreydockd/decide/window_budget.c
+++ b/comfreydockd/decide/window_budget.c
@@ -11,7 +11,7 @@
 	return &budget->slots[number % RING];
 }
 
-/* Empties the slots that have begun since the last look. */
+/* Clears the slots that have begun since the last call. */
 static void advance(struct window_budget *budget, int64_t now_us)
 {
 	int64_t number = now_us / WINDOW_BUDGET_SLOT_US;
@@ -52,8 +52,8 @@
 	slot_of(budget, budget->newest)->calls += 1.0;
 }
 
-/* A daemon that has just started knows few of the others, and would take their
- * parts of the slack for its own. */
+/* Limits the slack in the first window: a daemon that has just started knows
+ * few of the others and would take their parts of the slack. */
 static double slack_of(const struct window_budget *budget)
 {
 	bool is_new = budget->newest - budget->first < WINDOW_BUDGET_SLOTS;
--- a/include/comfreydockd/decide/breaker.h
+++ b/include/comfreydockd/decide/breaker.h
@@ -1,36 +1,39 @@
 /*
  * NAME
- *	breaker - keep requests from an upstream that breaks off all it is given
+ *	breaker - a circuit breaker for an upstream that fails every request
  *
  * DESCRIPTION
- *	One for each owner. After BREAKER_FAILURES runs in a row that gave no
- *	answer (broken off, strange, none long after the deadline) it is open:
- *	requests that another upstream may take are turned back as not run, also
- *	where the others are slow or busy. A request that no other has taken is
- *	begun all the same, and to find out one that may be repeated every
- *	BREAKER_TRIAL_US and any other every BREAKER_UNSAFE_TRIAL_US. BREAKER_SUCCESSES
- *	answers in a row close it.
+ *	Each owner has one. It opens after BREAKER_FAILURES consecutive runs
+ *	without an answer: the connection broke, the answer was malformed, or
+ *	none came until long after the deadline. While it is open, the owner
+ *	refuses, as not run, each request that another upstream may take, even
+ *	if the others are slow or busy. A request that no other upstream has
+ *	taken is started all the same. As trials, a request that may be repeated
+ *	is started every BREAKER_TRIAL_US, and any other one every
+ *	BREAKER_UNSAFE_TRIAL_US. BREAKER_SUCCESSES consecutive answers close the
+ *	breaker.
  *
- *	An upstream's own 5xx is an answer. Whether these are the upstream's
- *	fault or that of a service behind all of its kind, only entries can
- *	tell, who see the others; see health.h.
+ *	A 5xx of the upstream counts as an answer. Only entries, which see the
+ *	other upstreams too, can tell whether the upstream or a service behind
+ *	all upstreams is at fault; see health.h.
  *
  * LOAD PATTERN
- *	An upstream whose health path says that it is well and that resets each
- *	request, or answers none.
+ *	An upstream whose health check succeeds, but which resets every request
+ *	or answers none.
  *
  * WITHOUT IT
- *	Each entry has to find out by itself, and again with each of its
- *	trials. Bookings are lost there by the dozen, all of unknown outcome,
- *	and their callers have to look up each.
+ *	Each entry has to find out by itself, and does so again with each of its
+ *	trials. Dozens of bookings are lost there with an unknown outcome, and
+ *	their callers have to look up each one.
  *
  * GROUNDS
- *	BREAKER_FAILURES: an upstream that loses one answer in twenty, as under a
- *	poor network, opens it once in three million runs; one that loses four
- *	in ten once in a hundred. BREAKER_TRIAL_US: ten requests a second that
- *	may be repeated are little beside what an upstream does, and it is back
- *	within some 200 ms. Where nothing may be repeated, one caller in a second
- *	takes the risk, or the upstream would never be found well again.
+ *	BREAKER_FAILURES: an upstream that loses one answer in twenty, as on a
+ *	poor network, opens the breaker once in three million runs; one that
+ *	loses four in ten opens it once in a hundred. BREAKER_TRIAL_US: ten
+ *	repeatable requests a second are a small load for an upstream, and a
+ *	recovered one is back within some 200 ms. If no request may be repeated,
+ *	one caller per second takes the risk; otherwise, the upstream would
+ *	never be found to have recovered.
  *
  * UNITS
  *	Monotonic microseconds.
@@ -46,21 +49,23 @@
 #define BREAKER_TRIAL_US ((int64_t)100 * 1000)
 #define BREAKER_UNSAFE_TRIAL_US ((int64_t)1000 * 1000)
 
-/* All zero at the start: closed. */
+/* Zero-initialised: closed. */
 struct breaker {
 	bool is_open;
-	uint32_t streak; /* of failed runs */
-	uint32_t good; /* answers in a row since it opened */
-	int64_t tried_us; /* the last trial */
+	uint32_t streak; /* consecutive failed runs */
+	uint32_t good; /* consecutive answers since it opened */
+	int64_t tried_us; /* time of the last trial */
 };
 
-/* RETURN VALUE: true where the breaker has opened or closed by this. */
+/* RETURN VALUE: true if the result has opened or closed the breaker. */
 bool breaker_note_result(struct breaker *breaker, bool is_answer);
 
 /*
- * RETURN VALUE: true where the request is to be turned back. false counts as a
- * trial where the breaker is open. may_repeat: lost here, it would be sent to
- * another upstream.
+ * may_repeat: if the request is lost here, it is sent to another upstream.
+ *
+ * RETURN VALUE
+ *	True if the request must be refused. False counts as a trial if the
+ *	breaker is open.
  */
 bool breaker_turns_back(struct breaker *breaker, bool may_turn_back,
 			bool may_repeat, int64_t now_us);
--- a/include/comfreydockd/decide/estimate.h
+++ b/include/comfreydockd/decide/estimate.h
@@ -1,16 +1,17 @@
 /*
  * NAME
- *	estimate - how long the requests of one kind hold a slot
+ *	estimate - how long the requests of one kind occupy a slot
  *
  * DESCRIPTION
  *	A running mean, which is right for sums, and a running median, which a
- *	rare long job hardly moves. queue keeps one for each class and one for
- *	all.
+ *	rare long job hardly moves. The queue keeps one estimate for each class
+ *	and one for all classes.
  *
  * GROUNDS
- *	With a larger gain of the mean, a few long jobs in a row make the queue
- *	refuse a part of a burst that could be served. The steps of the median
- *	and the time before the first sample are assumptions.
+ *	With a larger gain of the mean a few consecutive long jobs would make
+ *	the queue refuse part of a burst that could be served. The mean moves by
+ *	1/64 per sample and the median by at most 1/32. Before the first sample
+ *	both are 10 ms.
  *
  * UNITS
  *	Microseconds.
@@ -32,9 +33,9 @@
 void estimate_note(struct estimate *estimate, int64_t sample_us);
 
 /*
- * A request that the estimate spoke against has ended, and far below it: the
- * estimate is of other times. Brought down by the usual small steps it would
- * refuse most of some hundred requests yet.
+ * Notes a request that was accepted against the estimate and ended far below
+ * it: the estimate stems from other conditions. With the usual small steps down
+ * it would refuse most of some hundred further requests.
  */
 void estimate_correct(struct estimate *estimate, int64_t sample_us);
 
--- a/include/comfreydockd/decide/heap.h
+++ b/include/comfreydockd/decide/heap.h
@@ -4,9 +4,9 @@
  *
  * DESCRIPTION
  *	A priority queue whose nodes are embedded in the user's structs. It
- *	allocates nothing; insert takes constant time, taking the first or any
- *	other node O(log n) amortised. Equal nodes come out in no stated order:
- *	the comparison must break ties.
+ *	allocates no memory. Insertion takes constant time, and removal of the
+ *	first or any other node takes O(log n) amortised time. Equal nodes come
+ *	out in no particular order, so the comparison must break ties.
  *
  * SOURCE
  *	Fredman, Sedgewick, Sleator, Tarjan, "The Pairing Heap", 1986.
@@ -20,10 +20,10 @@
 struct heap_node {
 	struct heap_node *child;
 	struct heap_node *next;
-	struct heap_node *prev; /* parent for the first child */
+	struct heap_node *prev; /* the parent, for a first child */
 };
 
-/* The struct that a node is embedded in. */
+/* Returns the struct in which a node is embedded. */
 #define heap_entry(node, type, member) \
 	((type *)(void *)((char *)(node)-offsetof(type, member)))
 
@@ -41,7 +41,7 @@
 /* The node must be in this heap. */
 void heap_remove(struct heap *heap, struct heap_node *node);
 
-/* RETURN VALUE: the first node, left in place, or NULL. */
+/* RETURN VALUE: the first node, which is not removed, or NULL. */
 struct heap_node *heap_first(const struct heap *heap);
 
 #endif
--- a/include/comfreydockd/decide/hedge.h
+++ b/include/comfreydockd/decide/hedge.h
@@ -1,39 +1,39 @@
 /*
  * NAME
- *	hedge - a second attempt while the first is still out
+ *	hedge - a second attempt while the first one is still out
  *
  * DESCRIPTION
- *	One struct hedge for each service. After an attempt was sent the entry
- *	asks hedge_delay_us() and sets a timer; when the timer fires and there
- *	is still no answer it asks hedge_take(), sends to an untried upstream
- *	and cancels the slower of the two. A hedge is always sent as "refuse if
- *	busy": it must never wait in a queue. A hedge that ends NOT_RUN is
- *	dropped, and the first attempt goes on.
+ *	Each service has one struct hedge. After an attempt has been sent, the
+ *	entry asks hedge_delay_us() and sets a timer. If the timer fires before
+ *	an answer has come, the entry asks hedge_take(), sends to an untried
+ *	upstream and cancels the slower of the two attempts. A hedge is always
+ *	sent as "refuse if busy": it must never wait in a queue. A hedge that
+ *	ends NOT_RUN is dropped, and the first attempt goes on.
  *
- *	Only for requests that are idempotent. There is no retry budget in it:
- *	hedges have their own.
+ *	Only idempotent requests are hedged. Hedges do not draw on the retry
+ *	budget, but on a budget of their own.
  *
- *	A hedge that seldom wins is dear: the budget pays up to HEDGE_PRICE_MAX times
- *	for it. Where an answer is late because its work is long, or because
- *	all upstreams are slow alike, the second attempt is as late as the first
- *	and only takes a slot.
+ *	A hedge costs up to HEDGE_PRICE_MAX times as many tokens if hedges
+ *	seldom win. If an answer is late because its work is long, or because
+ *	all upstreams are equally slow, the second attempt is as late as the
+ *	first one and only takes a slot.
  *
- *	The time of an attempt that was cancelled because its hedge won is told
- *	to hedge_note_latency() too, as far as it got: leaving it out would cut
- *	the slow end off, lower the delay and so bring more hedges.
+ *	If a hedge wins, the elapsed time of the cancelled attempt is passed to
+ *	hedge_note_latency() too. Leaving it out would cut off the tail of the
+ *	distribution, shorten the delay and so cause more hedges.
  *
  * LOAD PATTERN
- *	Tail latency: one slow upstream, one pause, among many quick answers.
+ *	Tail latency: one slow upstream or one pause among many fast answers.
  *
  * WITHOUT IT
  *	The slowest one in twenty lookups waits for as long as its upstream
- *	pauses, while the others are free.
+ *	pauses, while other upstreams are free.
  *
  * GROUNDS
- *	The 95th percentile: hedges are about 5% of calls before the budget
- *	cuts in (Dean and Barroso report a few percent more work for a large
- *	cut of the tail). HEDGE_MIN_SAMPLES is an assumption: five samples
- *	above the percentile.
+ *	With the 95th percentile hedges are about 5% of calls before the budget
+ *	applies (Dean and Barroso report a few percent more work for a large
+ *	reduction of the tail). HEDGE_MIN_SAMPLES: five samples above the
+ *	percentile.
  *
  * UNITS
  *	Microseconds; deadline_us and now_us are monotonic.
@@ -55,7 +55,8 @@
 #define HEDGE_MIN_SAMPLES 100
 #define HEDGE_BURST 5.0
 #define HEDGE_PRICE_MAX 5.0
-/* Weight of one hedge in the share that wins, and what that begins with. */
+/* Weight of one hedge in the share of hedges that win, and the initial
+ * share. */
 #define HEDGE_WIN_ALPHA 0.25
 #define HEDGE_WIN_INITIAL 0.5
 
@@ -67,12 +68,12 @@
 };
 
 struct hedge_context {
-	bool enabled; /* by the rule */
+	bool enabled; /* enabled by the rule */
 	bool idempotent;
 	bool answer_begun;
-	uint32_t hedges; /* sent for this request */
-	size_t untried; /* upstreams left */
-	uint32_t depth; /* a hedge costs 1 + depth tokens */
+	uint32_t hedges; /* already sent for this request */
+	size_t untried; /* upstreams not tried yet */
+	uint32_t depth; /* of nested calls; a hedge costs 1 + depth tokens */
 	int64_t deadline_us;
 };
 
@@ -82,14 +83,15 @@
 void hedge_note_request(struct hedge *hedge);
 void hedge_note_latency(struct hedge *hedge, int64_t latency_us);
 
-/* Where an answer came while both attempts were out: whether the hedge's. */
+/* Notes which attempt answered first while both were out; won: the hedge. */
 void hedge_note_race(struct hedge *hedge, bool won);
 
-/* RETURN VALUE: the time to wait from now on, or -1 for no hedge. */
+/* RETURN VALUE: the time to wait from now on, or -1 if no hedge must be
+ * sent. */
 int64_t hedge_delay_us(const struct hedge *hedge,
 		       const struct hedge_context *question, int64_t now_us);
 
-/* Asks again, at the time of the hedge, and takes the tokens. */
+/* Checks again when the hedge is due, and takes the tokens. */
 bool hedge_take(struct hedge *hedge, const struct hedge_context *question,
 		int64_t now_us);
 
--- a/include/comfreydockd/decide/pace.h
+++ b/include/comfreydockd/decide/pace.h
@@ -1,37 +1,44 @@
 /*
  * NAME
- *	pace - whether to begin work on a host that is slow at this moment
+ *	pace - whether to start work on a host that is slow at this moment
  *
  * DESCRIPTION
- *	An upstream that shares its host may tell how long work takes there
- *	now, in percent of the usual time. The owner keeps the last figure, and
- *	before each start judges: start here, hold the request until the slow
- *	spell ends, or turn it back, as not run, for another host.
+ *	An upstream that shares its host may report how long work takes there
+ *	now, in percent of the usual time. The owner keeps the last report and
+ *	decides before each start: start the request here, hold it until the
+ *	slow spell ends, or turn it back, as not run, for another host.
  *
  * LOAD PATTERN
  *	At any moment a quarter to a third of the hosts run seven times slower
- *	for about half a second, each on its own. What begins in a slow spell is
- *	slow to its end, whatever comes after; what begins just before one is
- *	hardly slowed.
+ *	for about half a second, each independently. Work that starts in a slow
+ *	spell stays slow to its end, whatever comes after. Work that starts just
+ *	before a spell is hardly slowed down.
  *
  * WITHOUT IT
- *	Each such share of the requests takes seven times as long. Their
- *	callers notice every third or fourth answer late, while two thirds of
- *	the slots are free elsewhere.
+ *	The same share of all requests takes seven times as long. Callers get
+ *	every third or fourth answer late, while two thirds of the slots are
+ *	free elsewhere.
  *
  * GROUNDS
- *	PACE_SLOW_FACTOR: turning back costs a round trip between failure
- *	domains and some work of two daemons, 1 to 3 ms; half as long again is
- *	7 ms for the shortest work of 15 ms.
- *	A host is slow only beside others, or beside itself a moment ago: where
- *	all have just been started each takes twice as long for seconds, and
- *	turning back from one to the next would only take time.
- *	PACE_HOLD_MARGIN: what is begun slow keeps its slot seven times as long,
- *	also after the spell; where slots are scarce it is held as long as half
- *	as much time again as it needs is left.
- *	PACE_WINDOW_US: three spells' length; slower for longer is usual.
- *	PACE_FRESH_US: with changes each 500 ms a figure that is 25 ms old is
- *	wrong in one case of 80; asking anew costs a hundredth of a request.
+ *	PACE_SLOW_FACTOR: turning a request back costs a round trip between
+ *	failure domains and some work of two daemons, 1 to 3 ms; half as long
+ *	again is 7 ms for the shortest work of 15 ms.
+ *
+ *	A host is slow only compared with others or with its own recent pace.
+ *	When all hosts have just been started, each takes twice as long for
+ *	seconds, and turning requests back from one to the next would only take
+ *	time.
+ *
+ *	PACE_HOLD_MARGIN: work that starts in a spell occupies its slot seven
+ *	times as long, even after the spell. If slots are scarce, a request is
+ *	therefore held while at least 1.5 times its usual work time remains.
+ *
+ *	PACE_WINDOW_US: the length of three spells. A host that is slower for
+ *	longer has a new usual pace.
+ *
+ *	PACE_FRESH_US: if the pace changes every 500 ms, a report that is 25 ms
+ *	old is wrong in one case of 80; asking again costs a hundredth of a
+ *	request.
  *
  * UNITS
  *	Times are monotonic microseconds.
@@ -45,30 +52,32 @@
 #define PACE_USUAL_PERCENT 100
 #define PACE_SLOW_FACTOR 1.5
 #define PACE_HOLD_MARGIN 1.5
-/* A deadline commonly leaves room for so many times the work. */
+/* Work of unknown length is assumed to take 1/6 of the remaining time, as
+ * deadlines commonly allow that multiple of the work. */
 #define PACE_DEADLINE_WORK_FACTOR 6
-/* One that is further away says nothing of the work. */
+/* A deadline further away says nothing about the work. */
 #define PACE_DEADLINE_MAX_US ((int64_t)60 * 1000 * 1000)
 #define PACE_WINDOW_US ((int64_t)1500 * 1000)
 #define PACE_FRESH_US ((int64_t)25 * 1000)
 
-/* All zero before the first figure. */
+/* Zero-initialised, before the first report. */
 struct pace {
-	uint32_t percent; /* of the usual time; 0: never told */
+	uint32_t percent; /* of the usual time; 0: never reported */
 	int64_t at_us;
-	uint32_t told_percent; /* to the entries, last */
-	/* The least figures of this window and of the one before; 0: none. */
+	uint32_t told_percent; /* last value sent to the entries */
+	/* The lowest reports of the current and the previous window; 0:
+	 * none. */
 	int64_t window_us;
 	uint32_t least;
 	uint32_t least_before;
 };
 
 struct pace_item {
-	bool may_turn_back; /* another host might take it */
-	uint32_t other_percent; /* the best of these, as last told; 0: none */
-	bool is_busy; /* half of the slots or more are taken */
-	int64_t work_us; /* foreseen, at the usual pace; 0: not known */
-	int64_t target_us; /* an answer by then is in time */
+	bool may_turn_back; /* another host may take it */
+	uint32_t other_percent; /* best known pace of the other hosts; 0: none */
+	bool is_busy; /* at least half of the slots are in use */
+	int64_t work_us; /* expected, at the usual pace; 0: unknown */
+	int64_t target_us; /* the answer is on time until then */
 	int64_t deadline_us;
 };
 
@@ -76,22 +85,24 @@
 	PACE_START,
 	PACE_HOLD,
 	PACE_TURN_BACK,
-	PACE_TOO_LATE, /* not even an end of the spell now would help */
+	PACE_TOO_LATE, /* too late even if the spell ended now */
 };
 
-/* RETURN VALUE: true if the figure differs so much from the one told last that
- * the entries should know. */
+/* RETURN VALUE: true if the report differs so much from the last one sent that
+ * the entries must be told. */
 bool pace_note(struct pace *pace, uint32_t percent, int64_t now_us);
 
 bool pace_is_fresh(const struct pace *pace, int64_t now_us);
 
-/* True in a slow spell: by what this host had a moment ago. */
+/* Returns true in a slow spell, that is if the host is slow compared with its
+ * own recent pace. */
 bool pace_is_slow(const struct pace *pace);
 
-/* True where work takes clearly longer at percent than at other. */
+/* Returns true if work takes clearly longer at percent than at
+ * other_percent. */
 bool pace_is_worse(uint32_t percent, uint32_t other_percent);
 
-/* RETURN VALUE: the time as it would have been at the usual pace. */
+/* RETURN VALUE: the time that the work would have taken at the usual pace. */
 int64_t pace_usual_us(uint32_t percent, int64_t took_us);
 
 enum pace_verdict pace_judge(const struct pace *pace,
--- a/include/comfreydockd/decide/pick.h
+++ b/include/comfreydockd/decide/pick.h
@@ -1,57 +1,57 @@
 /*
  * NAME
- *	pick - choose the upstream for one attempt
+ *	pick - choose the upstream for an attempt
  *
  * DESCRIPTION
  *	An entry keeps one pick_set for each service and one pick_candidate for
- *	each upstream in it. pick_choose() names the candidate for the next
- *	attempt; pick_may_queue() says whether its owner may queue the attempt
- *	or must refuse at once when no slot is free (busy refusal). Every
- *	attempt is told to the set: pick_note_sent(), then exactly one of
- *	pick_note_done(), pick_note_failed() or pick_note_refused().
+ *	each upstream in it. pick_choose() returns the candidate for the next
+ *	attempt. pick_may_queue() tells whether its owner may queue the attempt
+ *	or must refuse it at once if no slot is free (busy refusal). Every
+ *	attempt must be reported to the set: pick_note_sent(), then exactly one
+ *	of pick_note_done(), pick_note_failed() or pick_note_refused().
  *
- *	The estimate of the work at an upstream is one's own outstanding
- *	attempts plus what others have there. The latter is the reported load
- *	less one's own share at the time of the report: adding the whole report
- *	would count one's own calls twice. It ages toward the mean of all
+ *	The work at an upstream is estimated as this entry's own outstanding
+ *	attempts plus the work of others. The latter is the reported load less
+ *	the own outstanding attempts at the time of the report: adding the whole
+ *	report would count own calls twice. It ages toward the mean of all
  *	reports, since a stale report says little about its upstream, but
  *	something about the service.
  *
- *	Each report tells the recent service time at its upstream as well. One
- *	above twice the usual counts as slowness: the owner sees all calls
- *	there, an entry among hundreds a few of its own.
+ *	Each report also contains the recent service time at its upstream. A
+ *	value above twice the typical one counts as slowness: the owner sees all
+ *	calls there, one entry among hundreds only a few of its own.
  *
- *	Where all seem full the reports are left out: they come back as late as
- *	the queues are long, and entries that follow the same late report all
+ *	If all upstreams seem full, the reports are ignored: they arrive as late
+ *	as the queues are long, and entries that follow the same late report all
  *	fill the same upstream.
  *
- *	An error counts as a slow answer, however quick it was: an upstream that
- *	fails fast has free slots and must not draw all calls for that.
+ *	An error counts as a slow answer, however fast it was: an upstream that
+ *	fails fast has free slots and must not attract all calls for that.
  *
  * LOAD PATTERN
- *	Load that shifts within milliseconds, reports that are old, upstreams
- *	that slow down while their neighbours don't.
+ *	Load that shifts within milliseconds, old reports, and upstreams that
+ *	slow down while their neighbours do not.
  *
  * WITHOUT IT
- *	Calls wait at a full upstream while another has free slots; an upstream
- *	that runs ten times slower gets as many calls as the others.
+ *	Calls wait at a full upstream while another one has free slots, and an
+ *	upstream that runs ten times slower gets as many calls as the others.
  *
- *	Hosts that run slow for a moment come after quick ones. Where none of
- *	these has room either, a request goes where it stays least long: a short
- *	queue at a quick host before a slow one that stands empty.
+ *	Hosts in a slow spell are chosen after fast ones. If no fast host has
+ *	room either, a request goes where it stays for the shortest time: a
+ *	short queue at a fast host is better than a slow host that is idle.
  *
- *	While some hosts run slow, all entries know it at once and turn to the
- *	same few others: each looks at two or three random ones only.
+ *	When some hosts become slow, all entries learn of it at once and turn to
+ *	the same few others, so each entry compares only two or three random
+ *	ones.
  *
  * GROUNDS
- *	The tables of docs/design/decisions.md. Short queues before slow hosts
- *	are played by tests/traces/slow-spells-busy, a few choices by
- *	tests/traces/slow-spells-many.
+ *	The tables of docs/design/decisions.md. tests/traces/slow-spells-busy
+ *	simulates short queues compared with slow hosts,
+ *	tests/traces/slow-spells-many the choice among a few.
  *
- *	The constants that runs compared: PICK_AGE_LATENCIES,
- *	PICK_MEAN_ALPHA, PICK_ROOM_UNKNOWN, PICK_REFUSAL_SHARE,
- *	PICK_FULL_UTILISATION, PICK_QUEUE_CHOICES and PICK_REPORTED_SLOW. All others
- *	are assumptions.
+ *	Simulation runs compared values of PICK_AGE_LATENCIES, PICK_MEAN_ALPHA,
+ *	PICK_ROOM_UNKNOWN, PICK_REFUSAL_SHARE, PICK_FULL_UTILISATION,
+ *	PICK_QUEUE_CHOICES and PICK_REPORTED_SLOW.
  *
  * UNITS
  *	Times are monotonic microseconds. Utilisation is work over limit: 1 is
@@ -76,33 +76,33 @@
 /* A request is never sent to more upstreams than this. */
 #define PICK_TRIED_MAX 16
 
-/* What an owner said of its upstream. */
+/* The load of an upstream as its owner reported it. */
 struct pick_load {
 	uint32_t running;
 	uint32_t queued;
-	uint32_t limit; /* 0: not known */
+	uint32_t limit; /* 0: unknown */
 	uint32_t expected_wait_us;
-	uint32_t service_us; /* recent median; 0: not known */
-	uint32_t pace_percent; /* time that work takes now; 0: not known */
+	uint32_t service_us; /* recent median; 0: unknown */
+	uint32_t pace_percent; /* current duration of work; 0: unknown */
 };
 
 struct pick_candidate {
 	/* Set by the entry. */
 	uint64_t id; /* unique in the set, never 0 */
 	bool local; /* in the entry's own failure domain */
-	bool usable; /* member and health allow new work */
-	double warm; /* 0..1, weight while warming up */
-	uint32_t slots; /* declared; 0: not known */
-	void *data; /* the entry's own */
+	bool usable; /* membership and health allow new work */
+	double warm; /* 0..1, weight during warm-up */
+	uint32_t slots; /* declared; 0: unknown */
+	void *data; /* for the entry */
 
-	/* Kept by pick. */
+	/* Maintained by pick. */
 	uint32_t outstanding; /* own attempts that have not ended */
 	bool load_known;
 	struct pick_load load; /* the last report */
 	int64_t load_at_us;
-	double others; /* work of others at the report */
-	double mean_utilisation; /* of others' work, over its reports */
-	double latency_us; /* running median; 0: not known */
+	double others; /* work of other entries at the last report */
+	double mean_utilisation; /* mean of others' work over its reports */
+	double latency_us; /* running median; 0: unknown */
 	uint32_t latency_samples;
 	int64_t latency_at_us;
 };
@@ -126,28 +126,28 @@
 extern const struct pick_policy pick_random;
 extern const struct pick_policy pick_round_robin;
 extern const struct pick_policy pick_least_outstanding;
-extern const struct pick_policy pick_two_choices; /* by own outstanding */
-extern const struct pick_policy pick_two_scores; /* by score */
+extern const struct pick_policy pick_two_choices; /* by outstanding attempts */
+extern const struct pick_policy pick_two_scores; /* by pick_score() */
 extern const struct pick_policy pick_least_score;
 
-/* The one that the daemon uses. */
+/* The policy that the daemon uses. */
 extern const struct pick_policy *const pick_default_policy;
 
-/* RETURN VALUE: NULL if there is none of that name. */
+/* RETURN VALUE: NULL if there is no policy of that name. */
 const struct pick_policy *pick_policy_find(const char *name);
 
 struct pick_set {
 	const struct pick_policy *policy;
-	GPtrArray *candidates; /* of struct pick_candidate, the entry's own */
-	GPtrArray *eligible; /* scratch of pick_choose() */
-	GArray *services; /* scratch of pick_note_load() */
+	GPtrArray *candidates; /* of struct pick_candidate, owned by the entry */
+	GPtrArray *eligible; /* scratch space of pick_choose() */
+	GArray *services; /* scratch space of pick_note_load() */
 	struct random_state random;
 	struct budget refusals;
-	uint64_t turn; /* round robin */
-	double mean_utilisation; /* of the others' work, over all reports */
+	uint64_t turn; /* for round robin */
+	double mean_utilisation; /* mean of others' work over all reports */
 	uint32_t reports;
-	double typical_service_us; /* median of the upstreams' last reports */
-	uint32_t usual_pace; /* expected of a host that has not told */
+	double typical_service_us; /* median of all upstreams' last reports */
+	uint32_t usual_pace; /* assumed for a host without a recent report */
 	double typical_latency_us; /* running median over all upstreams */
 	uint32_t typical_samples;
 };
@@ -156,43 +156,43 @@
 		   uint64_t seed);
 void pick_set_finish(struct pick_set *set);
 
-/* Sets the fields that pick keeps to "nothing known", warm to 1. */
+/* Resets the fields that pick maintains to "unknown" and sets warm to 1. */
 void pick_candidate_init(struct pick_candidate *candidate, uint64_t id);
 void pick_set_add(struct pick_set *set, struct pick_candidate *candidate);
 void pick_set_remove(struct pick_set *set, struct pick_candidate *candidate);
 
 bool pick_tried_has(const struct pick_tried *tried, uint64_t id);
 
-/* RETURN VALUE: false if the record is full; then there is no next attempt. */
+/* RETURN VALUE: false if tried is full; then no further attempt is possible. */
 bool pick_tried_add(struct pick_tried *tried, uint64_t id);
 
-/* Takes those out of tried that are in some. */
+/* Removes the ids in some from tried. */
 void pick_tried_remove(struct pick_tried *tried, const struct pick_tried *some);
 
-/* Counts one request, whatever its number of attempts. */
+/* Counts a request, regardless of its number of attempts. */
 void pick_note_request(struct pick_set *set);
 
 /*
  * RETURN VALUE
- *	A candidate that is usable and not tried; NULL only if there is none or
- *	tried is full.
+ *	A candidate that is usable and not in tried; NULL only if there is none
+ *	or tried is full.
  */
 struct pick_candidate *pick_choose(struct pick_set *set,
 				   const struct pick_tried *tried,
 				   int64_t now_us);
 
-/* RETURN VALUE: how many candidates are usable and not tried. */
+/* RETURN VALUE: the number of candidates that are usable and not in tried. */
 size_t pick_count_untried(const struct pick_set *set,
 			  const struct pick_tried *tried);
 
 /*
- * Whether the owner of the chosen candidate may queue the attempt. False, "be
- * refused at once if no slot is free", only while another attempt is allowed,
- * another untried candidate seems to have room, and the budget for refusals
- * is not spent: at overload a refusal would only move the wait elsewhere, at
- * the cost of a message.
+ * Returns whether the owner of the chosen candidate may queue the attempt.
+ * False means "refuse at once if no slot is free". It is returned only if a
+ * further attempt is allowed, another untried candidate seems to have room, and
+ * the budget for refusals is not used up: under overload a refusal would only
+ * move the wait elsewhere, at the cost of a message.
  *
- * candidate is not yet in tried.
+ * candidate is not in tried yet.
  */
 bool pick_may_queue(const struct pick_set *set,
 		    const struct pick_candidate *candidate,
@@ -201,49 +201,52 @@
 
 void pick_note_sent(struct pick_set *set, struct pick_candidate *candidate);
 
-/* An answer came; load may be NULL. */
+/* Notes an answer; load may be NULL. */
 void pick_note_done(struct pick_set *set, struct pick_candidate *candidate,
 		    int64_t latency_us, const struct pick_load *load,
 		    int64_t now_us);
 
-/* An error, a lost connection, a timeout or a cancel after latency_us. */
+/* Notes an error, a lost connection, a timeout or a cancel after latency_us. */
 void pick_note_failed(struct pick_set *set, struct pick_candidate *candidate,
 		      int64_t latency_us, const struct pick_load *load,
 		      int64_t now_us);
 
-/* NOT_RUN; charged to the budget for refusals where busy is true. */
+/* Notes an attempt that ended NOT_RUN. If busy, it is charged to the budget for
+ * refusals. */
 void pick_note_refused(struct pick_set *set, struct pick_candidate *candidate,
 		       bool busy, const struct pick_load *load, int64_t now_us);
 
-/* A report that came by itself. */
+/* Notes a report that did not come with an answer. */
 void pick_note_load(struct pick_set *set, struct pick_candidate *candidate,
 		    const struct pick_load *load, int64_t now_us);
 
-/* RETURN VALUE: the host's pace as last told; where nothing of late is known the
- * best one known, or PACE_USUAL_PERCENT. */
+/* RETURN VALUE: the last reported pace of the host. Without a recent report it
+ * is the best known pace of any host, or PACE_USUAL_PERCENT. */
 uint32_t pick_pace(const struct pick_set *set,
 		   const struct pick_candidate *candidate, int64_t now_us);
 
-/* RETURN VALUE: the best pace among those that are usable and not tried, this
- * one left out; 0: there is no other. */
+/* RETURN VALUE: the best pace among the other candidates that are usable and
+ * not tried; 0: there is none. */
 uint32_t pick_other_pace(const struct pick_set *set,
 			 const struct pick_candidate *candidate,
 			 const struct pick_tried *tried, int64_t now_us);
 
-/* The estimate of work over limit, with the attempt to be placed included. */
+/* Returns the estimated work over the limit, including the attempt to be
+ * placed. */
 double pick_utilisation(const struct pick_set *set,
 			const struct pick_candidate *candidate, int64_t now_us);
 
-/* The candidate's latency over the typical one, aged toward 1. */
+/* Returns the candidate's latency relative to the typical one, aged toward
+ * 1. */
 double pick_relative_latency(const struct pick_set *set,
 			     const struct pick_candidate *candidate,
 			     int64_t now_us);
 
-/* Utilisation times relative latency; less is better. */
+/* Returns utilisation times relative latency; lower is better. */
 double pick_score(const struct pick_set *set,
 		  const struct pick_candidate *candidate, int64_t now_us);
 
-/* The same by one's own outstanding attempts alone. */
+/* The same, based on this entry's own outstanding attempts only. */
 double pick_own_score(const struct pick_set *set,
 		      const struct pick_candidate *candidate, int64_t now_us);
 
--- a/include/comfreydockd/decide/queue_admit.h
+++ b/include/comfreydockd/decide/queue_admit.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	queue_admit - whether a queue takes an item
+ *	queue_admit - admission control of a queue
  *
  * DESCRIPTION
- *	Internal to queue. Refuses what would be late or is too much, and names
- *	the reason; lets an item through now and then that only the estimate
- *	speaks against. See queue for its grounds.
+ *	Internal to queue. Refuses items that would be late or exceed a bound,
+ *	with the reason, and from time to time accepts an item that only the
+ *	estimate speaks against. The grounds are in queue.h.
  */
 #ifndef COMFREYDOCKD_DECIDE_QUEUE_ADMIT_H
 #define COMFREYDOCKD_DECIDE_QUEUE_ADMIT_H
--- a/include/comfreydockd/decide/random.h
+++ b/include/comfreydockd/decide/random.h
@@ -1,14 +1,15 @@
 /*
  * NAME
- *	random - random numbers whose seed the caller fixes
+ *	random - pseudorandom numbers with a fixed seed
  *
  * DESCRIPTION
  *	Each decision takes its generator as an argument, so that a test or a
- *	replay with the same seed decides the same. Not for secrets.
+ *	replay with the same seed makes the same decisions. Not suitable for
+ *	secrets.
  *
  * SOURCE
- *	Steele, Lea and Flood, "Fast Splittable Pseudorandom Number
- *	Generators", OOPSLA 2014 (splitmix64).
+ *	Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators",
+ *	OOPSLA 2014 (splitmix64).
  */
 #ifndef COMFREYDOCKD_DECIDE_RANDOM_H
 #define COMFREYDOCKD_DECIDE_RANDOM_H
@@ -34,8 +35,8 @@
 	return (double)(random_u64(random) >> 11) * 0x1.0p-53;
 }
 
-/* RETURN VALUE: at least 0, less than bound; 0 where bound is 0. The bias is
- * below bound / 2^53. */
+/* RETURN VALUE: at least 0, less than bound; 0 if bound is 0. The bias is below
+ * bound / 2^53. */
 static inline uint64_t random_below(struct random_state *random, uint64_t bound)
 {
 	return (uint64_t)(random_unit(random) * (double)bound);
--- a/include/comfreydockd/decide/rendezvous.h
+++ b/include/comfreydockd/decide/rendezvous.h
@@ -1,14 +1,14 @@
 /*
  * NAME
- *	rendezvous - draws a few hosts of many, the same at each daemon
+ *	rendezvous - chooses a few of many hosts, the same ones at each daemon
  *
  * DESCRIPTION
- *	Each daemon computes the weights of all hosts; those with the highest
- *	are drawn. One that comes or goes changes one of them.
+ *	Each daemon computes the weights of all hosts and chooses those with the
+ *	highest ones. A host that joins or leaves changes at most one of them.
  *
  * SOURCE
- *	Thaler, Ravishankar, "Using name-based mappings to increase hit
- *	rates", IEEE/ACM Transactions on Networking 6(1), 1998.
+ *	Thaler, Ravishankar, "Using name-based mappings to increase hit rates",
+ *	IEEE/ACM Transactions on Networking 6(1), 1998.
  */
 #ifndef COMFREYDOCKD_DECIDE_RENDEZVOUS_H
 #define COMFREYDOCKD_DECIDE_RENDEZVOUS_H
--- a/include/comfreydockd/decide/speed.h
+++ b/include/comfreydockd/decide/speed.h
@@ -1,29 +1,30 @@
 /*
  * NAME
- *	speed - how long an upstream takes, as told to other daemons
+ *	speed - the service time of an upstream, as reported to other daemons
  *
  * DESCRIPTION
- *	One struct speed at each owner. speed_us() travels with the load in
- *	answers and refusals; pick takes more than twice the usual for slow.
+ *	Each owner has one struct speed. speed_us() is sent with the load in
+ *	answers and refusals. The pick module treats more than twice the typical
+ *	value as slow.
  *
- *	It is a running median of about the last twenty answers: a rare long job
- *	hardly moves it, and an upstream that runs ten times slower shows after
- *	twenty. An error counts as an answer that took SPEED_ERROR_SLOWNESS
- *	times as long as a good one, so that an upstream that fails each call at
- *	once is not told of as a quick one.
+ *	The value is a running median of about the last twenty answers: a rare
+ *	long job hardly moves it, and an upstream that becomes ten times slower
+ *	shows after twenty answers. An error counts as an answer that took
+ *	SPEED_ERROR_SLOWNESS times as long as a good one, so that an upstream
+ *	that fails each call at once is not reported as fast.
  *
  * LOAD PATTERN
- *	An upstream that slows without warning, one that fails fast; many
- *	entries, each of which sees few of its answers.
+ *	An upstream that slows down without warning or that fails fast, called
+ *	by many entries, each of which sees few of its answers.
  *
  * WITHOUT IT
  *	Each of 500 entries finds out by itself, with calls that are late or
  *	fail.
  *
  * GROUNDS
- *	Errors count in it, or each entry would still find out by itself that
- *	one fails fast. The figures are in docs/design/decisions.md.
- *	Steps of 1/8 and the slowness of an error are assumptions.
+ *	Errors count because, otherwise, each entry would still find out by
+ *	itself that an upstream fails fast. The figures are in
+ *	docs/design/decisions.md. The steps of the median are 1/8.
  *
  * UNITS
  *	Microseconds.
@@ -35,23 +36,23 @@
 
 #define SPEED_ERROR_SLOWNESS 20
 
-/* All zero at the start. */
+/* Zero-initialised. */
 struct speed {
-	int64_t good_us; /* running median of good answers; 0: none */
-	int64_t told_us; /* the same with errors in it */
+	int64_t good_us; /* running median of successful answers; 0: none */
+	int64_t told_us; /* the same including errors */
 };
 
-/* A good answer, and how long it took. */
+/* Notes a successful answer and how long it took. */
 void speed_note_answer(struct speed *speed, int64_t service_us);
 
-/* The upstream's own error. The median follows only where these are half of
- * the answers. */
+/* Notes an upstream's own error. The median follows only if half of the answers
+ * are errors. */
 void speed_note_error(struct speed *speed);
 
-/* RETURN VALUE: 0 before the first good answer. */
+/* RETURN VALUE: 0 before the first successful answer. */
 int64_t speed_us(const struct speed *speed);
 
-/* Moves a running median by at most one part in gain toward the sample. */
+/* Moves a running median toward the sample by at most 1/gain of itself. */
 void speed_move_median(int64_t *median_us, int64_t sample_us, int64_t gain);
 
 #endif
