--- a/comfreydockd/decide/quarantine.c
+++ b/comfreydockd/decide/quarantine.c
@@ -22,7 +22,7 @@
 	void *data;
 	GHashTable *by_key; /* key of a record -> record */
 	struct quarantine_list news; /* records to send, next one first */
-	struct quarantine_list settled; /* records that have been sent often enough */
+	struct quarantine_list settled; /* records sent often enough */
 	int64_t expired_us;
 	struct answered_slot good[QUARANTINE_ANSWERED_SLOTS];
 };
--- a/include/comfreydockd/decide/health.h
+++ b/include/comfreydockd/decide/health.h
@@ -108,7 +108,7 @@
 	uint64_t samples;
 	uint32_t streak; /* consecutive errors */
 	uint32_t unanswered; /* attempts without an answer */
-	int64_t heard_us; /* last sign of life, or first send after an idle time */
+	int64_t heard_us; /* last sign of life, or first send after idleness */
 	uint32_t open_questions; /* without an answer since heard_us */
 	int64_t until_us; /* end of the ejection */
 	int64_t ejected_us; /* time of the last ejection */
--- a/include/comfreydockd/decide/queue.h
+++ b/include/comfreydockd/decide/queue.h
@@ -108,7 +108,7 @@
 	QUEUE_REFUSED_BUSY, /* no free slot, and another upstream may take it */
 	QUEUE_REFUSED_DEADLINE, /* would be late */
 	QUEUE_REFUSED_STANDING, /* would wait too long in a standing queue */
-	QUEUE_REFUSED_UNFAIR, /* would be late, and its caller is over its share */
+	QUEUE_REFUSED_UNFAIR, /* would be late; its caller is over its share */
 	QUEUE_REFUSED_FULL, /* the queue is at its bound in items */
 	QUEUE_REFUSED_STALE, /* waited until it was too late to start */
 };
--- a/tests/queue_owner.c
+++ b/tests/queue_owner.c
@@ -81,7 +81,7 @@
 		owner->late[call->hot]++;
 }
 
-/* Ends what ends and refuses what gets stale until then. */
+/* Ends requests and refuses stale items up to the given time. */
 void owner_run_until(struct owner *owner, int64_t until_us)
 {
 	for (;;) {
@@ -126,7 +126,8 @@
 	return (int64_t)(-log(1 - g_test_rand_double()) * mean_us) + 1;
 }
 
-/* Calls of a load (1: all slots busy) with the given mean service time. */
+/* Generates calls for a load (1: all slots busy) with the given mean service
+ * time. */
 void owner_generate_calls(struct owner *owner, double load, double mean_us,
 			  int64_t deadline_us)
 {
--- a/tests/test_breaker.c
+++ b/tests/test_breaker.c
@@ -5,12 +5,12 @@
 
 #define MS ((int64_t)1000)
 
-/* What one owner got of a load in which one request in three may not run
- * twice, and how many of these its upstream broke off. */
+/* A simulated owner, and how many requests its upstream failed. One request in
+ * three must not run twice. */
 struct play {
 	struct breaker breaker;
 	unsigned int begun;
-	unsigned int lost; /* of those that may not run twice */
+	unsigned int lost; /* of those that must not run twice */
 	unsigned int turned_back;
 };
 
@@ -27,10 +27,10 @@
 }
 
 /*
- * The health path of an upstream says that all is well, and it resets each
- * request. Requests that may not run twice end as unknown there: the caller
- * is told neither that the booking was made nor that it was not. With 30
- * requests a second for six seconds 60 such callers would be left so.
+ * The health check of an upstream succeeds, but it resets every request. A
+ * request that must not run twice then ends with an unknown outcome: the caller
+ * does not learn whether the booking was made. At 30 requests a second for six
+ * seconds 60 callers would be affected.
  */
 static void test_reset_upstream_loses_few(void)
 {
@@ -42,7 +42,8 @@
 	g_assert_cmpuint(play.turned_back, >, 100);
 }
 
-/* Well again, it gets its share back within a fifth of a second or so. */
+/* Guards against a recovered upstream that gets no requests: its breaker closes
+ * within about a fifth of a second. */
 static void test_closes_after_good_answers(void)
 {
 	struct play play = {.lost = 0};
@@ -57,8 +58,9 @@
 }
 
 /*
- * A network that loses one answer in twenty. Were such an upstream closed off,
- * and its likes with it, the rest would be overrun for little.
+ * Guards against a breaker that opens on a network that loses one answer in
+ * twenty. If it took such an upstream and others like it out of use, the
+ * remaining ones would be overloaded for little gain.
  */
 static void test_few_losses_keep_breaker_closed(void)
 {
@@ -71,8 +73,8 @@
 }
 
 /*
- * All upstreams of the group reset what they get. A request that has been
- * turned back everywhere is begun where it returns to: a poor chance is better
+ * All upstreams of the group reset every request. A request that all others
+ * have turned back is started where it returns to: a small chance is better
  * than none, and its caller decides about another try.
  */
 static void test_last_resort_is_started(void)
--- a/tests/test_deadline.c
+++ b/tests/test_deadline.c
@@ -4,8 +4,8 @@
 #include "common/clock.h"
 
 /*
- * Hosts' clocks differ by any amount, and a call goes 13 deep. Seen by a clock
- * that stands above all, no hop ends later than the one before it.
+ * The clocks of hosts differ by any amount, and calls are nested 13 deep. By a
+ * global clock no hop ends later than the one before it.
  */
 static void test_no_hop_extends_a_deadline(void)
 {
@@ -34,7 +34,7 @@
 	}
 }
 
-/* With no time spent, 13 hops keep two thirds; each one keeps a little back. */
+/* If no time is spent, 13 hops leave two thirds; each one keeps a share. */
 static void test_time_left_after_13_hops(void)
 {
 	int64_t remaining_us = 10 * US_PER_S;
@@ -46,8 +46,9 @@
 }
 
 /*
- * A service at the bottom of 13 fails, and each layer tries up to three times.
- * Unchecked, one call becomes 3^13 at the bottom; it may become six.
+ * A service at the bottom of 13 layers fails, and each layer tries up to three
+ * times. Without a reduction by depth one call becomes 3^13 at the bottom; it
+ * may become six.
  */
 static void test_retries_do_not_multiply(void)
 {
@@ -80,10 +81,10 @@
 }
 
 /*
- * A daemon was paused for some seconds, and its refusals of "busy" came after
- * that. Taken for the way there and back they would leave no time to any call
- * to its upstream: each is refused as late, so nothing corrects the estimate,
- * and callers are told "not run" by a service that is idle.
+ * A daemon paused for some seconds, and its "busy" refusals arrived after the
+ * pause. If they counted as round-trip times, no call to its upstream would
+ * have any time left. Each call would be refused as late, nothing would correct
+ * the estimate, and callers would get "not run" from an idle service.
  */
 static void test_pause_is_not_counted_as_round_trip(void)
 {
@@ -101,7 +102,8 @@
 			50);
 }
 
-/* A path of 1 ms is allowed little more, one that varies its variance. */
+/* Little more than 1 ms is set aside for a steady round trip of 1 ms; a varying
+ * one adds its deviation. */
 static void test_rtt_follows_round_trips(void)
 {
 	struct deadline_rtt path = {0};
@@ -116,10 +118,10 @@
 }
 
 /*
- * Under overload a call has waited for half of its time and has just been
- * started when its entry grows impatient. Broken off now, its slot time would
- * be lost and its caller told that nobody knows; one that an upstream has sat
- * on from the start is given up while another can still answer.
+ * Under overload a call has waited for half of its time and has just started
+ * when its entry's attempt timeout expires. Aborted now, its slot time would be
+ * lost and its outcome unknown. An attempt that an upstream has held from the
+ * start is given up while another upstream can still answer.
  */
 static void test_started_late_is_not_overdue(void)
 {
@@ -131,9 +133,9 @@
 }
 
 /*
- * An upstream stops in the middle of a long answer and resets nothing. Its caller
- * would wait for ever; one whose answer goes on for longer than its deadline gets
- * the whole of it.
+ * An upstream stops in the middle of a long answer and resets nothing. Without
+ * an idle timeout its caller would wait forever. An answer that makes progress
+ * beyond its deadline is delivered completely.
  */
 static void test_stalled_answer_is_aborted(void)
 {
--- a/tests/test_fair.c
+++ b/tests/test_fair.c
@@ -44,9 +44,9 @@
 }
 
 /*
- * One desk's software runs wild and has a thousand lookups waiting when
- * another desk asks for ten. In order of arrival the ten would wait behind the
- * thousand; they come out in turn with the first of them.
+ * A faulty client has a thousand lookups waiting when another caller sends ten.
+ * In order of arrival the ten would wait behind the thousand; with fair
+ * queueing they come out alternately with the first of them.
  */
 static void test_hot_caller_does_not_delay_others(void)
 {
@@ -76,10 +76,10 @@
 }
 
 /*
- * Many callers ask for little while one has a thousand requests waiting. Were
- * callers told apart by a few hundred classes of their names, some would fall in
- * the class of the hot one: these few notice that their requests are refused at
- * an upstream where everybody else is served, for as long as it runs.
+ * Many callers send a little while one has a thousand requests waiting. If
+ * callers were hashed into a few hundred flows, some would share the flow of
+ * the hot caller, and their requests would be refused for as long as it runs at
+ * an upstream that serves everybody else.
  */
 static void test_no_caller_shares_a_flow_with_a_hot_one(void)
 {
@@ -105,7 +105,8 @@
 	g_free(requests);
 }
 
-/* Switched off, what was sent first comes first, whoever sent it. */
+/* With fairness disabled items come out in order of arrival, whoever sent
+ * them. */
 static void test_disabled_keeps_arrival_order(void)
 {
 	struct request *requests = g_new0(struct request, 100);
@@ -124,9 +125,9 @@
 }
 
 /*
- * No caller starves: while it waits, any other gets at most one quantum and
- * two of the largest cost more slot time than it does, whatever their numbers
- * and costs.
+ * No caller starves: while it waits, any other caller gets at most one quantum
+ * and two of the largest costs more slot time, whatever their numbers and
+ * costs.
  */
 static void test_waiting_callers_get_equal_shares(void)
 {
--- a/tests/test_health.c
+++ b/tests/test_health.c
@@ -60,8 +60,8 @@
 }
 
 /*
- * A service behind all upstreams is down, and all answer with errors. To eject
- * them one after the other would only crowd those that are left.
+ * A service behind all upstreams is down, and all of them answer with errors.
+ * Ejecting one after the other would only overload the remaining ones.
  */
 static void test_common_fault_ejects_few(void)
 {
@@ -76,9 +76,9 @@
 }
 
 /*
- * A host freezes: its connections stand, and nothing comes back. Each call sent
- * there is lost to its caller, and no error ever counts against it before the
- * deadlines run out.
+ * A host freezes: its connections stay open, and nothing comes back. Each call
+ * sent there is lost, and no error counts against the upstream before the
+ * deadlines expire.
  */
 static void test_black_hole_is_ejected(void)
 {
@@ -94,9 +94,10 @@
 }
 
 /*
- * An upstream comes back and fails again. Each return takes one call at a time
- * and each failure keeps it away for longer, so that a flapping upstream costs
- * fewer and fewer callers an error. A late end of an older call is no trial.
+ * An upstream recovers and fails again. Each recovery lets one call through at
+ * a time, and each failure ejects it for longer, so that a flapping upstream
+ * fails fewer and fewer calls. A late result of an older call does not count as
+ * a trial.
  */
 static void test_flapping_upstream_is_ejected_for_longer(void)
 {
@@ -153,9 +154,9 @@
 }
 
 /*
- * Whatever ends how, drains, leaves or returns: while an upstream is available
- * one is in use, or all callers would be refused although it stands ready. And
- * no event ejects one more once the ceiling is reached.
+ * Whatever the outcomes, drains, removals and returns: while an upstream is
+ * available, one is in use, or all callers would be refused although it is
+ * ready. No event ejects an upstream once the maximum share is reached.
  */
 static void test_never_ejects_the_last(void)
 {
@@ -183,9 +184,9 @@
 }
 
 /*
- * Half of the hosts lose their network. A fifth of all calls is sent to each of
- * them, to be lost at its deadline: the ceiling, made for common faults, would
- * keep most of them in use although the others answer.
+ * Half of the hosts lose their network. A fifth of all calls goes to each of
+ * them and is lost at its deadline. The maximum share, which exists for common
+ * faults, would keep most of these hosts in use although the others answer.
  */
 static void test_mute_are_ejected_beyond_the_ceiling(void)
 {
@@ -207,8 +208,8 @@
 }
 
 /*
- * A slow upstream keeps a call for seconds, and its owner says so each time it
- * is asked. It must stay in use: its answer comes.
+ * A slow upstream takes seconds for a call, and its owner says so each time it
+ * is asked. The upstream must stay in use, since its answer comes.
  */
 static void test_slow_is_not_mute(void)
 {
@@ -225,10 +226,10 @@
 }
 
 /*
- * This host itself is cut off. Its callers would each wait for their whole
- * deadline, to hear that nobody knows what became of their call, while other
- * daemons could serve them. They are refused at once instead, but for a trial
- * now and then, and with the first sign of life all go through again.
+ * This host itself is cut off. Its callers would each wait until their
+ * deadlines and then get an unknown outcome, while other daemons could serve
+ * them. They are refused at once instead, except for occasional trials. With
+ * the first sign of life all calls go through again.
  */
 static void test_all_mute_allows_trials_only(void)
 {
--- a/tests/test_hedge.c
+++ b/tests/test_hedge.c
@@ -11,7 +11,7 @@
 	.deadline_us = 1000 * MS,
 };
 
-/* Ninety calls of 5 ms and ten of 100 ms in each hundred. */
+/* Of each hundred calls ninety take 5 ms and ten take 100 ms. */
 static void set_up(struct hedge *hedge, uint32_t percent)
 {
 	hedge_init(hedge, percent);
@@ -20,8 +20,8 @@
 }
 
 /*
- * One lookup of ten meets a pause of 100 ms. The hedge goes out once the call
- * takes longer than nineteen of twenty do, so not for the common ones.
+ * One lookup in ten meets a pause of 100 ms. The hedge is sent once the call
+ * takes longer than nineteen of twenty calls, so not for common calls.
  */
 static void test_waits_for_the_percentile(void)
 {
@@ -34,7 +34,7 @@
 	g_assert_cmpint(delay, <=, 110 * MS);
 }
 
-/* A service that has just started knows no percentile: a guess that is too low
+/* A service that has just started knows no percentile. A guess that is too low
  * would double its load. */
 static void test_no_hedge_without_samples(void)
 {
@@ -46,9 +46,9 @@
 }
 
 /*
- * Whatever is asked: a booking is never sent twice, no hedge starts that can't
- * end in time or has no other upstream, and the hedges stay within their
- * budget from the start on.
+ * For any input: a request that is not idempotent is never sent twice, no hedge
+ * is sent that cannot end in time or has no untried upstream, and the hedges
+ * stay within their budget from the start.
  */
 static void test_rules_hold_for_any_question(void)
 {
@@ -97,9 +97,9 @@
 }
 
 /*
- * The late calls of a service are late because there is much to do for them. A
- * second attempt does it all again and is later still; it takes a slot that
- * somebody waits for, and nobody gets an answer sooner.
+ * The slow calls of a service are slow because their work is long. A hedge does
+ * all the work again and ends even later; it takes a slot that somebody waits
+ * for, and nobody gets an answer sooner.
  */
 static void test_losing_hedges_are_few(void)
 {
@@ -113,7 +113,7 @@
 	g_assert_cmpint(few, >, 100);
 	g_assert_cmpint(few, <, 300);
 	g_assert_cmpint(count_hedges(&winning, 10000, true), >, 900);
-	/* The upstreams change; what wins again is found out. */
+	/* The upstreams change, and hedges that win again are detected. */
 	count_hedges(&losing, 1000, true);
 	g_assert_cmpint(count_hedges(&losing, 10000, true), >, 900);
 }
--- a/tests/test_knee.c
+++ b/tests/test_knee.c
@@ -7,8 +7,8 @@
 #define S ((int64_t)1000 * 1000)
 #define USUAL_US 210000
 
-/* Requests of an upstream that slows by a factor beyond four fifths; their
- * times spread by a third. */
+/* Feeds requests of an upstream that slows down by a factor above four fifths
+ * of its slots; their times vary by a third. */
 static void play(struct knee *knee, struct random_state *random, double factor,
 		 unsigned int count, int64_t *now_us)
 {
@@ -26,8 +26,8 @@
 
 /*
  * An upstream's requests take 1.7 times as long once eight of its nine slots
- * are taken. Filled up in a rush it does less than with seven, and callers
- * wait longer for it.
+ * are busy. Full, it completes fewer requests than with seven busy slots, and
+ * callers wait longer for them.
  */
 static void test_full_upstream_that_slows_keeps_slots_free(void)
 {
@@ -42,7 +42,7 @@
 	}
 }
 
-/* One that does not slow loses none of its slots to chance. */
+/* An upstream that does not slow down loses no slots to noise. */
 static void test_steady_upstream_keeps_all(void)
 {
 	for (uint64_t seed = 1; seed <= 50; seed++) {
@@ -58,11 +58,11 @@
 }
 
 /*
- * A rush fills an upstream that was nearly idle, and fills it for seconds: its
- * lookups take 1.7 times as long, and soon that is the usual time there. Compared
- * with the usual time of the moment they would pass for hardly slower than before,
- * all slots would stay in use, and callers would wait 170 ms in place of 100 for an
- * upstream that does less.
+ * A rush fills an upstream that was nearly idle and keeps it full for seconds.
+ * Its lookups take 1.7 times as long, and soon that is the typical time there.
+ * Compared with the current typical time they would look hardly slower than
+ * before, all slots would stay in use, and callers would wait 170 ms instead of
+ * 100 ms for an upstream that completes fewer requests.
  */
 static void test_rush_does_not_hide_slowdown(void)
 {
@@ -86,9 +86,10 @@
 }
 
 /*
- * At night an upstream answers checks of 20 ms, in the rush of the day bundles of
- * 200 ms. That these take ten times as long says nothing of how full it is; with
- * slots left free for it, callers would be refused beside them.
+ * An upstream answers checks of 20 ms at night and bundles of 200 ms during the
+ * daytime rush. That the bundles take ten times as long says nothing about how
+ * full it is. If slots were left free because of it, callers would be refused
+ * although slots are free.
  */
 static void test_different_classes_are_not_compared(void)
 {
@@ -111,8 +112,8 @@
 	g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, SLOTS);
 }
 
-/* What was found holds while it is seen, and is tried again after a while: the
- * upstream may have been mended. */
+/* A result holds while samples confirm it and is checked again after a while,
+ * as the upstream may have been repaired. */
 static void test_finding_decays(void)
 {
 	struct random_state random = {.state = 7};
@@ -137,8 +138,9 @@
 	g_assert_cmpuint(knee_slots(&knee, 2), ==, 1);
 }
 
-/* Requests done in so many seconds by an upstream that starts under more work
- * than it can do: as soon as one ends, the next begins. */
+/* Returns how many requests an upstream completes in the given time if it
+ * starts under more load than it can handle: a request starts as soon as one
+ * ends. */
 static unsigned int count_done_under_overload(double factor, int64_t seconds)
 {
 	struct random_state random = {.state = 11};
@@ -173,11 +175,11 @@
 }
 
 /*
- * All hosts have lost their power and come back at once, to callers who have
- * been waiting. Each upstream is full from its first moment and slower for it,
- * so the rush lasts; as it is never less than full, nothing shows that it would
- * do more with two slots left free. Of 33 requests a second that it can do it
- * does 24, and callers are refused for ten seconds more.
+ * All hosts have lost their power and restart at once, with callers already
+ * waiting. Each upstream is full from the start and slow because of it, so the
+ * rush lasts. As it is never less than full, nothing shows that two free slots
+ * would make it faster. It completes 24 requests a second instead of the
+ * possible 33, and callers are refused for ten more seconds.
  */
 static void test_overload_from_the_start_is_explored(void)
 {
@@ -187,7 +189,8 @@
 	g_assert_cmpuint(done, >=, 310);
 }
 
-/* Finding out costs an upstream that does not slow hardly anything. */
+/* The exploration costs hardly anything at an upstream that does not slow
+ * down. */
 static void test_exploring_costs_little(void)
 {
 	unsigned int done = count_done_under_overload(1.0, 120);
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -9,7 +9,7 @@
 #define SHORT_US (5 * US_PER_MS)
 #define LONG_US (1000 * US_PER_MS)
 
-/* An upstream that is always offered more than it may run. */
+/* An upstream that is always offered more requests than it may run. */
 struct upstream {
 	struct limit limit;
 	int64_t now_us;
@@ -42,7 +42,8 @@
 	return 10 * serve_short(running);
 }
 
-/* Beyond four at once, each further one slows all by the square. */
+/* Above four concurrent requests each further one slows all down
+ * quadratically. */
 static int64_t serve_thrashing(uint32_t running)
 {
 	uint32_t over = MAX(running, 4);
@@ -70,7 +71,7 @@
 	return next;
 }
 
-/* Returns the mean limit over the time. */
+/* Returns the mean limit over the duration. */
 static double upstream_run(struct upstream *up, service_time serve,
 			   int64_t duration_us)
 {
@@ -106,11 +107,11 @@
 }
 
 /*
- * One request in twenty takes 1 s and the others 5 ms, on a healthy upstream.
- * Or after a quiet hour the nightly bundles arrive, and every request takes
- * 200 times as long; or a neighbour takes nine tenths of the processor. Fewer
- * at once would make none of them faster: callers would wait before slots that
- * stand empty.
+ * On a healthy upstream one request in twenty takes 1 s and the others 5 ms; or
+ * after a quiet hour the nightly bundles arrive, and every request takes 200
+ * times as long; or a neighbour takes nine tenths of the processor. A lower
+ * limit would make none of them faster: callers would wait while slots are
+ * free.
  */
 static void test_slow_jobs_keep_their_slots(void)
 {
@@ -137,8 +138,8 @@
 
 /*
  * A neighbour leaves the upstream so little memory that it thrashes with more
- * than four requests at once. With all slots in use callers wait long for few
- * answers; with fewer at once they get more.
+ * than four concurrent requests. With all slots in use callers wait long for
+ * few answers; with fewer in use they get more answers.
  */
 static void test_thrashing_lowers_the_limit(void)
 {
@@ -161,7 +162,7 @@
 }
 
 /*
- * An upstream sheds twelve requests that began together. They tell of one
+ * An upstream sheds twelve requests that started together. They report one
  * overload; twelve cuts for it would leave one slot of twelve.
  */
 static void test_shedding_cuts_once(void)
@@ -179,8 +180,8 @@
 }
 
 /*
- * The upstream is slow, a trial halves the limit, and then the burst is over.
- * The next one, an hour later, must not meet half the slots.
+ * The upstream is slow, a trial halves the limit, and then the burst ends. The
+ * next burst, an hour later, must not find half the slots.
  */
 static void test_trial_ends_when_traffic_stops(void)
 {
@@ -196,7 +197,7 @@
 	g_assert_cmpuint(limit_current(&up.limit), ==, SLOTS);
 }
 
-/* Whatever is noted, the limit stays between 1 and the slots. */
+/* For any input the limit stays between 1 and the slots. */
 static void test_limit_stays_in_bounds(void)
 {
 	struct limit limit;
--- a/tests/test_measure.c
+++ b/tests/test_measure.c
@@ -6,8 +6,8 @@
 #define ROUNDS 2000
 
 /*
- * However probes, traffic and waits fall, no window holds more measuring than
- * its share of slot time, one probe, and what single probes took too long.
+ * However probes, traffic and idle times alternate, no window contains more
+ * measurements than its share of slot time plus one probe allows.
  */
 static void test_never_above_budget_in_any_window(void)
 {
@@ -27,7 +27,8 @@
 			continue;
 		begun_us[count++] = now_us;
 		measure_end(&measure, MEASURE_PROBE_COST_US, now_us);
-		/* Traffic that has just gone stale: due again at once. */
+		/* Traffic that has just become stale: a measurement is due at
+		 * once. */
 		measure_note_traffic(&measure, now_us - MEASURE_FRESH_US);
 	}
 	for (int from = 0; from < count; from++) {
@@ -44,14 +45,15 @@
 }
 
 /*
- * The upstream is so slow that a probe holds its slot for 6 s instead of 6 ms.
- * Probing on at the old pace would take a whole slot from bookings.
+ * The upstream is so slow that a probe occupies its slot for 6 s instead of 6
+ * ms. At an unchanged rate the probes would take a whole slot away from
+ * bookings.
  */
 static void test_slow_probe_is_repaid(void)
 {
 	struct measure measure;
 
-	measure_init(&measure, 10, 10, 0); /* a probe in 60 ms */
+	measure_init(&measure, 10, 10, 0); /* one probe per 60 ms */
 	g_assert_cmpint(measure_try_begin(&measure, 2 * US_PER_S), ==,
 			MEASURE_BEGIN);
 	g_assert_cmpint(measure_try_begin(&measure, 5 * US_PER_S), ==,
@@ -59,7 +61,7 @@
 	measure_end(&measure, 6 * US_PER_S, 8 * US_PER_S);
 	g_assert_cmpint(measure_try_begin(&measure, 60 * US_PER_S), ==,
 			MEASURE_OVER_BUDGET);
-	/* 6 ms of the 6 s were taken at the start; 100 ms a second come in. */
+	/* 6 ms of the 6 s were paid at the start; 100 ms per second come in. */
 	g_assert_cmpint(measure_next_us(&measure, 60 * US_PER_S), ==,
 			67940 * US_PER_MS);
 	g_assert_cmpint(measure_try_begin(&measure, 67939 * US_PER_MS), ==,
@@ -69,8 +71,8 @@
 }
 
 /*
- * For weeks hardly a request comes. Probing each second all that time would
- * be wasted; while requests do come, they tell enough by themselves.
+ * Hardly a request comes for weeks, and one probe per second would be wasted
+ * all that time. While requests do come, they tell enough by themselves.
  */
 static void test_probes_thin_out_without_traffic(void)
 {
@@ -86,7 +88,8 @@
 		measure_end(&measure, MEASURE_PROBE_COST_US, now_us);
 		probes++;
 	}
-	g_assert_cmpint(probes, ==, 228); /* 1, 2, 4, 8, then each 16 s */
+	g_assert_cmpint(probes, ==,
+			228); /* after 1, 2, 4 and 8 s, then every 16 s */
 	for (int i = 0; i < 100; i++) {
 		now_us += US_PER_S / 2;
 		g_assert_cmpint(measure_try_begin(&measure, now_us), ==,
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -29,8 +29,8 @@
 
 /*
  * A neighbour on the same host takes the processor for half a second. Work that
- * begins meanwhile takes seven times as long to its end: the caller on the line
- * waits 420 ms in place of 60, while other hosts have free slots.
+ * starts meanwhile takes seven times as long: the caller waits 420 ms instead
+ * of 60 ms, while other hosts have free slots.
  */
 static void test_slow_host_refuses(void)
 {
@@ -40,7 +40,8 @@
 	item.may_turn_back = true;
 	item.other_percent = FAST;
 	g_assert_cmpint(pace_judge(&pace, &item, 10 * MS), ==, PACE_TURN_BACK);
-	/* All others are as slow: turning back only costs the way. */
+	/* All others are as slow: turning back would only cost the round
+	 * trip. */
 	item.other_percent = SLOW;
 	g_assert_cmpint(pace_judge(&pace, &item, 10 * MS), ==, PACE_HOLD);
 }
@@ -52,16 +53,17 @@
 
 	g_assert_cmpint(pace_judge(&pace, &item, 100 * MS), ==, PACE_HOLD);
 	g_assert_cmpint(pace_judge(&pace, &item, 140 * MS), ==, PACE_HOLD);
-	/* Late in any case, and 420 ms still fit: begun now it is answered. */
+	/* It is late in any case, and 420 ms still fit before the deadline. */
 	g_assert_cmpint(pace_judge(&pace, &item, 150 * MS), ==, PACE_START);
-	/* They don't fit any more, an end of the spell might help. */
+	/* 420 ms no longer fit, but the spell may end. */
 	g_assert_cmpint(pace_judge(&pace, &item, 200 * MS), ==, PACE_HOLD);
 	g_assert_cmpint(pace_judge(&pace, &item, 560 * MS), ==, PACE_TOO_LATE);
 	pace_note(&pace, FAST, 180 * MS);
 	g_assert_cmpint(pace_judge(&pace, &item, 180 * MS), ==, PACE_START);
 }
 
-/* Short work is in time even so, and gains nothing by waiting. */
+/* Short work meets its target even in a slow spell and gains nothing by
+ * waiting. */
 static void test_short_work_starts_in_a_slow_spell(void)
 {
 	struct pace pace = told(SLOW, 10 * MS);
@@ -71,9 +73,9 @@
 }
 
 /*
- * One upstream is left of a service, and most of its slots are taken. Whatever
- * is begun in a slow spell keeps its slot seven times as long, so that callers
- * of the next seconds find none.
+ * A service has one upstream left, and most of its slots are busy. Each request
+ * that starts in a slow spell occupies its slot seven times as long, so that
+ * callers of the next seconds find no free slot.
  */
 static void test_scarce_slots_are_not_given_to_slow_work(void)
 {
@@ -90,8 +92,8 @@
 
 /*
  * All hosts have just been started, and each takes twice as long for three
- * seconds. Were that held for a slow spell, each would turn back what all others
- * turn back too, and hold it for an end that does not come.
+ * seconds. If that counted as a slow spell, each host would turn back requests
+ * that all others turn back too, and hold them for an end that does not come.
  */
 static void test_cold_start_is_not_a_slow_spell(void)
 {
@@ -106,14 +108,14 @@
 	g_assert_cmpint(pace_judge(&pace, &item, 20 * MS), ==, PACE_START);
 	pace_note(&pace, 1400, 1000 * MS);
 	g_assert_true(pace_is_slow(&pace));
-	/* Slower for good: that is what is usual now. */
+	/* A host that stays slower has a new usual pace. */
 	for (int64_t at = 1000 * MS; at < 5000 * MS; at += 20 * MS)
 		pace_note(&pace, 1400, at);
 	g_assert_false(pace_is_slow(&pace));
 }
 
-/* Guards against work begun for nothing at a host that has just been started and
- * whose first figures fall into a slow spell. */
+/* Guards against work that is started in vain on a host that has just been
+ * started and whose first reports come from a slow spell. */
 static void test_first_report_may_be_from_a_slow_spell(void)
 {
 	struct pace pace = {0};
@@ -124,10 +126,11 @@
 	item.work_us = 340 * MS;
 	g_assert_cmpint(pace_judge(&pace, &item, 1 * MS), ==, PACE_HOLD);
 	g_assert_cmpint(pace_judge(&pace, &item, 1700 * MS), ==, PACE_TOO_LATE);
-	/* Short enough even so. */
+	/* This work is short enough even at the slow pace. */
 	item.work_us = 40 * MS;
 	g_assert_cmpint(pace_judge(&pace, &item, 1 * MS), ==, PACE_START);
-	/* The spell is over: twice as long for some seconds is usual. */
+	/* The spell is over; twice the usual time counts as normal after a
+	 * start. */
 	item.work_us = 0;
 	pace_note(&pace, 200, 500 * MS);
 	g_assert_cmpint(pace_judge(&pace, &item, 500 * MS), ==, PACE_START);
@@ -154,7 +157,7 @@
 	g_assert_cmpint(pace_usual_us(0, 60 * MS), ==, 60 * MS);
 }
 
-/* Of so many hosts, which are slow at a time: drawn anew each spell. */
+/* Returns whether a host is slow at that time, drawn anew for each spell. */
 static bool is_slow_at(unsigned int host, int64_t at_us)
 {
 	struct random_state random = {
@@ -163,8 +166,9 @@
 	return random_unit(&random) < 0.25;
 }
 
-/* RETURN VALUE: how long a call takes that asks one host after another, with
- * a way of 2 ms to each; or that begins wherever it comes. */
+/* RETURN VALUE: the duration of a call. If judges is true, it asks one host
+ * after another, with 2 ms for each hop; otherwise, it starts at the first
+ * one. */
 static int64_t play(bool judges, unsigned int first, int64_t at_us)
 {
 	struct pace_item item = item_of(60, 200, 500);
@@ -197,10 +201,9 @@
 }
 
 /*
- * Two thousand calls over seven hosts of which a quarter is slow at any time,
- * each for half a second. What counts is how many of their callers have an
- * answer within 200 ms: 1,454 where calls begin wherever they come, all where
- * the hosts judge.
+ * Two thousand calls go to seven hosts, of which a quarter is slow at any time,
+ * each for half a second. The test counts the calls that are answered within
+ * 200 ms: 1,454 if calls start at the first host, all if the hosts judge.
  */
 static void test_callers_get_answers_in_time(void)
 {
--- a/tests/test_pick.c
+++ b/tests/test_pick.c
@@ -33,7 +33,7 @@
 	pick_set_finish(&f->set);
 }
 
-/* Sends calls that all stay out; counts where they go. */
+/* Sends calls that stay outstanding and counts where they go. */
 static void send_calls(struct fixture *f, int calls, int64_t now_us, int *counts)
 {
 	struct pick_tried tried = {0};
@@ -46,7 +46,7 @@
 	}
 }
 
-/* Each call takes latency_us[i] at candidate i and carries no load. */
+/* Each call takes latency_us[i] at candidate i and carries no load report. */
 static void run_calls(struct fixture *f, int calls, const int64_t *latency_us)
 {
 	for (int i = 0; i < calls; i++) {
@@ -58,8 +58,8 @@
 }
 
 /*
- * Whatever the set looks like, a request must not go twice to the same upstream
- * nor to one that drains, and must not be refused while one stands ready.
+ * For any state of the set: a request must not go to the same upstream twice
+ * nor to a draining one, and must not be refused while an upstream is ready.
  */
 static void test_never_tried_or_unusable(void)
 {
@@ -91,9 +91,9 @@
 }
 
 /*
- * A burst of a hundred calls reaches an entry before any answer comes back.
- * If it filled one upstream after the other, the callers of the first would
- * wait while the last is idle.
+ * A burst of a hundred calls reaches an entry before any answer comes back. If
+ * it filled one upstream after the other, the callers of the first one would
+ * wait while the last one is idle.
  */
 static void test_burst_spreads(void)
 {
@@ -108,9 +108,9 @@
 }
 
 /*
- * The owner reports six running, all of them this entry's own. Added to what
- * the entry counts itself that is twelve: it would shun an upstream that has
- * room, and its callers would crowd elsewhere.
+ * The owner reports six running requests, all from this entry. Added to the
+ * entry's own count that would be twelve: the entry would avoid an upstream
+ * that has room and overload the others.
  */
 static void test_own_calls_count_once(void)
 {
@@ -127,9 +127,9 @@
 }
 
 /*
- * Other entries have filled an upstream, and it said so a moment ago. An entry
- * that looks at its own calls alone sends there, and its caller waits. Long
- * afterwards the report must not keep it away for good.
+ * Other entries have filled an upstream, which reported it a moment ago. An
+ * entry that considers only its own calls would send there, and its caller
+ * would wait. The report must not keep calls away long afterwards.
  */
 static void test_reports_count_and_fade(void)
 {
@@ -152,7 +152,7 @@
 /*
  * A neighbour on the same hardware makes one upstream ten times slower. With
  * equal shares every third caller would wait ten times as long; it is used only
- * once the others are near full.
+ * once the others are nearly full.
  */
 static void test_slow_upstream_gets_less(void)
 {
@@ -168,8 +168,9 @@
 }
 
 /*
- * One of a hundred calls is a job of a second among calls of 5 ms. An upstream
- * that happened to run it is not slow, and the others must not be crowded.
+ * One of a hundred calls is a job of one second among calls of 5 ms. An
+ * upstream that happens to run it is not slow, and its calls must not move to
+ * the others.
  */
 static void test_long_job_does_not_mark_upstream_slow(void)
 {
@@ -186,9 +187,9 @@
 }
 
 /*
- * An upstream fails each call in a tenth of a millisecond. If that counted as
- * its latency it would look fifty times quicker than the rest and draw all
- * calls, and the callers would get errors.
+ * An upstream fails each call within 0.1 ms. If that counted as its latency, it
+ * would look fifty times faster than the others and attract all calls, and the
+ * callers would get errors.
  */
 static void test_quick_errors_do_not_attract_calls(void)
 {
@@ -207,9 +208,10 @@
 }
 
 /*
- * Calls stay in their own hall while it is known to have room. If they stayed
- * until it is full, or before anything is known of it, the callers of a hall
- * with one upstream and many entries would wait while other halls are idle.
+ * Calls stay in their own failure domain while its upstream is known to have
+ * room. If they stayed until it is full, or before anything is known about it,
+ * the callers of a domain with one upstream and many entries would wait while
+ * other domains are idle.
  */
 static void test_spills_before_full(void)
 {
@@ -230,7 +232,8 @@
 	tear_down(&f);
 }
 
-/* An upstream that has just started is slow; it gets a share by its weight. */
+/* An upstream that has just started is slow and gets a share according to its
+ * weight. */
 static void test_warming_gets_its_weight(void)
 {
 	struct fixture f;
@@ -246,8 +249,8 @@
 
 /*
  * All upstreams are full. Refusing a call at one only moves its wait to the
- * next, at the cost of a message each: at overload the messages would be most
- * of the work. The first attempt queues then.
+ * next one, at the cost of a message each: under overload the messages would be
+ * most of the work. The first attempt must be queued instead.
  */
 static void test_no_refusals_where_all_are_full(void)
 {
@@ -265,9 +268,9 @@
 }
 
 /*
- * Reports mislead: each says that there is room, and each attempt is refused.
- * In any window the refusals stay within the share of the requests, the burst
- * and what was out at once.
+ * Reports mislead: each claims free slots, and each attempt is refused. In any
+ * window the refusals stay within the share of the requests plus the burst and
+ * the attempts that were out at once.
  */
 static void test_refusals_keep_their_budget(void)
 {
@@ -300,8 +303,8 @@
 
 /*
  * One upstream of three has become ten times slower. An entry among hundreds
- * makes a call a second and has made none there since; a refusal from its owner
- * is enough to keep its calls away, or one in three callers waits.
+ * makes one call per second and has made none there since. One refusal from the
+ * owner must be enough to keep its calls away, or one in three callers waits.
  */
 static void test_reported_slowness_diverts_calls(void)
 {
@@ -340,12 +343,12 @@
 }
 
 /*
- * One host runs seven times slower for a moment and stands empty, as everybody
- * avoids it; the others are quick and just full. A request that goes to the
- * empty one waits there for the slow spell to end, beside free slots, and is
- * refused at last; in the short queue of a quick one it begins with the next
- * answer. Only where the queues are longer than the spell is slow, the slow one
- * is the better place.
+ * One host runs seven times slower for a moment and is idle, as everybody
+ * avoids it; the others are fast and just full. A request sent to the idle one
+ * waits there beside free slots until the slow spell ends, and is refused in
+ * the end; in the short queue of a fast one it starts with the next answer. The
+ * slow host is the better choice only if the queues take longer than its
+ * slowness costs.
  */
 static void test_short_queue_before_slow_host(void)
 {
@@ -369,8 +372,8 @@
 	tear_down(&f);
 }
 
-/* Guards against a rush to the last unknown host while all others, just started,
- * are known to be slow. */
+/* Guards against a rush to the only unknown host while all others, just
+ * started, are known to be slow. */
 static void test_unknown_host_is_as_slow_as_the_others(void)
 {
 	struct pick_tried tried = {0};
--- a/tests/test_pipeline.c
+++ b/tests/test_pipeline.c
@@ -21,9 +21,9 @@
 }
 
 /*
- * A booking stands behind a lookup whose answer closes the connection. Its
- * caller sends it again, as it must be taken for unread; had it been begun, the
- * franchise would be billed twice.
+ * Guards against a booking that runs twice. It is pipelined behind a lookup
+ * whose answer closes the connection, and its caller must assume that it was
+ * not read and sends it again; the franchise would be billed twice.
  */
 static void test_booking_waits(void)
 {
@@ -41,7 +41,8 @@
 	g_assert_false(pipeline_may_start(&question));
 }
 
-/* One caller sends without end, and its answers pile up behind a stuck one. */
+/* Guards against a caller that sends without end while its answers pile up
+ * behind one that does not finish. */
 static void test_bounds(void)
 {
 	struct pipeline_request question = lookup_behind_one;
@@ -55,8 +56,8 @@
 	g_assert_false(pipeline_may_start(&question));
 }
 
-/* All answers that may wait for their turn stay within a quarter of the 64 MiB
- * that a daemon may keep. */
+/* All answers that may wait for their turn fit into a quarter of the 64 MiB
+ * that a daemon may use. */
 static void test_memory(void)
 {
 	g_assert_cmpuint(PIPELINE_TOTAL_MAX * PIPELINE_WINDOW_BYTES, <=,
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -31,7 +31,8 @@
 	return quarantine;
 }
 
-/* Guards against a request that goes on to end upstreams after the third. */
+/* Guards against a request that crashes further upstreams after the third
+ * one. */
 static void test_three_crashes_hold(void)
 {
 	struct quarantine *quarantine =
@@ -73,7 +74,7 @@
 	quarantine_destroy(quarantine);
 }
 
-/* Guards against popular requests that are refused as they run everywhere, and so
+/* Guards against refused popular requests: they run everywhere and therefore
  * beside each request that crashes an upstream. */
 static void test_recently_answered_is_not_marked(void)
 {
@@ -91,7 +92,7 @@
 	quarantine_destroy(quarantine);
 }
 
-/* Guards against a request that was good once and is let through for good. */
+/* Guards against a request that was answered once and is exempt ever after. */
 static void test_old_answer_does_not_protect(void)
 {
 	struct quarantine *quarantine =
@@ -106,8 +107,8 @@
 	quarantine_destroy(quarantine);
 }
 
-/* Guards against upstreams that crash by themselves: a request that was at three
- * of them, and was answered between, is refused. */
+/* Guards against upstreams that crash by themselves: a request that ran on
+ * three of them, with answers in between, must not be refused. */
 static void test_an_answer_clears(void)
 {
 	struct quarantine *quarantine =
@@ -124,8 +125,8 @@
 	quarantine_destroy(quarantine);
 }
 
-/* Guards against a request held for good though its upstreams were mended, and
- * against more than one upstream lost to find out. */
+/* Guards against a request that is held forever although its upstreams were
+ * repaired, and against losing more than one upstream to a trial. */
 static void test_a_trial_at_one_host(void)
 {
 	struct quarantine *quarantine = create_holding(DEADLY);
@@ -148,7 +149,8 @@
 	quarantine_destroy(quarantine);
 }
 
-/* RETURN VALUE: the runs that it let through, each of which ended its upstream. */
+/* RETURN VALUE: the number of runs that were allowed, each of which crashed its
+ * upstream. */
 static int press(struct quarantine *quarantine, int64_t from_us, int64_t to_us)
 {
 	int runs = 0;
@@ -164,7 +166,7 @@
 	return runs;
 }
 
-/* Guards against a request that goes on to end an upstream now and then, for as
+/* Guards against a request that crashes an upstream from time to time for as
  * long as its caller sends it. */
 static void test_trials_end(void)
 {
@@ -177,8 +179,8 @@
 	quarantine_destroy(quarantine);
 }
 
-/* Guards against a request that is refused for good since the one host that tries
- * it has upstreams that crash by themselves. */
+/* Guards against a request that is refused forever because the only host that
+ * runs its trials has upstreams that crash by themselves. */
 static void test_each_trial_is_at_another_host(void)
 {
 	static const char *const hosts[QUARANTINE_CRASHES] = {"a", "b", "c"};
@@ -201,7 +203,7 @@
 	quarantine_destroy(quarantine);
 }
 
-/* Guards against a trial that ended without a word and bars all others. */
+/* Guards against a trial that ended without a result and blocks all others. */
 static void test_trial_without_result_allows_another(void)
 {
 	struct quarantine *quarantine = create_holding(DEADLY);
@@ -213,8 +215,8 @@
 	quarantine_destroy(quarantine);
 }
 
-/* Guards against memory that grows with crashes, and against a flood of marks that
- * sets a deadly request free. */
+/* Guards against memory that grows with each crash, and against a flood of
+ * marks that evicts a held request. */
 static void test_the_table_is_bounded(void)
 {
 	struct quarantine *quarantine = create_holding(DEADLY);
@@ -254,8 +256,8 @@
 		quarantine_merge(to, &out[i], now);
 }
 
-/* Guards against a mark, told by a daemon that missed the answer, which brings a
- * request back that was cleared. */
+/* Guards against a mark from a daemon that missed the answer: it must not hold
+ * a cleared request again. */
 static void test_cleared_takes_precedence_over_marked(void)
 {
 	struct quarantine *behind = create_holding(DEADLY);
@@ -273,8 +275,8 @@
 	quarantine_destroy(ahead);
 }
 
-/* Guards against popular requests that are held by daemons which never saw them
- * answered: who did says so. */
+/* Guards against popular requests that are held by daemons that never saw them
+ * answered: a daemon that did corrects them. */
 static void test_answer_seen_by_another_daemon_clears(void)
 {
 	struct quarantine *witness =
@@ -289,8 +291,8 @@
 	quarantine_destroy(crashed);
 }
 
-/* Guards against a daemon that forgets what is still refused at others, and lets it
- * through when it comes there. */
+/* Guards against a daemon that forgets a request that other daemons still
+ * refuse, and lets it through when it comes there. */
 static void test_requests_still_sent_are_remembered_everywhere(void)
 {
 	struct quarantine *asked = create_holding(DEADLY);
@@ -309,8 +311,8 @@
 	quarantine_destroy(told);
 }
 
-/* Guards against daemons that hold different requests for good, by the order in
- * which they heard. */
+/* Guards against daemons that hold different requests forever because they
+ * received the records in different orders. */
 static void test_merge_order_does_not_matter(void)
 {
 	enum {
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -3,12 +3,13 @@
 
 #include "queue_owner.h"
 
-#define FULL 512 /* the bound of the queue that is filled */
+#define FULL 512 /* bound of the queue under test */
 
 /*
- * For a quarter of an hour twice as many lookups come as can be answered. In
- * a plain queue each reaches its slot after its caller has given up, and
- * nobody is served. Half of them can be, and the others are told at once.
+ * Twice as many lookups as can be answered arrive for a quarter of an hour. In
+ * a plain queue each one reaches its slot after its caller has given up, and
+ * nobody is served. Half of them can be served, and the others are refused at
+ * once.
  */
 static void test_overload_serves_what_it_can(void)
 {
@@ -27,8 +28,8 @@
 	owner_destroy(owner);
 }
 
-/* RETURN VALUE: calls answered within their target, at 1.3 times what the slots
- * can do for a while, then less; targets are told to the queue or not. */
+/* RETURN VALUE: the calls answered within their target, at 1.3 times the
+ * capacity of the slots. told: the queue knows the targets. */
 static int simulate_targets(bool told)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
@@ -54,10 +55,10 @@
 }
 
 /*
- * A little more comes than can be answered. Each caller waits nearly up to its
- * deadline, and each listing comes after the time at which it was of use. Those
- * that can still have it in time go first: some are late or refused, and most
- * are not.
+ * Slightly more lookups arrive than can be answered. Without targets each
+ * caller waits nearly until its deadline, and each answer comes too late to be
+ * useful. If requests that can still meet their target go first, some are late
+ * or refused and most are on time.
  */
 static void test_targets_go_first(void)
 {
@@ -70,8 +71,8 @@
 	g_assert_cmpint(with, >, CALLS / 2);
 }
 
-/* RETURN VALUE: the longest that a call waited to be refused, at twice what the
- * slots can do, with a target of 200 ms and a deadline of 2 s. */
+/* RETURN VALUE: the longest wait of a refused call, at twice the capacity of
+ * the slots, with a target of 200 ms and a deadline of 2 s. */
 static int64_t simulate_refusals(struct owner *owner)
 {
 	int64_t longest_us = 0;
@@ -97,11 +98,12 @@
 }
 
 /*
- * Twice as many lookups come as can be answered, from callers who send several at
- * once and would wait for two seconds, but have use for an answer within 200 ms
- * only. Whoever can't have it is told so while the answer could still have been in
- * time; it was held for nearly its two seconds, for nothing, and the answers of the
- * caller's other lookups stood behind that one.
+ * Twice as many lookups as can be answered arrive, from callers that send
+ * several at once and would wait for two seconds, but can use an answer only
+ * within 200 ms. A request that cannot meet its target must be refused while
+ * the answer could still have been on time. Otherwise, it is held for nearly
+ * two seconds for nothing, and the answers to the caller's other lookups wait
+ * behind it.
  */
 static void test_unreachable_target_is_refused_early(void)
 {
@@ -116,8 +118,9 @@
 }
 
 /*
- * A thousand requests come in the same millisecond, each with a second. All
- * can be served in time, if none is refused because the queue looks long.
+ * A thousand requests arrive in the same millisecond, each with a deadline of
+ * one second. All can be served in time if none is refused because the queue
+ * looks long.
  */
 static void test_burst_is_absorbed(void)
 {
@@ -169,10 +172,10 @@
 }
 
 /*
- * Nightly bundles take 1 s each and get in among lookups of 5 ms. The short
- * ones must not be refused because the average looks long: nearly as many are
- * answered in time as if all were let in and only the hopeless dropped. That
- * is no policy to run, since under overload half of its answers are late.
+ * Nightly bundles take 1 s each and mix with lookups of 5 ms. The short ones
+ * must not be refused because the mean looks long: nearly as many are answered
+ * in time as if all were accepted and only stale ones dropped. The latter is no
+ * usable policy, since under overload half of its answers are late.
  */
 static void test_short_jobs_among_long_ones(void)
 {
@@ -184,8 +187,9 @@
 }
 
 /*
- * One caller in a loop sends twice what the upstream can do, while others send
- * a fifth of it. The others' calls are answered as if it were not there.
+ * One caller in a loop sends twice the capacity of the upstream, while others
+ * send a fifth of it. The others' calls are answered as if that caller did not
+ * exist.
  */
 static void test_refusals_hit_the_hot_caller(void)
 {
@@ -206,9 +210,10 @@
 }
 
 /*
- * After a slow spell the estimate says that every request takes 10 s. Were it
- * believed, all requests of 1 s would be refused, and since none runs the
- * estimate would stay. So it goes also while one bundle takes an hour.
+ * After a slow spell the estimate says that every request takes 10 s. If the
+ * queue trusted it, all requests with a deadline of 1 s would be refused, none
+ * would run, and the estimate would never change. The same holds while one
+ * bundle takes an hour.
  */
 static void test_estimate_recovers_after_slow_spell(void)
 {
@@ -230,10 +235,10 @@
 }
 
 /*
- * The same in a quiet hour: a few calls a second, with the host's pause of some
- * seconds just over. While the estimate goes down bit by bit with each call
- * that gets through, most are refused, though all slots are free; a caller sees
- * "not run" from an idle service.
+ * The same at low load: a few calls arrive per second, and the host's pause of
+ * some seconds has just ended. If the estimate falls only a little with each
+ * accepted call, most calls are refused although all slots are free, and
+ * callers get "not run" from an idle service.
  */
 static void test_estimate_recovers_at_low_load(void)
 {
@@ -249,8 +254,8 @@
 }
 
 /*
- * Lookups alone could fill the upstream. Strictly by class the archive's
- * checks would never run; one in seventeen turns is theirs.
+ * Lookups alone could fill the upstream. With strict priority the archive's
+ * checks would never run; one turn in seventeen is theirs.
  */
 static void test_no_class_starves(void)
 {
@@ -279,8 +284,9 @@
 }
 
 /*
- * Whatever waits, with fairness off: nothing comes out before another of its
- * class that is due earlier, however many were cancelled in between.
+ * For any waiting items, with fairness disabled: no item comes out before
+ * another one of its class with an earlier deadline, however many were
+ * cancelled in between.
  */
 static void test_earliest_deadline_comes_first(void)
 {
@@ -319,8 +325,8 @@
 }
 
 /*
- * An attempt that may still go elsewhere meets a full upstream. Queued, its
- * caller would wait here while a slot is free next door.
+ * An attempt that another upstream may take meets a full upstream. If it were
+ * queued, its caller would wait while a slot is free elsewhere.
  */
 static void test_refuses_busy_at_once(void)
 {
@@ -340,7 +346,7 @@
 	owner_destroy(owner);
 }
 
-/* Marks an item that left the queue; it must be its first time. */
+/* Marks an item that left the queue; it must not have left before. */
 static void take_out(struct queue_item *item, uint32_t *in)
 {
 	g_assert_false(call_of(item)->answered);
@@ -364,9 +370,9 @@
 }
 
 /*
- * Whatever arrives, is cancelled and gets stale, under both policies: each
- * accepted item comes out exactly once, none cancelled does, and by deadline
- * none that is past it is to be run.
+ * For any arrivals, cancels and stale items, under both policies: each accepted
+ * item comes out exactly once, no cancelled one does, and by deadline no
+ * expired item is to be run.
  */
 static void test_each_item_comes_out_once(gconstpointer policy)
 {
@@ -415,10 +421,11 @@
 }
 
 /*
- * Callers send several lookups at once, and all arrive at an idle upstream in one
- * turn of its daemon. What was accepted is begun at the end of the turn, so it is
- * still in the queue when the next one is looked at. Taken for a queue, it would
- * make all but the first be refused as busy beside free slots.
+ * Callers send several lookups at once, which all arrive at an idle upstream in
+ * one iteration of the daemon's event loop. Accepted items start at the end of
+ * the iteration, so they are still in the queue when the next one is offered.
+ * If they counted as waiting, all but the first would be refused as busy
+ * although slots are free.
  */
 static void test_rush_uses_the_free_slots(void)
 {
@@ -448,10 +455,11 @@
 }
 
 /*
- * One caller fills the queue of an upstream to its bound. Others still get a few
- * places each, or they would all be refused because of it. But whoever sends each
- * request under a new name must not make the queue grow without end: the daemon
- * would run out of memory, and all requests on its host fail.
+ * One caller fills the queue of an upstream to its bound. The others still get
+ * a few places each, or they would all be refused because of it. A caller that
+ * sends each request under a new name must not make the queue grow without
+ * bound: the daemon would run out of memory, and all requests on its host would
+ * fail.
  */
 static void test_full_queue_is_bounded(void)
 {
--- a/tests/test_retry.c
+++ b/tests/test_retry.c
@@ -6,7 +6,7 @@
 
 static struct random_state generator = {7};
 
-/* A question that gets a retry; each test spoils one thing. */
+/* Input that gets a retry; each test changes one field. */
 static const struct retry_context good = {
 	.outcome = RETRY_OUTCOME_UNKNOWN,
 	.idempotent = true,
@@ -23,8 +23,8 @@
 }
 
 /*
- * A connection breaks after a connect-through was sent. It may have been
- * placed; a second one would bill the franchise twice.
+ * A connection breaks after a connect-through was sent. The request may have
+ * run; a second one would bill the franchise twice.
  */
 static void test_booking_is_not_repeated(void)
 {
@@ -42,8 +42,8 @@
 
 /*
  * One of seven upstreams drains and refuses a seventh of all calls until every
- * entry has heard of it. These refusals cost no work: were they paid for from
- * a budget of 10%, or counted as attempts, callers would be refused during a
+ * entry knows about it. These refusals do no work: if they were charged to a
+ * budget of 10% or counted as attempts, callers would be refused during a
  * planned change.
  */
 static void test_drain_costs_no_budget(void)
@@ -63,8 +63,8 @@
 }
 
 /*
- * All upstreams are over their limit and say when to come back. A caller whose
- * deadline is before that gets the final answer at once, with that time.
+ * All upstreams are above their limits and give a retry time. A caller whose
+ * deadline is earlier gets the final answer at once, with that time.
  */
 static void test_refuses_at_once_with_retry_time(void)
 {
@@ -83,8 +83,9 @@
 }
 
 /*
- * A rush of a thousand calls is refused within a few milliseconds, each with
- * the hint of one second. If all came back then, they would be refused again.
+ * A burst of a thousand calls is refused within a few milliseconds, each with a
+ * hint of one second. If all callers came back at that time, they would be
+ * refused again.
  */
 static void test_retry_times_are_spread(void)
 {
@@ -107,8 +108,9 @@
 }
 
 /*
- * The lowest of 13 layers fails for a moment. If each layer repeated as much as
- * the first, the calls to it would nearly quadruple; a retry there costs more.
+ * The lowest of 13 layers fails for a moment. If each layer retried as much as
+ * the first one, the calls to the lowest would nearly quadruple; deep retries
+ * therefore cost more.
  */
 static void test_deep_calls_retry_less(void)
 {
@@ -165,9 +167,10 @@
 }
 
 /*
- * Whatever ends an attempt: nothing that may have run is repeated unless it is
- * idempotent, nothing is repeated past its deadline, and in any window of calls
- * the tokens spent stay within the burst and the share of the window's calls.
+ * For any outcome of an attempt: a request that may have run is repeated only
+ * if it is idempotent, nothing is repeated past its deadline, and in any window
+ * of calls the tokens spent stay within the burst plus the share of the
+ * window's calls.
  */
 static void test_rules_hold_for_any_question(void)
 {
@@ -201,9 +204,9 @@
 }
 
 /*
- * Seventy daemons share one budget of repeats. If each took it for its own, an
- * upstream that fails would get seventy times as many requests again, just when
- * it can least bear them.
+ * Seventy daemons share one retry budget. If each used all of it, a failing
+ * upstream would get seventy times as many retries, just when it can least
+ * handle them.
  */
 static void test_shared_budget_holds_for_all(void)
 {
@@ -239,8 +242,8 @@
 	}
 }
 
-/* Guards against callers who wait for their deadline where some hosts go at once,
- * while the budget that all daemons share is hardly used. */
+/* Guards against callers that wait until their deadlines when several hosts
+ * fail at once, while the shared budget of all daemons is hardly used. */
 static void test_shared_budget_serves_a_burst(void)
 {
 	struct random_state random = {.state = 1};
--- a/tests/test_retry_estimate.c
+++ b/tests/test_retry_estimate.c
@@ -7,14 +7,14 @@
 #define LEFT_US (2000 * MS)
 
 /*
- * A daemon has just been started and has heard from two upstreams. One of them
- * answered late: its link had been silent, and the first answers after it took
- * more than two seconds, so that is the median that it reports. The other one
- * answers in 40 ms and begins to drain. A request that it turns away, with two
- * seconds left, is to go to another upstream. Where the daemon takes the slow
- * report for what every attempt takes, it makes no second attempt at all: callers
- * are told "not run" for as long as that report stands, while upstreams that
- * could serve them in milliseconds are up.
+ * Guards against a daemon that has just started and makes no second attempts
+ * because of one slow report. It has reports from two upstreams. One of them
+ * answered its first requests after more than two seconds, as its connection
+ * had been idle, and reports that as its median. The other one answers in 40 ms
+ * and is draining. A request that it refuses, with two seconds left, must go to
+ * another upstream. If the slow report counts as the duration of every attempt,
+ * callers get "not run" for as long as the report stands, although upstreams
+ * that could answer within milliseconds are up.
  */
 static void test_one_slow_report_of_two(void)
 {
--- a/tests/test_speed.c
+++ b/tests/test_speed.c
@@ -15,8 +15,8 @@
 
 /*
  * A neighbour on the host takes the disk, and each request takes ten times as
- * long. After twenty answers the others must hear of it, or their callers wait
- * there; and when it is over, of that too.
+ * long. The reported value must show this after twenty answers, or the callers
+ * of other daemons wait there. It must also show when the slowness is over.
  */
 static void test_ten_times_slower_shows_after_twenty(void)
 {
@@ -30,7 +30,7 @@
 	g_assert_cmpint(speed_us(&speed), <, 12 * MS);
 }
 
-/* One job of two hundred takes a second; the upstream is as quick as ever. */
+/* One job of two hundred takes a second; the upstream is as fast as ever. */
 static void test_long_job_does_not_look_slow(void)
 {
 	struct speed speed = usual();
@@ -40,9 +40,9 @@
 }
 
 /*
- * A broken release answers each call with an error within 100 us. Told of as
- * quick, it would get the calls of all entries that have not called it yet. A
- * few errors among good answers tell nothing of its speed.
+ * A broken release answers each call with an error within 100 us. Reported as
+ * fast, it would get the calls of all entries that have not called it yet. A
+ * few errors among good answers say nothing about its speed.
  */
 static void test_errors_count_as_slow(void)
 {
--- a/tests/test_subset.c
+++ b/tests/test_subset.c
@@ -10,7 +10,7 @@
 	struct subset_upstream upstreams[HOSTS];
 };
 
-/* Hosts spread evenly over the failure domains, seen from one of them. */
+/* Spreads the hosts evenly over the failure domains, seen from one of them. */
 static void set_up(struct fixture *f, size_t domain)
 {
 	for (size_t i = 0; i < HOSTS; i++) {
@@ -21,9 +21,9 @@
 }
 
 /*
- * Three hundred entries choose without asking each other. If some upstreams
- * were chosen by far more entries than others, their callers would wait while
- * the others are idle.
+ * Three hundred entries choose without coordination. If far more entries chose
+ * some upstreams than others, their callers would wait while the others are
+ * idle.
  */
 static void test_choices_are_balanced(void)
 {
@@ -74,7 +74,8 @@
 	}
 }
 
-/* The services of today are smaller than a subset: all of it is chosen. */
+/* Today's services are smaller than a subset, so all their upstreams are
+ * chosen. */
 static void test_small_service_stays_whole(void)
 {
 	struct fixture f;
@@ -88,8 +89,8 @@
 
 /*
  * Fifty entries call a service of 600 upstreams. With the same small subset for
- * each service, one upstream in eight would be in nobody's, and its slots would
- * stay idle while the others are full.
+ * each service, one upstream in eight would be in no subset, and its slots
+ * would stay idle while the others are full.
  */
 static void test_few_entries_reach_a_large_service(void)
 {
--- a/tests/test_warm.c
+++ b/tests/test_warm.c
@@ -4,8 +4,9 @@
 #include "common/clock.h"
 
 /*
- * An upstream comes back with cold caches. Given all its slots at once it
- * answers all of them slowly; it gets one of twelve first, then more.
+ * An upstream restarts with cold caches. With all its slots in use at once it
+ * would answer every request slowly; it gets one of twelve slots first, then
+ * more.
  */
 static void test_slots_ramp_up(void)
 {
@@ -19,7 +20,8 @@
 	g_assert_true(warm_is_complete(&warm, warm_end_us(&warm)));
 }
 
-/* The ramp never falls, never leaves its bounds, and none means none. */
+/* The ramp never falls and stays within its bounds; a duration of 0 means no
+ * ramp. */
 static void test_ramp_never_falls(void)
 {
 	for (int i = 0; i < 1000; i++) {
--- a/tests/test_window_budget.c
+++ b/tests/test_window_budget.c
@@ -7,8 +7,8 @@
 #define SHARE 0.2
 #define SLACK 3.0
 
-/* Guards against a daemon that has just started, knows none of the others yet and
- * takes the slack of all for its own. */
+/* Guards against a daemon that has just started, knows none of the others yet
+ * and uses the slack of all of them. */
 static void test_slack_is_small_in_the_first_window(void)
 {
 	struct window_budget budget = {0};
@@ -34,7 +34,7 @@
 	g_assert_false(window_budget_take(&budget, 2, 110 * SECOND - 1));
 }
 
-/* Guards against a quiet time that saves up for the rush after it. */
+/* Guards against quiet periods that save up tokens for the rush after them. */
 static void test_unused_allowance_expires(void)
 {
 	struct window_budget budget = {0};
@@ -53,8 +53,9 @@
 	bool is_call;
 };
 
-/* Guards against more repeats in some window than all daemons together may make:
- * none holds more than the slack and its share of a window's calls. */
+/* Guards against more retries in some window than all daemons together may
+ * make: no window contains more than the slack plus the share of the window's
+ * calls. */
 static void test_no_window_exceeds_its_allowance(void)
 {
 	enum {
@@ -76,7 +77,7 @@
 		if (moments[i].is_call)
 			window_budget_note_call(&budget, now);
 		else if (!window_budget_take(&budget, 1, now))
-			moments[i].at_us = -1; /* was not done */
+			moments[i].at_us = -1; /* was refused */
 	}
 	for (int last = 0; last < MOMENTS; last++) {
 		int64_t end = moments[last].at_us;
