--- a/comfreydockd/decide/breaker.c
+++ b/comfreydockd/decide/breaker.c
@@ -3,7 +3,7 @@
 static bool note_answer(struct breaker *breaker)
 {
 	breaker->streak = 0;
-	if (!breaker->is_open || ++breaker->good < BREAKER_SUCCESSES)
+	if (!breaker->is_open || ++breaker->successes < BREAKER_SUCCESSES)
 		return false;
 	breaker->is_open = false;
 	return true;
@@ -14,7 +14,7 @@
 	if (is_answer)
 		return note_answer(breaker);
 	breaker->streak++;
-	breaker->good = 0;
+	breaker->successes = 0;
 	if (breaker->is_open || breaker->streak < BREAKER_FAILURES)
 		return false;
 	breaker->is_open = true;
@@ -28,8 +28,8 @@
 
 	if (!breaker->is_open || !may_turn_back)
 		return false;
-	if (now_us - breaker->tried_us < gap_us)
+	if (now_us - breaker->last_trial_us < gap_us)
 		return true;
-	breaker->tried_us = now_us;
+	breaker->last_trial_us = now_us;
 	return false;
 }
--- a/comfreydockd/decide/deadline.c
+++ b/comfreydockd/decide/deadline.c
@@ -26,28 +26,28 @@
 /* Shifting by the width of the type or more is undefined. */
 #define DEADLINE_SHIFT_MAX 31
 
-void deadline_rtt_note(struct deadline_rtt *path, int64_t round_trip_us)
+void deadline_rtt_note(struct deadline_rtt *rtt, int64_t round_trip_us)
 {
-	int64_t error_us = round_trip_us - path->mean_us;
+	int64_t error_us = round_trip_us - rtt->mean_us;
 
 	if (round_trip_us > DEADLINE_RTT_MAX_US)
 		return;
-	if (!path->known) {
-		path->mean_us = round_trip_us;
-		path->deviation_us = round_trip_us / 2;
-		path->known = true;
+	if (!rtt->known) {
+		rtt->mean_us = round_trip_us;
+		rtt->deviation_us = round_trip_us / 2;
+		rtt->known = true;
 		return;
 	}
-	path->deviation_us +=
-		(llabs(error_us) - path->deviation_us) / DEADLINE_DEVIATION_GAIN;
-	path->mean_us += error_us / DEADLINE_MEAN_GAIN;
+	rtt->deviation_us +=
+		(llabs(error_us) - rtt->deviation_us) / DEADLINE_DEVIATION_GAIN;
+	rtt->mean_us += error_us / DEADLINE_MEAN_GAIN;
 }
 
-int64_t deadline_rtt_us(const struct deadline_rtt *path)
+int64_t deadline_rtt_us(const struct deadline_rtt *rtt)
 {
-	if (!path->known)
+	if (!rtt->known)
 		return DEADLINE_RTT_DEFAULT_US;
-	return path->mean_us + DEADLINE_DEVIATIONS * path->deviation_us;
+	return rtt->mean_us + DEADLINE_DEVIATIONS * rtt->deviation_us;
 }
 
 static int64_t deadline_after(int64_t now_us, int64_t duration_us)
@@ -78,15 +78,14 @@
 	return MAX(deadline_us - now_us, 0);
 }
 
-int64_t deadline_for_hop_us(int64_t deadline_us, int64_t path_us, int64_t now_us)
+int64_t deadline_for_hop_us(int64_t deadline_us, int64_t rtt_us, int64_t now_us)
 {
 	int64_t remaining_us = deadline_remaining_us(deadline_us, now_us);
 
 	if (remaining_us == INT64_MAX)
 		return INT64_MAX;
 	remaining_us -= remaining_us / DEADLINE_HOP_SHARE;
-	return remaining_us -
-	       CLAMP(path_us, 0, remaining_us / DEADLINE_RTT_SHARE);
+	return remaining_us - CLAMP(rtt_us, 0, remaining_us / DEADLINE_RTT_SHARE);
 }
 
 bool deadline_can_finish(int64_t deadline_us, int64_t wait_us,
@@ -112,9 +111,9 @@
 	return (deadline_us - now_us) / DEADLINE_ATTEMPT_SHARE;
 }
 
-int64_t deadline_overdue_reply_us(const struct deadline_rtt *path)
+int64_t deadline_overdue_reply_us(const struct deadline_rtt *rtt)
 {
-	return MAX(2 * deadline_rtt_us(path), DEADLINE_OVERDUE_REPLY_MIN_US);
+	return MAX(2 * deadline_rtt_us(rtt), DEADLINE_OVERDUE_REPLY_MIN_US);
 }
 
 int64_t deadline_idle_left_us(int64_t deadline_us, int64_t heard_us,
--- a/comfreydockd/decide/health.c
+++ b/comfreydockd/decide/health.c
@@ -11,7 +11,7 @@
 {
 	health->policy = policy;
 	health->random.state = seed;
-	health->tried_us = 0;
+	health->last_trial_us = 0;
 	TAILQ_INIT(&health->upstreams);
 }
 
@@ -25,7 +25,7 @@
 	upstream->state = state;
 	upstream->epoch++;
 	upstream->trials_out = 0;
-	upstream->trials_good = 0;
+	upstream->trials_passed = 0;
 }
 
 static void close_circuit(struct health_upstream *upstream)
@@ -49,7 +49,7 @@
 			continue;
 		if (upstream->state == HEALTH_CLOSED)
 			return;
-		if (!best || upstream->until_us < best->until_us)
+		if (!best || upstream->ejected_until_us < best->ejected_until_us)
 			best = upstream;
 	}
 	if (best)
@@ -123,7 +123,7 @@
 			break;
 	}
 	time_us = MIN(time_us, HEALTH_EJECT_MAX_US);
-	upstream->until_us = now_us + (int64_t)((double)time_us * factor);
+	upstream->ejected_until_us = now_us + (int64_t)((double)time_us * factor);
 	set_state(upstream, HEALTH_EJECTED);
 	upstream->ejected_us = now_us;
 	upstream->ejections++;
@@ -169,7 +169,7 @@
 		eject(health, upstream, now_us);
 		return;
 	}
-	if (++upstream->trials_good >= HEALTH_TRIALS)
+	if (++upstream->trials_passed >= HEALTH_TRIALS)
 		close_circuit(upstream);
 }
 
@@ -252,9 +252,9 @@
 
 	if (!all_are_mute(health, now_us))
 		return true;
-	if (now_us - health->tried_us < gap_us)
+	if (now_us - health->last_trial_us < gap_us)
 		return false;
-	health->tried_us = now_us;
+	health->last_trial_us = now_us;
 	return true;
 }
 
@@ -264,7 +264,7 @@
 
 	TAILQ_FOREACH (upstream, &health->upstreams, link) {
 		if (upstream->state == HEALTH_EJECTED &&
-		    now_us >= upstream->until_us)
+		    now_us >= upstream->ejected_until_us)
 			set_state(upstream, HEALTH_HALF_OPEN);
 		else
 			eject_if_failing(health, upstream, now_us);
--- a/comfreydockd/decide/hedge.c
+++ b/comfreydockd/decide/hedge.c
@@ -39,34 +39,34 @@
 /* Returns true if a hedge sent at at_us is permitted and can end before the
  * deadline. */
 static bool is_allowed(const struct hedge *hedge,
-		       const struct hedge_context *question, int64_t at_us)
+		       const struct hedge_context *context, int64_t at_us)
 {
 	int64_t median_us = quantile_get(&hedge->latency, HEDGE_MEDIAN);
 
-	if (!question->enabled || !question->idempotent || question->answer_begun)
+	if (!context->enabled || !context->idempotent || context->answer_begun)
 		return false;
-	if (question->hedges > 0 || question->untried == 0)
+	if (context->hedges > 0 || context->untried == 0)
 		return false;
-	return at_us + median_us < question->deadline_us;
+	return at_us + median_us < context->deadline_us;
 }
 
 int64_t hedge_delay_us(const struct hedge *hedge,
-		       const struct hedge_context *question, int64_t now_us)
+		       const struct hedge_context *context, int64_t now_us)
 {
 	int64_t delay_us = quantile_get(&hedge->latency, HEDGE_PERCENTILE);
 
 	if (hedge->samples < HEDGE_MIN_SAMPLES)
 		return -1;
-	if (!is_allowed(hedge, question, now_us + delay_us))
+	if (!is_allowed(hedge, context, now_us + delay_us))
 		return -1;
 	return delay_us;
 }
 
-bool hedge_take(struct hedge *hedge, const struct hedge_context *question,
+bool hedge_take(struct hedge *hedge, const struct hedge_context *context,
 		int64_t now_us)
 {
-	if (!is_allowed(hedge, question, now_us))
+	if (!is_allowed(hedge, context, now_us))
 		return false;
 	return budget_take(&hedge->budget,
-			   (1.0 + question->depth) * hedge_price(hedge));
+			   (1.0 + context->depth) * hedge_price(hedge));
 }
--- a/comfreydockd/decide/knee.c
+++ b/comfreydockd/decide/knee.c
@@ -8,14 +8,14 @@
  * says nothing about how full the upstream was. */
 #define OUTLIER_FACTOR_MAX 5.0
 
-static void stats_add(struct knee_stats *side, double took_us)
+static void stats_add(struct knee_stats *stats, double took_us)
 {
-	double gain = 1.0 / (side->samples + 1.0);
+	double gain = 1.0 / (stats->samples + 1.0);
 
 	if (gain < GAIN)
 		gain = GAIN;
-	side->mean_us += gain * (took_us - side->mean_us);
-	side->samples += 1.0;
+	stats->mean_us += gain * (took_us - stats->mean_us);
+	stats->samples += 1.0;
 }
 
 static void decay(struct knee *knee, int64_t now_us)
@@ -33,17 +33,17 @@
 void knee_note(struct knee *knee, enum config_class class, uint32_t busy,
 	       uint32_t slots, int64_t took_us, int64_t now_us)
 {
-	struct knee_class *of = &knee->classes[class];
-	double most_us = OUTLIER_FACTOR_MAX * of->below.mean_us;
+	struct knee_class *stats = &knee->classes[class];
+	double most_us = OUTLIER_FACTOR_MAX * stats->below.mean_us;
 	double capped_us = (double)took_us;
 
 	decay(knee, now_us);
-	if (of->below.samples >= 1.0 && capped_us > most_us)
+	if (stats->below.samples >= 1.0 && capped_us > most_us)
 		capped_us = most_us;
 	if (busy > KNEE_SHARE * slots)
-		stats_add(&of->above, capped_us);
+		stats_add(&stats->above, capped_us);
 	else
-		stats_add(&of->below, capped_us);
+		stats_add(&stats->below, capped_us);
 }
 
 /* Totals over all classes. Each class is weighted by the smaller of its two
@@ -60,15 +60,16 @@
 	struct comparison sum = {0};
 
 	for (size_t i = 0; i < KNEE_CLASSES; i++) {
-		const struct knee_class *of = &knee->classes[i];
-		double weight = fmin(of->below.samples, of->above.samples);
+		const struct knee_class *stats = &knee->classes[i];
+		double weight = fmin(stats->below.samples, stats->above.samples);
 
-		sum.below += of->below.samples;
-		sum.above += of->above.samples;
-		if (weight <= 0 || of->below.mean_us <= 0)
+		sum.below += stats->below.samples;
+		sum.above += stats->above.samples;
+		if (weight <= 0 || stats->below.mean_us <= 0)
 			continue;
 		sum.weight += weight;
-		sum.slowdown += weight * of->above.mean_us / of->below.mean_us;
+		sum.slowdown +=
+			weight * stats->above.mean_us / stats->below.mean_us;
 	}
 	return sum;
 }
--- a/comfreydockd/decide/pace.c
+++ b/comfreydockd/decide/pace.c
@@ -7,35 +7,35 @@
 	return percent >= PACE_SLOW_FACTOR * other_percent;
 }
 
-static void note_least(struct pace *pace, uint32_t percent, int64_t now_us)
+static void note_lowest(struct pace *pace, uint32_t percent, int64_t now_us)
 {
 	if (now_us - pace->window_us > PACE_WINDOW_US) {
-		pace->least_before = pace->least;
-		pace->least = 0;
+		pace->lowest_before = pace->lowest;
+		pace->lowest = 0;
 		pace->window_us = now_us;
 	}
-	if (!pace->least || percent < pace->least)
-		pace->least = percent;
+	if (!pace->lowest || percent < pace->lowest)
+		pace->lowest = percent;
 }
 
 /* Returns the lowest recent percentage of this host. */
 static uint32_t pace_usual(const struct pace *pace)
 {
-	if (!pace->least_before)
-		return pace->least;
-	return MIN(pace->least, pace->least_before);
+	if (!pace->lowest_before)
+		return pace->lowest;
+	return MIN(pace->lowest, pace->lowest_before);
 }
 
 bool pace_note(struct pace *pace, uint32_t percent, int64_t now_us)
 {
-	bool differs = pace_is_worse(percent, pace->told_percent) ||
-		       pace_is_worse(pace->told_percent, percent);
+	bool differs = pace_is_worse(percent, pace->sent_percent) ||
+		       pace_is_worse(pace->sent_percent, percent);
 
 	pace->percent = percent;
 	pace->at_us = now_us;
-	note_least(pace, percent, now_us);
+	note_lowest(pace, percent, now_us);
 	if (differs)
-		pace->told_percent = percent;
+		pace->sent_percent = percent;
 	return differs;
 }
 
@@ -58,9 +58,9 @@
 
 /* Returns true before the first full window: until then all reports may come
  * from one slow spell. */
-static bool is_new(const struct pace *pace)
+static bool is_in_first_window(const struct pace *pace)
 {
-	return pace->least_before == 0;
+	return pace->lowest_before == 0;
 }
 
 /* Returns how long the work takes at the given pace. */
@@ -130,7 +130,7 @@
 		return PACE_TURN_BACK;
 	if (pace_is_slow(pace))
 		return judge_in_slow_spell(pace, item, now_us);
-	if (is_new(pace))
+	if (is_in_first_window(pace))
 		return judge_unknown_host(pace, item, now_us);
 	return PACE_START;
 }
--- a/comfreydockd/decide/pick.c
+++ b/comfreydockd/decide/pick.c
@@ -197,7 +197,7 @@
 		       capacity_of(candidate);
 	double kept = report_weight(set, candidate, now_us);
 
-	return candidate->outstanding + kept * candidate->others +
+	return candidate->outstanding + kept * candidate->others_work +
 	       (1 - kept) * prior;
 }
 
@@ -419,8 +419,8 @@
 	double utilisation;
 
 	candidate->load = *load;
-	candidate->others = MAX(0.0, work - candidate->outstanding);
-	utilisation = candidate->others / capacity_of(candidate);
+	candidate->others_work = MAX(0.0, work - candidate->outstanding);
+	utilisation = candidate->others_work / capacity_of(candidate);
 	if (!candidate->load_known)
 		candidate->mean_utilisation = utilisation;
 	candidate->load_known = true;
--- a/comfreydockd/decide/pick_policy.c
+++ b/comfreydockd/decide/pick_policy.c
@@ -161,17 +161,17 @@
 
 /* Moves the candidates that do not run slow to the front. RETURN VALUE: their
  * number. */
-static size_t prefer_quick(const struct pick_set *set,
-			   struct pick_candidate **candidates, size_t count,
-			   int64_t now_us)
+static size_t prefer_fast(const struct pick_set *set,
+			  struct pick_candidate **candidates, size_t count,
+			  int64_t now_us)
 {
 	uint32_t best = best_pace(set, candidates, count, now_us);
-	size_t quick = 0;
+	size_t fast = 0;
 
 	for (size_t i = 0; i < count; i++)
 		if (!pace_is_worse(pick_pace(set, candidates[i], now_us), best))
-			swap_candidates(candidates, i, quick++);
-	return quick;
+			swap_candidates(candidates, i, fast++);
+	return fast;
 }
 
 /* Moves the candidates with room to the front. RETURN VALUE: their number. */
@@ -226,12 +226,12 @@
 					  size_t count, bool has_slow,
 					  int64_t now_us)
 {
-	size_t near = prefer_local(set, candidates, count, now_us);
+	size_t preferred = prefer_local(set, candidates, count, now_us);
 
 	if (has_slow)
-		return choose_of(set, candidates, near, PICK_CHOICES, now_us,
-				 pick_score);
-	return choose_cheapest(set, candidates, near, now_us, pick_score);
+		return choose_of(set, candidates, preferred, PICK_CHOICES,
+				 now_us, pick_score);
+	return choose_cheapest(set, candidates, preferred, now_us, pick_score);
 }
 
 /*
@@ -253,12 +253,12 @@
 choose_least_score(struct pick_set *set, struct pick_candidate **candidates,
 		   size_t count, int64_t now_us)
 {
-	size_t quick = prefer_quick(set, candidates, count, now_us);
-	size_t free = prefer_free(set, candidates, quick, now_us);
+	size_t fast = prefer_fast(set, candidates, count, now_us);
+	size_t free = prefer_free(set, candidates, fast, now_us);
 	struct pick_candidate *best =
-		free > 0 ? choose_free(set, candidates, free, quick < count,
-				       now_us) :
-			   choose_queue(set, candidates, count, now_us);
+		free > 0 ?
+			choose_free(set, candidates, free, fast < count, now_us) :
+			choose_queue(set, candidates, count, now_us);
 
 	if (pick_utilisation(set, best, now_us) <= PICK_FULL_UTILISATION)
 		return best;
--- a/comfreydockd/decide/pipeline.c
+++ b/comfreydockd/decide/pipeline.c
@@ -1,10 +1,10 @@
 #include "comfreydockd/decide/pipeline.h"
 
-bool pipeline_may_start(const struct pipeline_request *question)
+bool pipeline_may_start(const struct pipeline_request *request)
 {
-	if (question->unanswered == 0)
+	if (request->unanswered == 0)
 		return true;
-	return question->idempotent && !question->has_body &&
-	       question->unanswered < PIPELINE_CALLS_MAX &&
-	       question->total < PIPELINE_TOTAL_MAX;
+	return request->idempotent && !request->has_body &&
+	       request->unanswered < PIPELINE_CALLS_MAX &&
+	       request->total < PIPELINE_TOTAL_MAX;
 }
--- a/comfreydockd/decide/quarantine.c
+++ b/comfreydockd/decide/quarantine.c
@@ -99,7 +99,7 @@
 		      struct quarantine_record *record)
 {
 	TAILQ_REMOVE(list_of(quarantine, record), record, link);
-	record->told = 0;
+	record->times_sent = 0;
 	record->is_news = true;
 	TAILQ_INSERT_HEAD(&quarantine->news, record, link);
 }
@@ -256,22 +256,22 @@
 					    uint64_t key, int64_t now_us)
 {
 	struct quarantine_record *record = find(quarantine, key);
-	struct quarantine_decision answer = {.verdict = QUARANTINE_FREE};
+	struct quarantine_decision decision = {.verdict = QUARANTINE_FREE};
 
 	if (!record || !quarantine_record_is_held(record) ||
 	    quarantine->trial_us == 0)
-		return answer;
+		return decision;
 	note_asked(quarantine, record, now_us);
-	answer.verdict = QUARANTINE_HELD;
-	answer.left_us = record_trial_us(quarantine, record) - now_us;
-	answer.trial_host = record_trial_host(record);
+	decision.verdict = QUARANTINE_HELD;
+	decision.left_us = record_trial_us(quarantine, record) - now_us;
+	decision.trial_host = record_trial_host(record);
 	if (record->failed_trials >= QUARANTINE_TRIALS_MAX)
-		answer.left_us = QUARANTINE_FORGET_US;
+		decision.left_us = QUARANTINE_FORGET_US;
 	else if (record->is_on_trial)
-		answer.left_us = TRIAL_RUNS_US;
-	else if (answer.left_us <= 0)
-		answer.verdict = QUARANTINE_TRIAL;
-	return answer;
+		decision.left_us = TRIAL_RUNS_US;
+	else if (decision.left_us <= 0)
+		decision.verdict = QUARANTINE_TRIAL;
+	return decision;
 }
 
 void quarantine_begin_trial(struct quarantine *quarantine, uint64_t key)
@@ -348,10 +348,10 @@
 {
 	const struct quarantine_record *record = TAILQ_FIRST(&quarantine->news);
 
-	return record && record->told == 0;
+	return record && record->times_sent == 0;
 }
 
-static size_t tell_news(struct quarantine *quarantine, unsigned int times_max,
+static size_t copy_news(struct quarantine *quarantine, unsigned int times_max,
 			struct quarantine_record *out, size_t size)
 {
 	struct quarantine_list told = TAILQ_HEAD_INITIALIZER(told);
@@ -361,7 +361,7 @@
 	while (count < size && (record = TAILQ_FIRST(&quarantine->news))) {
 		TAILQ_REMOVE(&quarantine->news, record, link);
 		out[count++] = *record;
-		record->is_news = ++record->told < times_max;
+		record->is_news = ++record->times_sent < times_max;
 		if (record->is_news)
 			TAILQ_INSERT_TAIL(&told, record, link);
 		else
@@ -371,10 +371,10 @@
 	return count;
 }
 
-size_t quarantine_tell(struct quarantine *quarantine, unsigned int times_max,
-		       struct quarantine_record *out, size_t size)
+size_t quarantine_copy_news(struct quarantine *quarantine, unsigned int times_max,
+			    struct quarantine_record *out, size_t size)
 {
-	size_t count = tell_news(quarantine, times_max, out, size);
+	size_t count = copy_news(quarantine, times_max, out, size);
 	size_t most = MIN(size, count + QUARANTINE_RESENT_MAX);
 	struct quarantine_record *first = TAILQ_FIRST(&quarantine->settled);
 	struct quarantine_record *record = first;
--- a/comfreydockd/decide/queue_admit.c
+++ b/comfreydockd/decide/queue_admit.c
@@ -60,9 +60,9 @@
 	if (queue->policy->latest_start_us(queue, item) >= now_us)
 		return false;
 	if (slots->running > 0 &&
-	    ++queue->doubts[item->class] % QUEUE_OVERRIDE_INTERVAL != 0)
+	    ++queue->estimate_refusals[item->class] % QUEUE_OVERRIDE_INTERVAL != 0)
 		return false;
-	queue->in_doubt[item->class] = true;
+	queue->estimate_overridden[item->class] = true;
 	return true;
 }
 
--- a/comfreydockd/decide/queue_predict.c
+++ b/comfreydockd/decide/queue_predict.c
@@ -110,8 +110,8 @@
 	int64_t sample_us = CLAMP(occupancy_us, 1, QUEUE_SERVICE_MAX_US);
 
 	if (sample_us > queue->service[class].median_us / 2) {
-		queue->in_doubt[class] = false;
-	} else if (queue->in_doubt[class]) {
+		queue->estimate_overridden[class] = false;
+	} else if (queue->estimate_overridden[class]) {
 		estimate_correct(&queue->service[class], sample_us);
 		estimate_correct(&queue->overall, sample_us);
 	}
--- a/comfreydockd/decide/retry.c
+++ b/comfreydockd/decide/retry.c
@@ -65,18 +65,18 @@
 }
 
 /* Refuses a retry that could run the request twice or answer it twice. */
-static enum retry_verdict check_safe(const struct retry_context *question)
+static enum retry_verdict check_safe(const struct retry_context *context)
 {
-	if (question->answer_begun)
+	if (context->answer_begun)
 		return RETRY_NO_ANSWERED;
-	switch (question->outcome) {
+	switch (context->outcome) {
 	case RETRY_OUTCOME_NEVER_SENT:
 	case RETRY_OUTCOME_BUSY:
 	case RETRY_OUTCOME_NOT_HERE:
 	case RETRY_OUTCOME_OVERLOAD:
 		return RETRY_GO;
 	case RETRY_OUTCOME_UNKNOWN:
-		return question->idempotent ? RETRY_GO : RETRY_NO_UNSAFE;
+		return context->idempotent ? RETRY_GO : RETRY_NO_UNSAFE;
 	case RETRY_OUTCOME_ANSWERED:
 		return RETRY_NO_ANSWERED;
 	case RETRY_OUTCOME_FINAL:
@@ -113,46 +113,47 @@
  * hint to all calls that it refuses. Passed on unchanged, it would bring all
  * their callers back within a few milliseconds, and the burst would repeat.
  */
-static int64_t spread_us(int64_t hint_us, struct random_state *random)
+static int64_t hint_jitter_us(int64_t hint_us, struct random_state *random)
 {
 	return (int64_t)random_below(random,
 				     (uint64_t)MAX(hint_us, 0) / RETRY_SPREAD);
 }
 
-static enum retry_verdict check_room(const struct retry_context *question,
+static enum retry_verdict check_room(const struct retry_context *context,
 				     int64_t delay_us, int64_t now_us)
 {
-	if (retry_counts(question->outcome) &&
-	    question->attempts >= question->max_attempts)
+	if (retry_counts(context->outcome) &&
+	    context->attempts >= context->max_attempts)
 		return RETRY_NO_ATTEMPTS;
-	if (question->untried == 0)
+	if (context->untried == 0)
 		return RETRY_NO_UPSTREAM;
-	if (now_us + delay_us + question->expected_us >= question->deadline_us)
+	if (now_us + delay_us + context->expected_us >= context->deadline_us)
 		return RETRY_NO_TIME;
 	return RETRY_GO;
 }
 
 struct retry_decision retry_decide(struct retry *retry,
-				   const struct retry_context *question,
+				   const struct retry_context *context,
 				   struct random_state *random, int64_t now_us)
 {
-	bool free_of_charge = is_free_of_charge(question->outcome);
-	int64_t wait_us = backoff_us(question->attempts, random) +
-			  question->retry_after_us;
-	struct retry_decision answer = {
+	bool free_of_charge = is_free_of_charge(context->outcome);
+	int64_t wait_us =
+		backoff_us(context->attempts, random) + context->retry_after_us;
+	struct retry_decision decision = {
 		.delay_us = free_of_charge ? 0 : wait_us,
 	};
 
-	answer.verdict = check_safe(question);
-	if (answer.verdict == RETRY_GO)
-		answer.verdict = check_room(question, answer.delay_us, now_us);
-	if (answer.verdict == RETRY_GO && !free_of_charge &&
-	    !take_budget(retry, 1.0 + question->depth, now_us))
-		answer.verdict = RETRY_NO_BUDGET;
-	if (answer.verdict != RETRY_GO) {
-		answer.delay_us = 0;
-		answer.come_back_us = MAX(wait_us, RETRY_BASE_US) +
-				      spread_us(question->retry_after_us, random);
+	decision.verdict = check_safe(context);
+	if (decision.verdict == RETRY_GO)
+		decision.verdict = check_room(context, decision.delay_us, now_us);
+	if (decision.verdict == RETRY_GO && !free_of_charge &&
+	    !take_budget(retry, 1.0 + context->depth, now_us))
+		decision.verdict = RETRY_NO_BUDGET;
+	if (decision.verdict != RETRY_GO) {
+		decision.delay_us = 0;
+		decision.come_back_us =
+			MAX(wait_us, RETRY_BASE_US) +
+			hint_jitter_us(context->retry_after_us, random);
 	}
-	return answer;
+	return decision;
 }
--- a/comfreydockd/decide/speed.c
+++ b/comfreydockd/decide/speed.c
@@ -18,23 +18,23 @@
 {
 	int64_t sample_us = MAX(service_us, 1);
 
-	if (speed->good_us == 0) {
-		speed->good_us = sample_us;
-		speed->told_us = sample_us;
+	if (speed->success_us == 0) {
+		speed->success_us = sample_us;
+		speed->reported_us = sample_us;
 	}
-	speed_move_median(&speed->good_us, sample_us, SPEED_GAIN);
-	speed_move_median(&speed->told_us, sample_us, SPEED_GAIN);
+	speed_move_median(&speed->success_us, sample_us, SPEED_GAIN);
+	speed_move_median(&speed->reported_us, sample_us, SPEED_GAIN);
 }
 
 void speed_note_error(struct speed *speed)
 {
-	if (speed->good_us > 0)
-		speed_move_median(&speed->told_us,
-				  speed->good_us * SPEED_ERROR_SLOWNESS,
+	if (speed->success_us > 0)
+		speed_move_median(&speed->reported_us,
+				  speed->success_us * SPEED_ERROR_SLOWNESS,
 				  SPEED_GAIN);
 }
 
 int64_t speed_us(const struct speed *speed)
 {
-	return speed->told_us;
+	return speed->reported_us;
 }
--- a/comfreydockd/decide/window_budget.c
+++ b/comfreydockd/decide/window_budget.c
@@ -3,12 +3,12 @@
 #include <math.h>
 #include <string.h>
 
-#define RING (WINDOW_BUDGET_SLOTS + 1)
+#define RING_SIZE (WINDOW_BUDGET_SLOTS + 1)
 
 static struct window_budget_slot *slot_of(struct window_budget *budget,
 					  int64_t number)
 {
-	return &budget->slots[number % RING];
+	return &budget->slots[number % RING_SIZE];
 }
 
 /* Clears the slots that have begun since the last call. */
@@ -19,7 +19,7 @@
 	if (!budget->has_begun)
 		budget->first = number;
 	budget->has_begun = true;
-	if (number >= budget->newest + RING) {
+	if (number >= budget->newest + RING_SIZE) {
 		memset(budget->slots, 0, sizeof(budget->slots));
 		budget->newest = number;
 	}
@@ -35,7 +35,7 @@
 {
 	double sum = 0;
 
-	for (int i = 0; i < RING; i++)
+	for (int i = 0; i < RING_SIZE; i++)
 		sum += budget->slots[i].taken;
 	return sum;
 }
@@ -56,10 +56,12 @@
  * few of the others and would take their parts of the slack. */
 static double slack_of(const struct window_budget *budget)
 {
-	bool is_new = budget->newest - budget->first < WINDOW_BUDGET_SLOTS;
+	bool is_in_first_window =
+		budget->newest - budget->first < WINDOW_BUDGET_SLOTS;
 
-	return is_new ? fmin(budget->slack, WINDOW_BUDGET_FIRST_SLACK) :
-			budget->slack;
+	return is_in_first_window ?
+		       fmin(budget->slack, WINDOW_BUDGET_FIRST_SLACK) :
+		       budget->slack;
 }
 
 double window_budget_capacity(struct window_budget *budget, int64_t now_us)
@@ -69,7 +71,7 @@
 
 	advance(budget, now_us);
 	oldest = slot_of(budget, budget->newest + 1);
-	for (int i = 0; i < RING; i++)
+	for (int i = 0; i < RING_SIZE; i++)
 		calls += budget->slots[i].calls;
 	return slack_of(budget) + budget->share * (calls - oldest->calls);
 }
--- a/include/comfreydockd/decide/breaker.h
+++ b/include/comfreydockd/decide/breaker.h
@@ -53,8 +53,8 @@
 struct breaker {
 	bool is_open;
 	uint32_t streak; /* consecutive failed runs */
-	uint32_t good; /* consecutive answers since it opened */
-	int64_t tried_us; /* time of the last trial */
+	uint32_t successes; /* consecutive answers since it opened */
+	int64_t last_trial_us;
 };
 
 /* RETURN VALUE: true if the result has opened or closed the breaker. */
--- a/include/comfreydockd/decide/deadline.h
+++ b/include/comfreydockd/decide/deadline.h
@@ -69,11 +69,11 @@
 
 /* Notes a round trip without work in between: a refusal or a load report. One
  * above DEADLINE_RTT_MAX_US is ignored. */
-void deadline_rtt_note(struct deadline_rtt *path, int64_t round_trip_us);
+void deadline_rtt_note(struct deadline_rtt *rtt, int64_t round_trip_us);
 
 /* RETURN VALUE: the time to set aside for the round trip;
  * DEADLINE_RTT_DEFAULT_US before the first sample. */
-int64_t deadline_rtt_us(const struct deadline_rtt *path);
+int64_t deadline_rtt_us(const struct deadline_rtt *rtt);
 
 /*
  * Returns the deadline of a request that arrives now: the earlier one of the
@@ -90,7 +90,7 @@
 
 /* RETURN VALUE: the remaining time to send to the next hop; 0 if none is left,
  * INT64_MAX if there is no deadline. */
-int64_t deadline_for_hop_us(int64_t deadline_us, int64_t path_us, int64_t now_us);
+int64_t deadline_for_hop_us(int64_t deadline_us, int64_t rtt_us, int64_t now_us);
 
 /* Returns true if work that takes service_us after wait_us ends in time. */
 bool deadline_can_finish(int64_t deadline_us, int64_t wait_us,
@@ -116,7 +116,7 @@
  * overload these were seen by the thousand.
  */
 int64_t deadline_attempt_timeout_us(int64_t deadline_us, int64_t now_us);
-int64_t deadline_overdue_reply_us(const struct deadline_rtt *path);
+int64_t deadline_overdue_reply_us(const struct deadline_rtt *rtt);
 
 /*
  * Returns how long an answer that has begun may stay idle. The deadline covers
--- a/include/comfreydockd/decide/health.h
+++ b/include/comfreydockd/decide/health.h
@@ -110,12 +110,12 @@
 	uint32_t unanswered; /* attempts without an answer */
 	int64_t heard_us; /* last sign of life, or first send after idleness */
 	uint32_t open_questions; /* without an answer since heard_us */
-	int64_t until_us; /* end of the ejection */
+	int64_t ejected_until_us; /* in HEALTH_EJECTED */
 	int64_t ejected_us; /* time of the last ejection */
 	uint32_t ejections; /* consecutive ones, for the growing time */
 	uint32_t epoch; /* incremented with each change of state */
 	uint32_t trials_out;
-	uint32_t trials_good;
+	uint32_t trials_passed;
 };
 
 TAILQ_HEAD(health_list, health_upstream);
@@ -136,7 +136,7 @@
 	const struct health_policy *policy;
 	struct health_list upstreams;
 	struct random_state random;
-	int64_t tried_us; /* last trial while all were mute */
+	int64_t last_trial_us; /* while all were mute */
 };
 
 void health_init(struct health *health, const struct health_policy *policy,
--- a/include/comfreydockd/decide/hedge.h
+++ b/include/comfreydockd/decide/hedge.h
@@ -89,10 +89,10 @@
 /* RETURN VALUE: the time to wait from now on, or -1 if no hedge must be
  * sent. */
 int64_t hedge_delay_us(const struct hedge *hedge,
-		       const struct hedge_context *question, int64_t now_us);
+		       const struct hedge_context *context, int64_t now_us);
 
 /* Checks again when the hedge is due, and takes the tokens. */
-bool hedge_take(struct hedge *hedge, const struct hedge_context *question,
+bool hedge_take(struct hedge *hedge, const struct hedge_context *context,
 		int64_t now_us);
 
 #endif
--- a/include/comfreydockd/decide/pace.h
+++ b/include/comfreydockd/decide/pace.h
@@ -64,12 +64,12 @@
 struct pace {
 	uint32_t percent; /* of the usual time; 0: never reported */
 	int64_t at_us;
-	uint32_t told_percent; /* last value sent to the entries */
+	uint32_t sent_percent; /* last value sent to the entries */
 	/* The lowest reports of the current and the previous window; 0:
 	 * none. */
 	int64_t window_us;
-	uint32_t least;
-	uint32_t least_before;
+	uint32_t lowest;
+	uint32_t lowest_before;
 };
 
 struct pace_item {
--- a/include/comfreydockd/decide/pick.h
+++ b/include/comfreydockd/decide/pick.h
@@ -100,7 +100,7 @@
 	bool load_known;
 	struct pick_load load; /* the last report */
 	int64_t load_at_us;
-	double others; /* work of other entries at the last report */
+	double others_work; /* work of other entries at the last report */
 	double mean_utilisation; /* mean of others' work over its reports */
 	double latency_us; /* running median; 0: unknown */
 	uint32_t latency_samples;
--- a/include/comfreydockd/decide/pipeline.h
+++ b/include/comfreydockd/decide/pipeline.h
@@ -57,6 +57,6 @@
 
 /* RETURN VALUE: true to start the request now, false to start it once the
  * earlier ones are answered. */
-bool pipeline_may_start(const struct pipeline_request *question);
+bool pipeline_may_start(const struct pipeline_request *request);
 
 #endif
--- a/include/comfreydockd/decide/quarantine.h
+++ b/include/comfreydockd/decide/quarantine.h
@@ -82,7 +82,7 @@
 	uint32_t failed_trials;
 	int64_t changed_us;
 	int64_t asked_us; /* when it last came to any daemon; approximate */
-	unsigned int told; /* how often it was sent since the last change */
+	unsigned int times_sent; /* since the last change */
 	bool is_news;
 	bool is_on_trial; /* a trial runs on this host */
 };
@@ -173,8 +173,8 @@
  *
  * RETURN VALUE: their number.
  */
-size_t quarantine_tell(struct quarantine *quarantine, unsigned int times_max,
-		       struct quarantine_record *out, size_t size);
+size_t quarantine_copy_news(struct quarantine *quarantine, unsigned int times_max,
+			    struct quarantine_record *out, size_t size);
 
 /* RETURN VALUE: false if there is no mark to clear. */
 bool quarantine_clear(struct quarantine *quarantine, uint64_t key,
--- a/include/comfreydockd/decide/queue.h
+++ b/include/comfreydockd/decide/queue.h
@@ -173,8 +173,8 @@
 	uint64_t next_sequence;
 	struct fair lanes[QUEUE_LANES]; /* fifo uses only the first one */
 	uint32_t passed_over[QUEUE_CLASSES];
-	uint32_t doubts[QUEUE_CLASSES]; /* items that the estimate would refuse */
-	bool in_doubt[QUEUE_CLASSES]; /* some of them were accepted */
+	uint32_t estimate_refusals[QUEUE_CLASSES]; /* overridden or not */
+	bool estimate_overridden[QUEUE_CLASSES]; /* some of them were accepted */
 	struct heap by_latest_start;
 	struct estimate service[QUEUE_CLASSES];
 	struct estimate overall;
--- a/include/comfreydockd/decide/retry.h
+++ b/include/comfreydockd/decide/retry.h
@@ -155,7 +155,7 @@
 
 /* Takes the tokens if the verdict is RETRY_GO and the retry costs any. */
 struct retry_decision retry_decide(struct retry *retry,
-				   const struct retry_context *question,
+				   const struct retry_context *context,
 				   struct random_state *random, int64_t now_us);
 
 /* Returns a fixed word for the time line and the logs. */
--- a/include/comfreydockd/decide/speed.h
+++ b/include/comfreydockd/decide/speed.h
@@ -38,8 +38,8 @@
 
 /* Zero-initialised. */
 struct speed {
-	int64_t good_us; /* running median of successful answers; 0: none */
-	int64_t told_us; /* the same including errors */
+	int64_t success_us; /* running median of successful answers; 0: none */
+	int64_t reported_us; /* the same including errors */
 };
 
 /* Notes a successful answer and how long it took. */
--- a/tests/test_breaker.c
+++ b/tests/test_breaker.c
@@ -7,23 +7,24 @@
 
 /* A simulated owner, and how many requests its upstream failed. One request in
  * three must not run twice. */
-struct play {
+struct simulation {
 	struct breaker breaker;
 	unsigned int begun;
 	unsigned int lost; /* of those that must not run twice */
 	unsigned int turned_back;
 };
 
-static void offer(struct play *play, bool idempotent, bool may_turn_back,
-		  bool is_answer, int64_t now_us)
+static void offer(struct simulation *simulation, bool idempotent,
+		  bool may_turn_back, bool is_answer, int64_t now_us)
 {
-	if (breaker_turns_back(&play->breaker, may_turn_back, idempotent, now_us)) {
-		play->turned_back++;
+	if (breaker_turns_back(&simulation->breaker, may_turn_back, idempotent,
+			       now_us)) {
+		simulation->turned_back++;
 		return;
 	}
-	play->begun++;
-	play->lost += !is_answer && !idempotent;
-	breaker_note_result(&play->breaker, is_answer);
+	simulation->begun++;
+	simulation->lost += !is_answer && !idempotent;
+	breaker_note_result(&simulation->breaker, is_answer);
 }
 
 /*
@@ -34,27 +35,27 @@
  */
 static void test_reset_upstream_loses_few(void)
 {
-	struct play play = {.lost = 0};
+	struct simulation simulation = {.lost = 0};
 
 	for (int i = 0; i < 180; i++)
-		offer(&play, i % 3 != 0, true, false, i * 33 * MS);
-	g_assert_cmpuint(play.lost, <=, BREAKER_FAILURES);
-	g_assert_cmpuint(play.turned_back, >, 100);
+		offer(&simulation, i % 3 != 0, true, false, i * 33 * MS);
+	g_assert_cmpuint(simulation.lost, <=, BREAKER_FAILURES);
+	g_assert_cmpuint(simulation.turned_back, >, 100);
 }
 
 /* Guards against a recovered upstream that gets no requests: its breaker closes
  * within about a fifth of a second. */
 static void test_closes_after_good_answers(void)
 {
-	struct play play = {.lost = 0};
+	struct simulation simulation = {.lost = 0};
 	int64_t now = 0;
 
 	for (int i = 0; i < BREAKER_FAILURES; i++)
-		offer(&play, true, true, false, now += 33 * MS);
-	g_assert_true(play.breaker.is_open);
+		offer(&simulation, true, true, false, now += 33 * MS);
+	g_assert_true(simulation.breaker.is_open);
 	for (int i = 0; i < 10; i++)
-		offer(&play, true, true, true, now += 33 * MS);
-	g_assert_false(play.breaker.is_open);
+		offer(&simulation, true, true, true, now += 33 * MS);
+	g_assert_false(simulation.breaker.is_open);
 }
 
 /*
@@ -65,11 +66,12 @@
 static void test_few_losses_keep_breaker_closed(void)
 {
 	struct random_state random = {.state = 5};
-	struct play play = {.lost = 0};
+	struct simulation simulation = {.lost = 0};
 
 	for (int i = 0; i < 100000; i++)
-		offer(&play, true, true, random_unit(&random) >= 0.05, i * MS);
-	g_assert_cmpuint(play.turned_back, ==, 0);
+		offer(&simulation, true, true, random_unit(&random) >= 0.05,
+		      i * MS);
+	g_assert_cmpuint(simulation.turned_back, ==, 0);
 }
 
 /*
@@ -79,12 +81,12 @@
  */
 static void test_last_resort_is_started(void)
 {
-	struct play play = {.lost = 0};
+	struct simulation simulation = {.lost = 0};
 
 	for (int i = 0; i < 20; i++)
-		offer(&play, true, false, false, i * MS);
-	g_assert_true(play.breaker.is_open);
-	g_assert_cmpuint(play.begun, ==, 20);
+		offer(&simulation, true, false, false, i * MS);
+	g_assert_true(simulation.breaker.is_open);
+	g_assert_cmpuint(simulation.begun, ==, 20);
 }
 
 int main(int argc, char **argv)
--- a/tests/test_deadline.c
+++ b/tests/test_deadline.c
@@ -19,12 +19,12 @@
 			int64_t at_us = deadline_at(
 				sent_us, g_test_rand_int_range(0, 20000),
 				true_us + skew_us);
-			int64_t path_us = g_test_rand_int_range(-10, 5000);
+			int64_t rtt_us = g_test_rand_int_range(-10, 5000);
 
 			g_assert_cmpint(at_us - skew_us, <=, ends_us);
 			ends_us = at_us - skew_us;
 			true_us += g_test_rand_int_range(0, US_PER_S);
-			sent_us = deadline_for_hop_us(at_us, path_us,
+			sent_us = deadline_for_hop_us(at_us, rtt_us,
 						      true_us + skew_us);
 			g_assert_cmpint(sent_us, >=, 0);
 			g_assert_cmpint(true_us + sent_us, <=,
@@ -88,17 +88,17 @@
  */
 static void test_pause_is_not_counted_as_round_trip(void)
 {
-	struct deadline_rtt path = {0};
+	struct deadline_rtt rtt = {0};
 	int64_t all_us = 2 * US_PER_S;
 
 	for (int i = 0; i < 20; i++)
-		deadline_rtt_note(&path, 2500 * US_PER_MS);
-	g_assert_cmpint(deadline_rtt_us(&path), ==, DEADLINE_RTT_DEFAULT_US);
+		deadline_rtt_note(&rtt, 2500 * US_PER_MS);
+	g_assert_cmpint(deadline_rtt_us(&rtt), ==, DEADLINE_RTT_DEFAULT_US);
 	for (int i = 0; i < 20; i++)
-		deadline_rtt_note(&path, DEADLINE_RTT_MAX_US * (i % 2));
-	g_assert_cmpint(deadline_for_hop_us(all_us, deadline_rtt_us(&path), 0),
+		deadline_rtt_note(&rtt, DEADLINE_RTT_MAX_US * (i % 2));
+	g_assert_cmpint(deadline_for_hop_us(all_us, deadline_rtt_us(&rtt), 0),
 			>, all_us / 2);
-	g_assert_cmpint(deadline_for_hop_us(100, deadline_rtt_us(&path), 0), >,
+	g_assert_cmpint(deadline_for_hop_us(100, deadline_rtt_us(&rtt), 0), >,
 			50);
 }
 
@@ -106,15 +106,15 @@
  * one adds its deviation. */
 static void test_rtt_follows_round_trips(void)
 {
-	struct deadline_rtt path = {0};
+	struct deadline_rtt rtt = {0};
 
-	g_assert_cmpint(deadline_rtt_us(&path), ==, DEADLINE_RTT_DEFAULT_US);
+	g_assert_cmpint(deadline_rtt_us(&rtt), ==, DEADLINE_RTT_DEFAULT_US);
 	for (int i = 0; i < 100; i++)
-		deadline_rtt_note(&path, 1000);
-	g_assert_cmpint(deadline_rtt_us(&path), <=, 1020);
+		deadline_rtt_note(&rtt, 1000);
+	g_assert_cmpint(deadline_rtt_us(&rtt), <=, 1020);
 	for (int i = 0; i < 100; i++)
-		deadline_rtt_note(&path, i % 2 ? 1000 : 3000);
-	g_assert_cmpint(deadline_rtt_us(&path), >, 3000);
+		deadline_rtt_note(&rtt, i % 2 ? 1000 : 3000);
+	g_assert_cmpint(deadline_rtt_us(&rtt), >, 3000);
 }
 
 /*
--- a/tests/test_health.c
+++ b/tests/test_health.c
@@ -113,9 +113,9 @@
 		call(&f, 0, HEALTH_LOST, now);
 	for (int i = 0; i < 5; i++) {
 		g_assert_cmpint(u->state, ==, HEALTH_EJECTED);
-		g_assert_cmpint(u->until_us - now, >, away);
-		away = u->until_us - now;
-		now = u->until_us;
+		g_assert_cmpint(u->ejected_until_us - now, >, away);
+		away = u->ejected_until_us - now;
+		now = u->ejected_until_us;
 		health_tick(&f.health, now);
 		health_note_ended(&f.health, u, old, HEALTH_TIMEOUT, now);
 		g_assert_true(health_is_usable(u));
@@ -123,14 +123,14 @@
 		g_assert_false(health_is_usable(u));
 		health_note_ended(&f.health, u, old, HEALTH_LOST, now);
 	}
-	now = u->until_us;
+	now = u->ejected_until_us;
 	health_tick(&f.health, now);
 	for (int i = 0; i < HEALTH_TRIALS; i++)
 		call(&f, 0, HEALTH_OK, now);
 	g_assert_cmpint(u->state, ==, HEALTH_CLOSED);
 }
 
-static void do_anything(struct fixture *f, size_t i, int64_t now)
+static void apply_random_event(struct fixture *f, size_t i, int64_t now)
 {
 	struct health_upstream *u = &f->upstreams[i];
 
@@ -171,7 +171,7 @@
 		size_t out, all;
 
 		now += g_test_rand_int_range(0, 200) * MS;
-		do_anything(&f, u, now);
+		apply_random_event(&f, u, now);
 		out = count_state(&f, HEALTH_EJECTED) +
 		      count_state(&f, HEALTH_HALF_OPEN);
 		all = out + count_state(&f, HEALTH_CLOSED);
--- a/tests/test_hedge.c
+++ b/tests/test_hedge.c
@@ -4,7 +4,7 @@
 
 #define MS ((int64_t)1000)
 
-static const struct hedge_context good = {
+static const struct hedge_context valid = {
 	.enabled = true,
 	.idempotent = true,
 	.untried = 1,
@@ -29,7 +29,7 @@
 	int64_t delay;
 
 	set_up(&hedge, 10);
-	delay = hedge_delay_us(&hedge, &good, 0);
+	delay = hedge_delay_us(&hedge, &valid, 0);
 	g_assert_cmpint(delay, >=, 100 * MS);
 	g_assert_cmpint(delay, <=, 110 * MS);
 }
@@ -42,7 +42,7 @@
 
 	hedge_init(&hedge, 10);
 	hedge_note_latency(&hedge, 5 * MS);
-	g_assert_cmpint(hedge_delay_us(&hedge, &good, 0), ==, -1);
+	g_assert_cmpint(hedge_delay_us(&hedge, &valid, 0), ==, -1);
 }
 
 /*
@@ -88,7 +88,7 @@
 
 	for (int i = 0; i < calls; i++) {
 		hedge_note_request(hedge);
-		if (!hedge_take(hedge, &good, 0))
+		if (!hedge_take(hedge, &valid, 0))
 			continue;
 		hedges++;
 		hedge_note_race(hedge, won);
--- a/tests/test_knee.c
+++ b/tests/test_knee.c
@@ -9,8 +9,8 @@
 
 /* Feeds requests of an upstream that slows down by a factor above four fifths
  * of its slots; their times vary by a third. */
-static void play(struct knee *knee, struct random_state *random, double factor,
-		 unsigned int count, int64_t *now_us)
+static void feed_requests(struct knee *knee, struct random_state *random,
+			  double factor, unsigned int count, int64_t *now_us)
 {
 	for (unsigned int i = 0; i < count; i++) {
 		uint32_t busy = 1 + (uint32_t)random_below(random, SLOTS);
@@ -37,7 +37,7 @@
 		int64_t now_us = S;
 
 		g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, SLOTS);
-		play(&knee, &random, 1.7, 400, &now_us);
+		feed_requests(&knee, &random, 1.7, 400, &now_us);
 		g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, 7);
 	}
 }
@@ -51,7 +51,7 @@
 		int64_t now_us = S;
 
 		for (int round = 0; round < 20; round++) {
-			play(&knee, &random, 1.0, 50, &now_us);
+			feed_requests(&knee, &random, 1.0, 50, &now_us);
 			g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, SLOTS);
 		}
 	}
@@ -120,7 +120,7 @@
 	struct knee knee = {0};
 	int64_t now_us = S;
 
-	play(&knee, &random, 1.7, 400, &now_us);
+	feed_requests(&knee, &random, 1.7, 400, &now_us);
 	g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, 7);
 	now_us += 10 * KNEE_HALF_LIFE_US;
 	knee_note(&knee, CONFIG_CLASS_NORMAL, 1, SLOTS, USUAL_US, now_us);
@@ -133,7 +133,7 @@
 	struct knee knee = {0};
 	int64_t now_us = S;
 
-	play(&knee, &random, 1.7, 400, &now_us);
+	feed_requests(&knee, &random, 1.7, 400, &now_us);
 	g_assert_cmpuint(knee_slots(&knee, 1), ==, 1);
 	g_assert_cmpuint(knee_slots(&knee, 2), ==, 1);
 }
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -169,7 +169,7 @@
 /* RETURN VALUE: the duration of a call. If judges is true, it asks one host
  * after another, with 2 ms for each hop; otherwise, it starts at the first
  * one. */
-static int64_t play(bool judges, unsigned int first, int64_t at_us)
+static int64_t simulate_call(bool judges, unsigned int first, int64_t at_us)
 {
 	struct pace_item item = item_of(60, 200, 500);
 	int64_t began_us = at_us;
@@ -212,7 +212,8 @@
 	for (unsigned int judges = 0; judges < 2; judges++) {
 		for (unsigned int i = 0; i < 2000; i++)
 			in_time[judges] +=
-				play(judges, i % 7, i * 13 * MS) <= 200 * MS;
+				simulate_call(judges, i % 7, i * 13 * MS) <=
+				200 * MS;
 	}
 	g_test_message("in time: %u without judging, %u with", in_time[0],
 		       in_time[1]);
--- a/tests/test_pipeline.c
+++ b/tests/test_pipeline.c
@@ -9,10 +9,10 @@
 
 static void test_first_request_always_starts(void)
 {
-	struct pipeline_request question = {.has_body = true,
-					    .total = PIPELINE_TOTAL_MAX};
+	struct pipeline_request request = {.has_body = true,
+					   .total = PIPELINE_TOTAL_MAX};
 
-	g_assert_true(pipeline_may_start(&question));
+	g_assert_true(pipeline_may_start(&request));
 }
 
 static void test_lookup_starts_behind_another(void)
@@ -27,33 +27,33 @@
  */
 static void test_booking_waits(void)
 {
-	struct pipeline_request question = lookup_behind_one;
+	struct pipeline_request request = lookup_behind_one;
 
-	question.idempotent = false;
-	g_assert_false(pipeline_may_start(&question));
+	request.idempotent = false;
+	g_assert_false(pipeline_may_start(&request));
 }
 
 static void test_body_waits(void)
 {
-	struct pipeline_request question = lookup_behind_one;
+	struct pipeline_request request = lookup_behind_one;
 
-	question.has_body = true;
-	g_assert_false(pipeline_may_start(&question));
+	request.has_body = true;
+	g_assert_false(pipeline_may_start(&request));
 }
 
 /* Guards against a caller that sends without end while its answers pile up
  * behind one that does not finish. */
 static void test_bounds(void)
 {
-	struct pipeline_request question = lookup_behind_one;
+	struct pipeline_request request = lookup_behind_one;
 
-	question.unanswered = PIPELINE_CALLS_MAX - 1;
-	g_assert_true(pipeline_may_start(&question));
-	question.unanswered = PIPELINE_CALLS_MAX;
-	g_assert_false(pipeline_may_start(&question));
-	question = lookup_behind_one;
-	question.total = PIPELINE_TOTAL_MAX;
-	g_assert_false(pipeline_may_start(&question));
+	request.unanswered = PIPELINE_CALLS_MAX - 1;
+	g_assert_true(pipeline_may_start(&request));
+	request.unanswered = PIPELINE_CALLS_MAX;
+	g_assert_false(pipeline_may_start(&request));
+	request = lookup_behind_one;
+	request.total = PIPELINE_TOTAL_MAX;
+	g_assert_false(pipeline_may_start(&request));
 }
 
 /* All answers that may wait for their turn fit into a quarter of the 64 MiB
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -5,7 +5,7 @@
 
 #define SECOND ((int64_t)1000 * 1000)
 #define START (1000 * SECOND)
-#define DEADLY 7
+#define CRASHING_KEY 7
 #define TOLD_TIMES 4
 
 static uint64_t crash_at(const char *host)
@@ -21,7 +21,7 @@
 	return quarantine_judge(quarantine, key, now_us).verdict;
 }
 
-static struct quarantine *create_holding(uint64_t key)
+static struct quarantine *create_held(uint64_t key)
 {
 	struct quarantine *quarantine =
 		quarantine_create(QUARANTINE_TRIAL_US, NULL, NULL);
@@ -40,14 +40,15 @@
 	struct quarantine_decision answer;
 
 	for (int i = 0; i < QUARANTINE_CRASHES; i++) {
-		g_assert_cmpint(verdict(quarantine, DEADLY, START), ==,
+		g_assert_cmpint(verdict(quarantine, CRASHING_KEY, START), ==,
 				QUARANTINE_FREE);
-		quarantine_note_crash(quarantine, DEADLY, crash_at("a"), START);
+		quarantine_note_crash(quarantine, CRASHING_KEY, crash_at("a"),
+				      START);
 	}
-	answer = quarantine_judge(quarantine, DEADLY, START + SECOND);
+	answer = quarantine_judge(quarantine, CRASHING_KEY, START + SECOND);
 	g_assert_cmpint(answer.verdict, ==, QUARANTINE_HELD);
 	g_assert_cmpint(answer.left_us, ==, QUARANTINE_TRIAL_US - SECOND);
-	g_assert_cmpint(verdict(quarantine, DEADLY + 1, START), ==,
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY + 1, START), ==,
 			QUARANTINE_FREE);
 	quarantine_destroy(quarantine);
 }
@@ -57,8 +58,10 @@
 	struct quarantine *quarantine = quarantine_create(0, NULL, NULL);
 
 	for (int i = 0; i < QUARANTINE_CRASHES; i++)
-		quarantine_note_crash(quarantine, DEADLY, crash_at("a"), START);
-	g_assert_cmpint(verdict(quarantine, DEADLY, START), ==, QUARANTINE_FREE);
+		quarantine_note_crash(quarantine, CRASHING_KEY, crash_at("a"),
+				      START);
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, START), ==,
+			QUARANTINE_FREE);
 	quarantine_destroy(quarantine);
 }
 
@@ -69,8 +72,9 @@
 	uint64_t crash = crash_at("a");
 
 	for (int i = 0; i < 2 * QUARANTINE_CRASHES; i++)
-		quarantine_note_crash(quarantine, DEADLY, crash, START);
-	g_assert_cmpint(verdict(quarantine, DEADLY, START), ==, QUARANTINE_FREE);
+		quarantine_note_crash(quarantine, CRASHING_KEY, crash, START);
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, START), ==,
+			QUARANTINE_FREE);
 	quarantine_destroy(quarantine);
 }
 
@@ -84,11 +88,12 @@
 
 	for (int i = 0; i < 2 * QUARANTINE_CRASHES; i++) {
 		now += QUARANTINE_ANSWERED_US / 2;
-		quarantine_note_answer(quarantine, DEADLY, now);
-		g_assert_false(quarantine_note_crash(quarantine, DEADLY,
+		quarantine_note_answer(quarantine, CRASHING_KEY, now);
+		g_assert_false(quarantine_note_crash(quarantine, CRASHING_KEY,
 						     crash_at("a"), now));
 	}
-	g_assert_cmpint(verdict(quarantine, DEADLY, now), ==, QUARANTINE_FREE);
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, now), ==,
+			QUARANTINE_FREE);
 	quarantine_destroy(quarantine);
 }
 
@@ -99,11 +104,12 @@
 		quarantine_create(QUARANTINE_TRIAL_US, NULL, NULL);
 	int64_t now = START + QUARANTINE_ANSWERED_US + SECOND;
 
-	quarantine_note_answer(quarantine, DEADLY, START);
+	quarantine_note_answer(quarantine, CRASHING_KEY, START);
 	for (int i = 0; i < QUARANTINE_CRASHES; i++)
-		g_assert_true(quarantine_note_crash(quarantine, DEADLY,
+		g_assert_true(quarantine_note_crash(quarantine, CRASHING_KEY,
 						    crash_at("a"), now));
-	g_assert_cmpint(verdict(quarantine, DEADLY, now), ==, QUARANTINE_HELD);
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, now), ==,
+			QUARANTINE_HELD);
 	quarantine_destroy(quarantine);
 }
 
@@ -117,9 +123,10 @@
 
 	for (int i = 0; i < 3 * QUARANTINE_CRASHES; i++) {
 		now += QUARANTINE_ANSWERED_US + SECOND;
-		quarantine_note_crash(quarantine, DEADLY, crash_at("a"), now);
-		quarantine_note_answer(quarantine, DEADLY, now);
-		g_assert_cmpint(verdict(quarantine, DEADLY, now), ==,
+		quarantine_note_crash(quarantine, CRASHING_KEY, crash_at("a"),
+				      now);
+		quarantine_note_answer(quarantine, CRASHING_KEY, now);
+		g_assert_cmpint(verdict(quarantine, CRASHING_KEY, now), ==,
 				QUARANTINE_FREE);
 	}
 	quarantine_destroy(quarantine);
@@ -129,39 +136,45 @@
  * repaired, and against losing more than one upstream to a trial. */
 static void test_a_trial_at_one_host(void)
 {
-	struct quarantine *quarantine = create_holding(DEADLY);
+	struct quarantine *quarantine = create_held(CRASHING_KEY);
 	int64_t due = START + QUARANTINE_TRIAL_US;
 	struct quarantine_decision answer =
-		quarantine_judge(quarantine, DEADLY, due);
+		quarantine_judge(quarantine, CRASHING_KEY, due);
 
 	g_assert_cmpint(answer.verdict, ==, QUARANTINE_TRIAL);
 	g_assert_cmpuint(answer.trial_host, ==, 'a');
-	quarantine_begin_trial(quarantine, DEADLY);
-	g_assert_cmpint(verdict(quarantine, DEADLY, due), ==, QUARANTINE_HELD);
-	quarantine_note_crash(quarantine, DEADLY, crash_at("a"), due);
-	g_assert_cmpint(verdict(quarantine, DEADLY, due + QUARANTINE_TRIAL_US),
-			==, QUARANTINE_HELD);
+	quarantine_begin_trial(quarantine, CRASHING_KEY);
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, due), ==,
+			QUARANTINE_HELD);
+	quarantine_note_crash(quarantine, CRASHING_KEY, crash_at("a"), due);
+	g_assert_cmpint(
+		verdict(quarantine, CRASHING_KEY, due + QUARANTINE_TRIAL_US),
+		==, QUARANTINE_HELD);
 	due += 2 * QUARANTINE_TRIAL_US;
-	g_assert_cmpint(verdict(quarantine, DEADLY, due), ==, QUARANTINE_TRIAL);
-	quarantine_begin_trial(quarantine, DEADLY);
-	quarantine_note_answer(quarantine, DEADLY, due);
-	g_assert_cmpint(verdict(quarantine, DEADLY, due), ==, QUARANTINE_FREE);
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, due), ==,
+			QUARANTINE_TRIAL);
+	quarantine_begin_trial(quarantine, CRASHING_KEY);
+	quarantine_note_answer(quarantine, CRASHING_KEY, due);
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, due), ==,
+			QUARANTINE_FREE);
 	quarantine_destroy(quarantine);
 }
 
 /* RETURN VALUE: the number of runs that were allowed, each of which crashed its
  * upstream. */
-static int press(struct quarantine *quarantine, int64_t from_us, int64_t to_us)
+static int send_until(struct quarantine *quarantine, int64_t from_us,
+		      int64_t to_us)
 {
 	int runs = 0;
 
 	for (int64_t now = from_us; now < to_us; now += SECOND) {
 		quarantine_tick(quarantine, now);
-		if (verdict(quarantine, DEADLY, now) == QUARANTINE_HELD)
+		if (verdict(quarantine, CRASHING_KEY, now) == QUARANTINE_HELD)
 			continue;
 		runs++;
-		quarantine_begin_trial(quarantine, DEADLY);
-		quarantine_note_crash(quarantine, DEADLY, crash_at("a"), now);
+		quarantine_begin_trial(quarantine, CRASHING_KEY);
+		quarantine_note_crash(quarantine, CRASHING_KEY, crash_at("a"),
+				      now);
 	}
 	return runs;
 }
@@ -170,12 +183,14 @@
  * long as its caller sends it. */
 static void test_trials_end(void)
 {
-	struct quarantine *quarantine = create_holding(DEADLY);
+	struct quarantine *quarantine = create_held(CRASHING_KEY);
 	int64_t end = START + 3 * QUARANTINE_FORGET_US;
 
-	g_assert_cmpint(press(quarantine, START, end), ==, QUARANTINE_TRIALS_MAX);
-	g_assert_true(quarantine_clear(quarantine, DEADLY, end));
-	g_assert_cmpint(verdict(quarantine, DEADLY, end), ==, QUARANTINE_FREE);
+	g_assert_cmpint(send_until(quarantine, START, end), ==,
+			QUARANTINE_TRIALS_MAX);
+	g_assert_true(quarantine_clear(quarantine, CRASHING_KEY, end));
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, end), ==,
+			QUARANTINE_FREE);
 	quarantine_destroy(quarantine);
 }
 
@@ -189,16 +204,16 @@
 	int64_t now = START;
 
 	for (int i = 0; i < QUARANTINE_CRASHES; i++)
-		quarantine_note_crash(quarantine, DEADLY, crash_at(hosts[i]),
-				      now);
+		quarantine_note_crash(quarantine, CRASHING_KEY,
+				      crash_at(hosts[i]), now);
 	for (int i = 0; i < QUARANTINE_CRASHES; i++) {
 		now += QUARANTINE_TRIAL_US << i;
 		g_assert_cmpuint(
-			quarantine_judge(quarantine, DEADLY, now).trial_host,
+			quarantine_judge(quarantine, CRASHING_KEY, now).trial_host,
 			==, (uint32_t)*hosts[i]);
-		quarantine_begin_trial(quarantine, DEADLY);
-		quarantine_note_crash(quarantine, DEADLY, crash_at(hosts[i]),
-				      now);
+		quarantine_begin_trial(quarantine, CRASHING_KEY);
+		quarantine_note_crash(quarantine, CRASHING_KEY,
+				      crash_at(hosts[i]), now);
 	}
 	quarantine_destroy(quarantine);
 }
@@ -206,12 +221,13 @@
 /* Guards against a trial that ended without a result and blocks all others. */
 static void test_trial_without_result_allows_another(void)
 {
-	struct quarantine *quarantine = create_holding(DEADLY);
+	struct quarantine *quarantine = create_held(CRASHING_KEY);
 	int64_t due = START + QUARANTINE_TRIAL_US;
 
-	quarantine_begin_trial(quarantine, DEADLY);
-	quarantine_end_trial(quarantine, DEADLY);
-	g_assert_cmpint(verdict(quarantine, DEADLY, due), ==, QUARANTINE_TRIAL);
+	quarantine_begin_trial(quarantine, CRASHING_KEY);
+	quarantine_end_trial(quarantine, CRASHING_KEY);
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, due), ==,
+			QUARANTINE_TRIAL);
 	quarantine_destroy(quarantine);
 }
 
@@ -219,26 +235,27 @@
  * marks that evicts a held request. */
 static void test_the_table_is_bounded(void)
 {
-	struct quarantine *quarantine = create_holding(DEADLY);
+	struct quarantine *quarantine = create_held(CRASHING_KEY);
 	struct quarantine_record out[QUARANTINE_RECORDS_MAX + 1];
 
 	for (uint64_t key = 100; key < 100 + 4 * QUARANTINE_RECORDS_MAX; key++)
 		quarantine_note_crash(quarantine, key, crash_at("b"),
 				      START + (int64_t)key);
-	g_assert_cmpint(verdict(quarantine, DEADLY, START), ==, QUARANTINE_HELD);
+	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, START), ==,
+			QUARANTINE_HELD);
 	g_assert_cmpuint(quarantine_held(quarantine), ==, 1);
-	g_assert_cmpuint(
-		quarantine_tell(quarantine, TOLD_TIMES, out, G_N_ELEMENTS(out)),
-		==, QUARANTINE_RECORDS_MAX);
+	g_assert_cmpuint(quarantine_copy_news(quarantine, TOLD_TIMES, out,
+					      G_N_ELEMENTS(out)),
+			 ==, QUARANTINE_RECORDS_MAX);
 	quarantine_destroy(quarantine);
 }
 
 static void test_old_records_are_forgotten(void)
 {
-	struct quarantine *quarantine = create_holding(DEADLY);
+	struct quarantine *quarantine = create_held(CRASHING_KEY);
 	int64_t end = START + QUARANTINE_TRIAL_US + QUARANTINE_FORGET_US;
 
-	quarantine_note_crash(quarantine, DEADLY + 1, crash_at("a"), START);
+	quarantine_note_crash(quarantine, CRASHING_KEY + 1, crash_at("a"), START);
 	quarantine_tick(quarantine, end);
 	g_assert_cmpuint(quarantine_held(quarantine), ==, 1);
 	quarantine_tick(quarantine, end + 2 * SECOND);
@@ -247,10 +264,11 @@
 	quarantine_destroy(quarantine);
 }
 
-static void tell_all(struct quarantine *from, struct quarantine *to, int64_t now)
+static void send_all(struct quarantine *from, struct quarantine *to, int64_t now)
 {
 	struct quarantine_record out[QUARANTINE_RECORDS_MAX];
-	size_t count = quarantine_tell(from, TOLD_TIMES, out, G_N_ELEMENTS(out));
+	size_t count =
+		quarantine_copy_news(from, TOLD_TIMES, out, G_N_ELEMENTS(out));
 
 	for (size_t i = 0; i < count; i++)
 		quarantine_merge(to, &out[i], now);
@@ -260,17 +278,18 @@
  * a cleared request again. */
 static void test_cleared_takes_precedence_over_marked(void)
 {
-	struct quarantine *behind = create_holding(DEADLY);
+	struct quarantine *behind = create_held(CRASHING_KEY);
 	struct quarantine *ahead =
 		quarantine_create(QUARANTINE_TRIAL_US, NULL, NULL);
 
-	tell_all(behind, ahead, START);
-	g_assert_cmpint(verdict(ahead, DEADLY, START), ==, QUARANTINE_HELD);
-	quarantine_note_answer(ahead, DEADLY, START);
-	tell_all(behind, ahead, START);
-	g_assert_cmpint(verdict(ahead, DEADLY, START), ==, QUARANTINE_FREE);
-	tell_all(ahead, behind, START);
-	g_assert_cmpint(verdict(behind, DEADLY, START), ==, QUARANTINE_FREE);
+	send_all(behind, ahead, START);
+	g_assert_cmpint(verdict(ahead, CRASHING_KEY, START), ==, QUARANTINE_HELD);
+	quarantine_note_answer(ahead, CRASHING_KEY, START);
+	send_all(behind, ahead, START);
+	g_assert_cmpint(verdict(ahead, CRASHING_KEY, START), ==, QUARANTINE_FREE);
+	send_all(ahead, behind, START);
+	g_assert_cmpint(verdict(behind, CRASHING_KEY, START), ==,
+			QUARANTINE_FREE);
 	quarantine_destroy(behind);
 	quarantine_destroy(ahead);
 }
@@ -281,12 +300,13 @@
 {
 	struct quarantine *witness =
 		quarantine_create(QUARANTINE_TRIAL_US, NULL, NULL);
-	struct quarantine *crashed = create_holding(DEADLY);
+	struct quarantine *crashed = create_held(CRASHING_KEY);
 
-	quarantine_note_answer(witness, DEADLY, START - SECOND);
-	tell_all(crashed, witness, START);
-	tell_all(witness, crashed, START);
-	g_assert_cmpint(verdict(crashed, DEADLY, START), ==, QUARANTINE_FREE);
+	quarantine_note_answer(witness, CRASHING_KEY, START - SECOND);
+	send_all(crashed, witness, START);
+	send_all(witness, crashed, START);
+	g_assert_cmpint(verdict(crashed, CRASHING_KEY, START), ==,
+			QUARANTINE_FREE);
 	quarantine_destroy(witness);
 	quarantine_destroy(crashed);
 }
@@ -295,17 +315,17 @@
  * refuse, and lets it through when it comes there. */
 static void test_requests_still_sent_are_remembered_everywhere(void)
 {
-	struct quarantine *asked = create_holding(DEADLY);
+	struct quarantine *asked = create_held(CRASHING_KEY);
 	struct quarantine *told =
 		quarantine_create(QUARANTINE_TRIAL_US, NULL, NULL);
 	int64_t end = START + 3 * QUARANTINE_FORGET_US;
 
-	tell_all(asked, told, START);
+	send_all(asked, told, START);
 	for (int64_t now = START; now < end; now += 60 * SECOND) {
-		press(asked, now, now + 60 * SECOND);
+		send_until(asked, now, now + 60 * SECOND);
 		quarantine_tick(told, now + 60 * SECOND);
 		g_assert_cmpuint(quarantine_held(told), ==, 1);
-		tell_all(asked, told, now + 60 * SECOND);
+		send_all(asked, told, now + 60 * SECOND);
 	}
 	quarantine_destroy(asked);
 	quarantine_destroy(told);
@@ -332,10 +352,10 @@
 		if (random_below(&random, 20) == 0)
 			quarantine_note_answer(one, key,
 					       START - QUARANTINE_ANSWERED_US);
-		tell_all(one, daemons[random_below(&random, DAEMONS)], START);
+		send_all(one, daemons[random_below(&random, DAEMONS)], START);
 	}
 	for (int i = 0; i < 4 * DAEMONS * DAEMONS; i++)
-		tell_all(daemons[i % DAEMONS], daemons[i / DAEMONS % DAEMONS],
+		send_all(daemons[i % DAEMONS], daemons[i / DAEMONS % DAEMONS],
 			 START);
 	for (uint64_t key = 1; key <= 5; key++) {
 		for (int i = 1; i < DAEMONS; i++)
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -110,7 +110,7 @@
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 	int64_t longest_us = simulate_refusals(owner);
 
-	g_test_message("told after %d ms at most, %d answered",
+	g_test_message("refused after %d ms at most, %d answered",
 		       (int)(longest_us / MS), owner_in_time(owner));
 	g_assert_cmpint(longest_us, <, 200 * MS);
 	g_assert_cmpint(owner_in_time(owner), >, CALLS * 45 / 100);
@@ -148,7 +148,7 @@
 {
 	struct queue_policy all = queue_by_deadline;
 	struct owner *owner = owner_create(&queue_by_deadline, true);
-	struct owner *hindsight;
+	struct owner *accepting;
 
 	owner_generate_calls(owner, 0.8, 30 * MS, 300 * MS);
 	for (int i = 0; i < CALLS; i++) {
@@ -159,15 +159,15 @@
 		if (call->hot)
 			call->item.deadline_us = call->arrives_us + 10000 * MS;
 	}
-	all.name = "all let in";
+	all.name = "accept all";
 	all.allowed_wait_us = wait_any;
-	hindsight = owner_create(&all, true);
-	memcpy(hindsight->calls, owner->calls, CALLS * sizeof(struct call));
-	owner_simulate(owner, "long among short (+long)");
-	owner_simulate(hindsight, "long among short (+long)");
+	accepting = owner_create(&all, true);
+	memcpy(accepting->calls, owner->calls, CALLS * sizeof(struct call));
+	owner_simulate(owner, "long jobs among short ones (+long)");
+	owner_simulate(accepting, "long jobs among short ones (+long)");
 	in_time[0] += owner->in_time[0];
-	in_time[1] += hindsight->in_time[0];
-	owner_destroy(hindsight);
+	in_time[1] += accepting->in_time[0];
+	owner_destroy(accepting);
 	owner_destroy(owner);
 }
 
@@ -248,7 +248,7 @@
 		queue_note_done(&owner->queue, CONFIG_CLASS_INTERACTIVE,
 				10 * US_PER_S);
 	owner_generate_calls(owner, 0.1, 10 * MS, 1000 * MS);
-	owner_simulate(owner, "quiet, after a slow spell");
+	owner_simulate(owner, "low load after a slow spell");
 	g_assert_cmpint(CALLS - owner_in_time(owner), <=, 10);
 	owner_destroy(owner);
 }
--- a/tests/test_retry.c
+++ b/tests/test_retry.c
@@ -7,7 +7,7 @@
 static struct random_state generator = {7};
 
 /* Input that gets a retry; each test changes one field. */
-static const struct retry_context good = {
+static const struct retry_context retryable = {
 	.outcome = RETRY_OUTCOME_UNKNOWN,
 	.idempotent = true,
 	.attempts = 1,
@@ -29,7 +29,7 @@
 static void test_booking_is_not_repeated(void)
 {
 	struct retry retry;
-	struct retry_context q = good;
+	struct retry_context q = retryable;
 
 	retry_init(&retry, 100);
 	q.idempotent = false;
@@ -49,7 +49,7 @@
 static void test_drain_costs_no_budget(void)
 {
 	struct retry retry;
-	struct retry_context q = good;
+	struct retry_context q = retryable;
 
 	retry_init(&retry, 0);
 	q.outcome = RETRY_OUTCOME_NOT_HERE;
@@ -69,7 +69,7 @@
 static void test_refuses_at_once_with_retry_time(void)
 {
 	struct retry retry;
-	struct retry_context q = good;
+	struct retry_context q = retryable;
 	struct retry_decision a;
 
 	retry_init(&retry, 100);
@@ -90,7 +90,7 @@
 static void test_retry_times_are_spread(void)
 {
 	struct retry retry;
-	struct retry_context q = good;
+	struct retry_context q = retryable;
 	int early = 0;
 
 	retry_init(&retry, 0);
@@ -115,7 +115,7 @@
 static void test_deep_calls_retry_less(void)
 {
 	struct retry top, deep;
-	struct retry_context q = good;
+	struct retry_context q = retryable;
 	int retries_top = 0, retries_deep = 0;
 
 	retry_init(&top, 10);
@@ -257,7 +257,7 @@
 		retry_note_request(&retry, now);
 	}
 	for (int i = 0; i < 10; i++) {
-		struct retry_context question = good;
+		struct retry_context question = retryable;
 
 		question.deadline_us = now + 10 * SECOND;
 		repeats += retry_decide(&retry, &question, &random, now).verdict ==
