--- a/comfreydockd/decide/deadline.c
+++ b/comfreydockd/decide/deadline.c
@@ -116,10 +116,10 @@
 	return MAX(2 * deadline_rtt_us(rtt), DEADLINE_OVERDUE_REPLY_MIN_US);
 }
 
-int64_t deadline_idle_left_us(int64_t deadline_us, int64_t heard_us,
+int64_t deadline_idle_left_us(int64_t deadline_us, int64_t last_data_us,
 			      int64_t now_us)
 {
-	return MAX(deadline_us, heard_us + DEADLINE_IDLE_US) - now_us;
+	return MAX(deadline_us, last_data_us + DEADLINE_IDLE_US) - now_us;
 }
 
 bool deadline_is_overdue(int64_t started_us, int64_t deadline_us, int64_t now_us)
--- a/comfreydockd/decide/pick_policy.c
+++ b/comfreydockd/decide/pick_policy.c
@@ -121,7 +121,7 @@
 		   size_t count, int64_t now_us)
 {
 	(void)now_us;
-	return candidates[set->turn++ % count];
+	return candidates[set->next_turn++ % count];
 }
 
 static struct pick_candidate *
--- a/comfreydockd/decide/quarantine.c
+++ b/comfreydockd/decide/quarantine.c
@@ -6,8 +6,8 @@
 #include "quarantine_record.h"
 
 /* Callers are told to come back after this time while a trial runs. */
-#define TRIAL_RUNS_US ((int64_t)1000 * 1000)
-#define EXPIRE_EVERY_US ((int64_t)1000 * 1000)
+#define TRIAL_RETRY_US ((int64_t)1000 * 1000)
+#define EXPIRE_INTERVAL_US ((int64_t)1000 * 1000)
 
 /* The last time a request was answered. Another request with the same slot
  * replaces it. */
@@ -246,7 +246,7 @@
 static void note_asked(struct quarantine *quarantine,
 		       struct quarantine_record *record, int64_t asked_us)
 {
-	if (asked_us - record->asked_us < QUARANTINE_ASKED_EVERY_US)
+	if (asked_us - record->asked_us < QUARANTINE_ASKED_INTERVAL_US)
 		return;
 	record->asked_us = asked_us;
 	make_news(quarantine, record);
@@ -268,7 +268,7 @@
 	if (record->failed_trials >= QUARANTINE_TRIALS_MAX)
 		decision.left_us = QUARANTINE_FORGET_US;
 	else if (record->is_on_trial)
-		decision.left_us = TRIAL_RUNS_US;
+		decision.left_us = TRIAL_RETRY_US;
 	else if (decision.left_us <= 0)
 		decision.verdict = QUARANTINE_TRIAL;
 	return decision;
@@ -308,7 +308,7 @@
 
 void quarantine_tick(struct quarantine *quarantine, int64_t now_us)
 {
-	if (now_us - quarantine->expired_us < EXPIRE_EVERY_US)
+	if (now_us - quarantine->expired_us < EXPIRE_INTERVAL_US)
 		return;
 	quarantine->expired_us = now_us;
 	forget_old(quarantine, &quarantine->news, now_us);
@@ -316,22 +316,22 @@
 }
 
 void quarantine_merge(struct quarantine *quarantine,
-		      const struct quarantine_record *heard, int64_t now_us)
+		      const struct quarantine_record *received, int64_t now_us)
 {
-	struct quarantine_record *record = find(quarantine, heard->key);
+	struct quarantine_record *record = find(quarantine, received->key);
 
-	if (now_us > record_forget_us(quarantine, heard) ||
-	    (record && heard->round < record->round))
+	if (now_us > record_forget_us(quarantine, received) ||
+	    (record && received->round < record->round))
 		return;
 	if (!record) {
-		record = add_record(quarantine, heard->key);
+		record = add_record(quarantine, received->key);
 		if (!record)
 			return;
-		record_replace(record, heard);
-	} else if (heard->round > record->round) {
-		record_replace(record, heard);
-	} else if (!record_merge(record, heard)) {
-		note_asked(quarantine, record, heard->asked_us);
+		record_replace(record, received);
+	} else if (received->round > record->round) {
+		record_replace(record, received);
+	} else if (!record_merge(record, received)) {
+		note_asked(quarantine, record, received->asked_us);
 		return;
 	}
 	note_changed(quarantine, record, record->changed_us);
@@ -354,7 +354,7 @@
 static size_t copy_news(struct quarantine *quarantine, unsigned int times_max,
 			struct quarantine_record *out, size_t size)
 {
-	struct quarantine_list told = TAILQ_HEAD_INITIALIZER(told);
+	struct quarantine_list sent = TAILQ_HEAD_INITIALIZER(sent);
 	struct quarantine_record *record;
 	size_t count = 0;
 
@@ -363,11 +363,11 @@
 		out[count++] = *record;
 		record->is_news = ++record->times_sent < times_max;
 		if (record->is_news)
-			TAILQ_INSERT_TAIL(&told, record, link);
+			TAILQ_INSERT_TAIL(&sent, record, link);
 		else
 			TAILQ_INSERT_TAIL(&quarantine->settled, record, link);
 	}
-	TAILQ_CONCAT(&quarantine->news, &told, link);
+	TAILQ_CONCAT(&quarantine->news, &sent, link);
 	return count;
 }
 
--- a/comfreydockd/decide/quarantine_record.c
+++ b/comfreydockd/decide/quarantine_record.c
@@ -73,37 +73,38 @@
 }
 
 void record_replace(struct quarantine_record *record,
-		    const struct quarantine_record *heard)
+		    const struct quarantine_record *received)
 {
-	record->round = heard->round;
-	record->is_cleared = heard->is_cleared;
-	record->crash_count = heard->crash_count;
-	memcpy(record->crashes, heard->crashes, sizeof(record->crashes));
-	record->failed_trials = heard->failed_trials;
-	record->changed_us = heard->changed_us;
-	record->asked_us = heard->asked_us;
+	record->round = received->round;
+	record->is_cleared = received->is_cleared;
+	record->crash_count = received->crash_count;
+	memcpy(record->crashes, received->crashes, sizeof(record->crashes));
+	record->failed_trials = received->failed_trials;
+	record->changed_us = received->changed_us;
+	record->asked_us = received->asked_us;
 }
 
 bool record_merge(struct quarantine_record *record,
-		  const struct quarantine_record *heard)
+		  const struct quarantine_record *received)
 {
 	bool is_changed = false;
 
 	if (record->is_cleared)
 		return false;
-	if (heard->is_cleared) {
+	if (received->is_cleared) {
 		record->is_cleared = true;
 		is_changed = true;
 	}
-	for (uint32_t i = 0; i < heard->crash_count; i++)
-		is_changed |= record_add_crash(record, heard->crashes[i]);
-	if (heard->failed_trials > record->failed_trials) {
-		record->failed_trials = heard->failed_trials;
+	for (uint32_t i = 0; i < received->crash_count; i++)
+		is_changed |= record_add_crash(record, received->crashes[i]);
+	if (received->failed_trials > record->failed_trials) {
+		record->failed_trials = received->failed_trials;
 		is_changed = true;
 	}
 	if (is_changed) {
-		record->changed_us = MAX(record->changed_us, heard->changed_us);
-		record->asked_us = MAX(record->asked_us, heard->asked_us);
+		record->changed_us =
+			MAX(record->changed_us, received->changed_us);
+		record->asked_us = MAX(record->asked_us, received->asked_us);
 	}
 	return is_changed;
 }
--- a/comfreydockd/decide/quarantine_record.h
+++ b/comfreydockd/decide/quarantine_record.h
@@ -17,13 +17,13 @@
 
 void record_begin_round(struct quarantine_record *record);
 
-/* Copies the state of heard, except the key and the fields that track how often
+/* Copies the state of received, except the key and the fields that track how often
  * it was sent. */
 void record_replace(struct quarantine_record *record,
-		    const struct quarantine_record *heard);
+		    const struct quarantine_record *received);
 
 /* Merges a record of the same round. RETURN VALUE: true if record changed. */
 bool record_merge(struct quarantine_record *record,
-		  const struct quarantine_record *heard);
+		  const struct quarantine_record *received);
 
 #endif
--- a/include/comfreydockd/decide/deadline.h
+++ b/include/comfreydockd/decide/deadline.h
@@ -128,7 +128,7 @@
  * RETURN VALUE
  *	0 or less: the answer must be aborted.
  */
-int64_t deadline_idle_left_us(int64_t deadline_us, int64_t heard_us,
+int64_t deadline_idle_left_us(int64_t deadline_us, int64_t last_data_us,
 			      int64_t now_us);
 
 /* Returns true if the work has run for at least as long as time remains. */
--- a/include/comfreydockd/decide/pick.h
+++ b/include/comfreydockd/decide/pick.h
@@ -143,7 +143,7 @@
 	GArray *services; /* scratch space of pick_note_load() */
 	struct random_state random;
 	struct budget refusals;
-	uint64_t turn; /* for round robin */
+	uint64_t next_turn; /* for round robin */
 	double mean_utilisation; /* mean of others' work over all reports */
 	uint32_t reports;
 	double typical_service_us; /* median of all upstreams' last reports */
--- a/include/comfreydockd/decide/quarantine.h
+++ b/include/comfreydockd/decide/quarantine.h
@@ -66,7 +66,7 @@
  * came, whichever is latest. */
 #define QUARANTINE_FORGET_US ((int64_t)6 * 3600 * 1000 * 1000)
 /* Resolution at which asked_us is exchanged. */
-#define QUARANTINE_ASKED_EVERY_US (QUARANTINE_FORGET_US / 8)
+#define QUARANTINE_ASKED_INTERVAL_US (QUARANTINE_FORGET_US / 8)
 /* Settled records that are sent again with each packet, for daemons that may
  * have missed them. */
 #define QUARANTINE_RESENT_MAX 2
@@ -161,7 +161,7 @@
 /* Merges a record from another daemon. Its times must be converted to this
  * host's clock. */
 void quarantine_merge(struct quarantine *quarantine,
-		      const struct quarantine_record *heard, int64_t now_us);
+		      const struct quarantine_record *received, int64_t now_us);
 
 /* Return true if there are records to send, or records that were never sent. */
 bool quarantine_has_news(const struct quarantine *quarantine);
--- a/tests/test_deadline.c
+++ b/tests/test_deadline.c
@@ -140,17 +140,19 @@
 static void test_stalled_answer_is_aborted(void)
 {
 	int64_t deadline_us = 1000;
-	int64_t heard_us = deadline_us + 5 * DEADLINE_IDLE_US;
-	int64_t due_us = heard_us + DEADLINE_IDLE_US;
-
-	g_assert_cmpint(deadline_idle_left_us(deadline_us, heard_us, heard_us),
-			==, DEADLINE_IDLE_US);
-	g_assert_cmpint(deadline_idle_left_us(deadline_us, heard_us, due_us - 1),
-			>, 0);
-	g_assert_cmpint(deadline_idle_left_us(deadline_us, heard_us, due_us),
+	int64_t last_data_us = deadline_us + 5 * DEADLINE_IDLE_US;
+	int64_t due_us = last_data_us + DEADLINE_IDLE_US;
+
+	g_assert_cmpint(
+		deadline_idle_left_us(deadline_us, last_data_us, last_data_us),
+		==, DEADLINE_IDLE_US);
+	g_assert_cmpint(
+		deadline_idle_left_us(deadline_us, last_data_us, due_us - 1), >,
+		0);
+	g_assert_cmpint(deadline_idle_left_us(deadline_us, last_data_us, due_us),
 			<=, 0);
-	g_assert_cmpint(deadline_idle_left_us(2 * due_us, heard_us, due_us), ==,
-			due_us);
+	g_assert_cmpint(deadline_idle_left_us(2 * due_us, last_data_us, due_us),
+			==, due_us);
 }
 
 int main(int argc, char **argv)
--- a/tests/test_hedge.c
+++ b/tests/test_hedge.c
@@ -105,13 +105,13 @@
 {
 	struct hedge losing;
 	struct hedge winning;
-	int few;
+	int losing_count;
 
 	set_up(&losing, 10);
 	set_up(&winning, 10);
-	few = count_hedges(&losing, 10000, false);
-	g_assert_cmpint(few, >, 100);
-	g_assert_cmpint(few, <, 300);
+	losing_count = count_hedges(&losing, 10000, false);
+	g_assert_cmpint(losing_count, >, 100);
+	g_assert_cmpint(losing_count, <, 300);
 	g_assert_cmpint(count_hedges(&winning, 10000, true), >, 900);
 	/* The upstreams change, and hedges that win again are detected. */
 	count_hedges(&losing, 1000, true);
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -8,7 +8,7 @@
 #define FAST 100
 #define SLOW 700
 
-static struct pace told(uint32_t percent, int64_t at_us)
+static struct pace pace_after_report(uint32_t percent, int64_t at_us)
 {
 	struct pace pace = {0};
 
@@ -34,7 +34,7 @@
  */
 static void test_slow_host_refuses(void)
 {
-	struct pace pace = told(SLOW, 10 * MS);
+	struct pace pace = pace_after_report(SLOW, 10 * MS);
 	struct pace_item item = item_of(60, 200, 500);
 
 	item.may_turn_back = true;
@@ -48,7 +48,7 @@
 
 static void test_last_host_holds_then_starts(void)
 {
-	struct pace pace = told(SLOW, 10 * MS);
+	struct pace pace = pace_after_report(SLOW, 10 * MS);
 	struct pace_item item = item_of(60, 200, 600);
 
 	g_assert_cmpint(pace_judge(&pace, &item, 100 * MS), ==, PACE_HOLD);
@@ -66,7 +66,7 @@
  * waiting. */
 static void test_short_work_starts_in_a_slow_spell(void)
 {
-	struct pace pace = told(SLOW, 10 * MS);
+	struct pace pace = pace_after_report(SLOW, 10 * MS);
 	struct pace_item item = item_of(15, 200, 500);
 
 	g_assert_cmpint(pace_judge(&pace, &item, 10 * MS), ==, PACE_START);
@@ -79,7 +79,7 @@
  */
 static void test_scarce_slots_are_not_given_to_slow_work(void)
 {
-	struct pace pace = told(SLOW, 10 * MS);
+	struct pace pace = pace_after_report(SLOW, 10 * MS);
 	struct pace_item item = item_of(55, 150, 600);
 
 	g_assert_cmpint(pace_judge(&pace, &item, 150 * MS), ==, PACE_START);
@@ -178,8 +178,8 @@
 	item.target_us += at_us;
 	item.deadline_us += at_us;
 	for (unsigned int i = 0;; i++, host = (host + 1) % 7) {
-		struct pace pace =
-			told(is_slow_at(host, at_us) ? SLOW : FAST, at_us);
+		struct pace pace = pace_after_report(
+			is_slow_at(host, at_us) ? SLOW : FAST, at_us);
 
 		item.may_turn_back = i < 6;
 		item.other_percent = i < 6 ? FAST : 0;
--- a/tests/test_pick.c
+++ b/tests/test_pick.c
@@ -216,14 +216,14 @@
 static void test_spills_before_full(void)
 {
 	struct fixture f;
-	int blind[8] = {0};
+	int without_report[8] = {0};
 	int counts[8] = {0};
 	struct pick_load idle = {.limit = 10};
 
 	set_up(&f, pick_default_policy, 4);
 	f.candidates[0].local = true;
-	send_calls(&f, 4, 0, blind);
-	g_assert_cmpint(blind[0], ==, 1);
+	send_calls(&f, 4, 0, without_report);
+	g_assert_cmpint(without_report[0], ==, 1);
 	pick_note_load(&f.set, &f.candidates[0], &idle, 0);
 	send_calls(&f, 8, 0, counts);
 	g_assert_cmpint(counts[0], ==, 8);
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -29,8 +29,8 @@
 }
 
 /* RETURN VALUE: the calls answered within their target, at 1.3 times the
- * capacity of the slots. told: the queue knows the targets. */
-static int simulate_targets(bool told)
+ * capacity of the slots. knows_targets: the queue knows the targets. */
+static int simulate_targets(bool knows_targets)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 	int in_target = 0;
@@ -41,7 +41,8 @@
 
 		call->service_us =
 			(int64_t)((0.7 + 0.6 * g_test_rand_double()) * 60 * MS);
-		call->item.target_us = told ? call->arrives_us + 200 * MS : 0;
+		call->item.target_us =
+			knows_targets ? call->arrives_us + 200 * MS : 0;
 	}
 	for (int i = 0; i < CALLS; i++)
 		owner_receive(owner, &owner->calls[i]);
