--- a/comfreydockd/decide/queue.c
+++ b/comfreydockd/decide/queue.c
@@ -140,7 +140,7 @@
 		item = heap_entry(next, struct queue_item, fair);
 		if (!queue_lane_is_missed(queue, item, now_us))
 			break;
-		item->lane += QUEUE_LATE_LANES;
+		item->lane += QUEUE_FIRST_LATE_LANE;
 		fair_push(&queue->lanes[item->lane], &item->fair);
 	}
 	queue_lane_note_turn(queue, lane);
--- a/comfreydockd/decide/queue_lane.c
+++ b/comfreydockd/decide/queue_lane.c
@@ -28,14 +28,14 @@
 
 	if (queue->policy->by_class &&
 	    queue_misses_target(queue, item, wait_us, now_us))
-		lane += QUEUE_LATE_LANES;
+		lane += QUEUE_FIRST_LATE_LANE;
 	return lane;
 }
 
 bool queue_lane_is_missed(const struct queue *queue,
 			  const struct queue_item *item, int64_t now_us)
 {
-	return queue->policy->by_class && item->lane < QUEUE_LATE_LANES &&
+	return queue->policy->by_class && item->lane < QUEUE_FIRST_LATE_LANE &&
 	       queue_misses_target(queue, item, 0, now_us);
 }
 
@@ -46,7 +46,7 @@
 	for (uint32_t i = 0; i < QUEUE_LANES; i++) {
 		if (queue->lanes[i].length == 0)
 			continue;
-		if (i < QUEUE_LATE_LANES &&
+		if (i < QUEUE_FIRST_LATE_LANE &&
 		    queue->passed_over[i] >= QUEUE_PASSED_OVER_MAX)
 			return i;
 		first = MIN(first, i);
@@ -56,7 +56,7 @@
 
 void queue_lane_note_turn(struct queue *queue, uint32_t chosen)
 {
-	for (uint32_t i = 0; i < QUEUE_LATE_LANES; i++) {
+	for (uint32_t i = 0; i < QUEUE_FIRST_LATE_LANE; i++) {
 		if (i == chosen || queue->lanes[i].length == 0)
 			queue->passed_over[i] = 0;
 		else if (i > chosen)
--- a/include/comfreydockd/decide/pick.h
+++ b/include/comfreydockd/decide/pick.h
@@ -28,14 +28,6 @@
  *	An error counts as a slow answer, however fast it was: an upstream that
  *	fails fast has free slots and must not attract all calls for that.
  *
- * LOAD PATTERN
- *	Load that shifts within milliseconds, old reports, and upstreams that
- *	slow down while their neighbours do not.
- *
- * WITHOUT IT
- *	Calls wait at a full upstream while another one has free slots, and an
- *	upstream that runs ten times slower gets as many calls as the others.
- *
  *	Hosts in a slow spell are chosen after fast ones. If no fast host has
  *	room either, a request goes where it stays for the shortest time: a
  *	short queue at a fast host is better than a slow host that is idle.
@@ -44,6 +36,14 @@
  *	the same few others, so each entry compares only two or three random
  *	ones.
  *
+ * LOAD PATTERN
+ *	Load that shifts within milliseconds, old reports, and upstreams that
+ *	slow down while their neighbours do not.
+ *
+ * WITHOUT IT
+ *	Calls wait at a full upstream while another one has free slots, and an
+ *	upstream that runs ten times slower gets as many calls as the others.
+ *
  * GROUNDS
  *	The tables of docs/design/decisions.md. tests/traces/slow-spells-busy
  *	simulates short queues compared with slow hosts,
--- a/include/comfreydockd/decide/quarantine.h
+++ b/include/comfreydockd/decide/quarantine.h
@@ -6,10 +6,10 @@
  *	A table of requests that were running when an upstream crashed, by the
  *	key of their content. Each crash marks the requests that ran on the
  *	upstream. A request with QUARANTINE_CRASHES marks from as many crashes
- *	is held: it is refused before it reaches an upstream. An answer of any
- *	upstream that is not a failure (5xx) clears the marks of a request, and
- *	a request that was answered within the last QUARANTINE_ANSWERED_US is
- *	not marked at all.
+ *	is held: it is refused before it reaches an upstream. An answer below
+ *	500 from any upstream clears the marks of a request (a 5xx does not),
+ *	and a request that was answered within the last QUARANTINE_ANSWERED_US
+ *	is not marked at all.
  *
  *	A request is held for QUARANTINE_TRIAL_US or for the configured time.
  *	Then one run is allowed as a trial, at a single host, which the marks
--- a/include/comfreydockd/decide/queue.h
+++ b/include/comfreydockd/decide/queue.h
@@ -17,12 +17,12 @@
  *	answer at once, instead of when a slot becomes free.
  *
  *	An item that holds up others waits only while it can still meet its
- *	target. If it cannot, it starts if a slot is free and is refused at
- *	once otherwise. Callers that send several requests at once get the
- *	answers in the order of the requests. If such a request waited until its
- *	deadline, it would get only the capacity that others leave, which is
- *	none under overload, and be refused in the end; all answers behind it
- *	would be late with it.
+ *	target. If it cannot, it starts if a slot is free and is refused at once
+ *	otherwise. Callers that send several requests at once get the answers in
+ *	the order of the requests. If such a request waited until its deadline,
+ *	it would get only the capacity that others leave, which is none under
+ *	overload, and be refused in the end; all answers behind it would be late
+ *	with it.
  *
  *	An item that can meet its target comes out before all items that can no
  *	longer meet theirs, whatever their class. The latter, each alone on its
@@ -37,11 +37,11 @@
  *
  *	A queue that has not been empty for a while is standing if at least 3/4
  *	of the capacity of the slots is still being offered: waiting then serves
- *	nobody. A queue that drains after a rush is not standing. While it is
- *	standing, a new item may spend only half of its remaining time waiting,
- *	and the predicted wait includes the items that will overtake it: while
- *	other callers keep sending, a caller whose flow holds more than theirs
- *	waits longer than for everything that waits now.
+ *	nobody. A queue that drains after a rush is not standing. While a queue
+ *	is standing, a new item may spend only half of its remaining time
+ *	waiting, and the predicted wait includes the items that will overtake
+ *	it: while other callers keep sending, a caller whose flow holds more
+ *	than theirs waits longer than for everything that waits now.
  *
  *	queue_fifo is the baseline: a single order, no deadline, bounded by
  *	length.
@@ -99,7 +99,7 @@
  * per class for late items that are alone on their connection. A late item that
  * holds up others does not wait: it starts if a slot is free and is refused
  * otherwise, at its target at the latest. */
-#define QUEUE_LATE_LANES QUEUE_CLASSES /* first lane for late items */
+#define QUEUE_FIRST_LATE_LANE QUEUE_CLASSES /* first lane for late items */
 #define QUEUE_LANES (2 * QUEUE_CLASSES)
 #define QUEUE_PASSED_OVER_MAX 16
 
--- a/include/comfreydockd/decide/subset.h
+++ b/include/comfreydockd/decide/subset.h
@@ -18,10 +18,10 @@
  *
  * GROUNDS
  *	SUBSET_SIZE is above the 7 upstreams of today's services, so that these
- *	are used as a whole. The load of an upstream does not depend on the number
- *	of entries that chose it, since entries send less to loaded upstreams.
- *	It does matter that each upstream is chosen by some entry, so a large
- *	service has larger subsets: 1/SUBSET_PART of it.
+ *	are used as a whole. The load of an upstream does not depend on the
+ *	number of entries that chose it, since entries send less to loaded
+ *	upstreams. It does matter that each upstream is chosen by some entry, so
+ *	a large service has larger subsets: 1/SUBSET_PART of it.
  *
  *	The loads that bench-subset gives are in docs/CAPACITY.md. With
  *	SUBSET_SIZE alone some upstreams of a large service with few entries are
--- a/tests/test_hedge.c
+++ b/tests/test_hedge.c
@@ -50,7 +50,7 @@
  * is sent that cannot end in time or has no untried upstream, and the hedges
  * stay within their budget from the start.
  */
-static void test_rules_hold_for_any_question(void)
+static void test_rules_hold_for_any_input(void)
 {
 	struct hedge hedge;
 	double spent = 0;
@@ -123,7 +123,7 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/hedge/percentile", test_waits_for_the_percentile);
 	g_test_add_func("/hedge/samples", test_no_hedge_without_samples);
-	g_test_add_func("/hedge/any", test_rules_hold_for_any_question);
+	g_test_add_func("/hedge/any", test_rules_hold_for_any_input);
 	g_test_add_func("/hedge/losing", test_losing_hedges_are_few);
 	return g_test_run();
 }
--- a/tests/test_retry.c
+++ b/tests/test_retry.c
@@ -17,9 +17,9 @@
 };
 
 static enum retry_verdict verdict_of(struct retry *retry,
-				     const struct retry_context *question)
+				     const struct retry_context *context)
 {
-	return retry_decide(retry, question, &generator, 0).verdict;
+	return retry_decide(retry, context, &generator, 0).verdict;
 }
 
 /*
@@ -133,7 +133,7 @@
 	g_assert_cmpint(retries_deep, >, 60);
 }
 
-static struct retry_context random_question(int64_t now_us)
+static struct retry_context random_context(int64_t now_us)
 {
 	return (struct retry_context){
 		.outcome = (enum retry_outcome)g_test_rand_int_range(0, 7),
@@ -172,7 +172,7 @@
  * of calls the tokens spent stay within the burst plus the share of the
  * window's calls.
  */
-static void test_rules_hold_for_any_question(void)
+static void test_rules_hold_for_any_input(void)
 {
 	enum {
 		CALLS = 4000,
@@ -184,7 +184,7 @@
 
 	retry_init(&retry, PERCENT);
 	for (int i = 0; i < CALLS; i++) {
-		struct retry_context q = random_question(i);
+		struct retry_context q = random_context(i);
 		struct retry_decision a;
 		double before;
 
@@ -222,7 +222,7 @@
 			retry_set_shared(&all[d], 20, 56, daemons[i]);
 		for (unsigned int n = 0; n < requests; n++) {
 			struct retry *retry = &all[n % daemons[i]];
-			struct retry_context question = {
+			struct retry_context context = {
 				.outcome = RETRY_OUTCOME_UNKNOWN,
 				.idempotent = true,
 				.attempts = 1,
@@ -233,7 +233,7 @@
 
 			retry_note_request(retry, 0);
 			repeats +=
-				retry_decide(retry, &question, &random, 0).verdict ==
+				retry_decide(retry, &context, &random, 0).verdict ==
 				RETRY_GO;
 		}
 		g_assert_cmpuint(repeats, >, 0);
@@ -257,10 +257,10 @@
 		retry_note_request(&retry, now);
 	}
 	for (int i = 0; i < 10; i++) {
-		struct retry_context question = retryable;
+		struct retry_context context = retryable;
 
-		question.deadline_us = now + 10 * SECOND;
-		repeats += retry_decide(&retry, &question, &random, now).verdict ==
+		context.deadline_us = now + 10 * SECOND;
+		repeats += retry_decide(&retry, &context, &random, now).verdict ==
 			   RETRY_GO;
 	}
 	g_assert_cmpint(repeats, >=, 4);
@@ -275,7 +275,7 @@
 	g_test_add_func("/retry/retry-time",
 			test_refuses_at_once_with_retry_time);
 	g_test_add_func("/retry/depth", test_deep_calls_retry_less);
-	g_test_add_func("/retry/any", test_rules_hold_for_any_question);
+	g_test_add_func("/retry/any", test_rules_hold_for_any_input);
 	g_test_add_func("/retry/spread", test_retry_times_are_spread);
 	g_test_add_func("/retry/shared", test_shared_budget_holds_for_all);
 	g_test_add_func("/retry/shared-burst", test_shared_budget_serves_a_burst);
--- a/tests/test_retry_estimate.c
+++ b/tests/test_retry_estimate.c
@@ -25,7 +25,7 @@
 	struct random_state random = {.state = 1};
 	struct retry_decision answer;
 	struct retry retry;
-	struct retry_context question = {
+	struct retry_context context = {
 		.outcome = RETRY_OUTCOME_NOT_HERE,
 		.attempts = 0,
 		.max_attempts = 3,
@@ -42,8 +42,8 @@
 	pick_note_load(&set, &candidates[0], &slow, 0);
 	pick_note_load(&set, &candidates[1], &quick, 0);
 	retry_init(&retry, 20);
-	question.expected_us = (int64_t)set.typical_service_us;
-	answer = retry_decide(&retry, &question, &random, 0);
+	context.expected_us = (int64_t)set.typical_service_us;
+	answer = retry_decide(&retry, &context, &random, 0);
 	g_assert_cmpstr(retry_verdict_name(answer.verdict), ==,
 			retry_verdict_name(RETRY_GO));
 	pick_set_finish(&set);
