--- a/comfreydockd/decide/queue_predict.c
+++ b/comfreydockd/decide/queue_predict.c
@@ -78,7 +78,7 @@
 /*
  * Accepted items stay in the queue until the end of the loop iteration, even if
  * slots are free. If they counted as waiting, all but the first of several
- * requests that arrive in one iteration would be refused as busy beside free
+ * requests that arrive in one iteration would be refused as busy despite free
  * slots and sent to other hosts. The fault shows as extra attempts at low load.
  */
 bool queue_has_free_slot(const struct queue *queue,
--- a/include/comfreydockd/decide/breaker.h
+++ b/include/comfreydockd/decide/breaker.h
@@ -28,7 +28,7 @@
  *
  * GROUNDS
  *	BREAKER_FAILURES: an upstream that loses one answer in twenty, as on a
- *	poor network, opens the breaker once in three million runs; one that
+ *	lossy network, opens the breaker once in three million runs; one that
  *	loses four in ten opens it once in a hundred. BREAKER_TRIAL_US: ten
  *	repeatable requests a second are a small load for an upstream, and a
  *	recovered one is back within some 200 ms. If no request may be repeated,
--- a/include/comfreydockd/decide/budget.h
+++ b/include/comfreydockd/decide/budget.h
@@ -6,7 +6,7 @@
  *	Each call adds its share of a token, and extra work takes tokens out.
  *	The bucket starts full and holds at most burst tokens, so that a service
  *	that was idle for weeks can still retry its first calls, while a quiet
- *	week saves up nothing for the rush after it.
+ *	week saves up nothing for a burst after it.
  *
  *	In any window: tokens taken <= burst + share * calls in the window.
  *
--- a/include/comfreydockd/decide/deadline.h
+++ b/include/comfreydockd/decide/deadline.h
@@ -63,7 +63,7 @@
 	bool known;
 };
 
-/* A longer round trip is taken for a pause of one side. Regions on opposite
+/* A longer round trip is treated as a pause of one side. Regions on opposite
  * sides of the earth have a round-trip time of some 300 ms. */
 #define DEADLINE_RTT_MAX_US ((int64_t)400 * 1000)
 
@@ -111,7 +111,7 @@
  *
  * After the timeout the entry asks the owner whether the attempt is overdue,
  * and waits deadline_overdue_reply_us() for the reply. Only if the attempt is
- * overdue, or no reply comes, is another attempt sent beside it. Without the
+ * overdue, or no reply comes, is another attempt sent in parallel. Without the
  * question, each call that had waited long would cause a second one; under
  * overload these were seen by the thousand.
  */
--- a/include/comfreydockd/decide/health.h
+++ b/include/comfreydockd/decide/health.h
@@ -13,7 +13,7 @@
  *
  *	At most HEALTH_EJECTED_SHARE_MAX of the available upstreams are ejected,
  *	and never the last usable one: if all fail alike, the cause lies
- *	elsewhere, and an answer from a poor upstream is better than none.
+ *	elsewhere, and an answer from an unreliable upstream is better than none.
  *
  *	An owner that is asked about an attempt answers within one iteration of
  *	its event loop, however slow its upstream is. An owner that leaves
--- a/include/comfreydockd/decide/hedge.h
+++ b/include/comfreydockd/decide/hedge.h
@@ -14,7 +14,7 @@
  *	budget, but on a budget of their own.
  *
  *	A hedge costs up to HEDGE_PRICE_MAX times as many tokens if hedges
- *	seldom win. If an answer is late because its work is long, or because
+ *	rarely win. If an answer is late because its work is long, or because
  *	all upstreams are equally slow, the second attempt is as late as the
  *	first one and only takes a slot.
  *
--- a/include/comfreydockd/decide/quarantine.h
+++ b/include/comfreydockd/decide/quarantine.h
@@ -37,9 +37,9 @@
  *	request.
  *
  * GROUNDS
- *	A crash marks all requests that ran beside the cause. Popular requests
+ *	A crash marks all requests that ran together with the cause. Popular requests
  *	are among these each time, and the answers that they get elsewhere tell
- *	them apart; other requests seldom meet three crashes. A host that loses
+ *	them apart; other requests rarely meet three crashes. A host that loses
  *	its power takes its daemon down with it and marks nothing.
  *
  * UNITS
--- a/include/comfreydockd/decide/queue.h
+++ b/include/comfreydockd/decide/queue.h
@@ -37,7 +37,7 @@
  *
  *	A queue that has not been empty for a while is standing if at least 3/4
  *	of the capacity of the slots is still being offered: waiting then serves
- *	nobody. A queue that drains after a rush is not standing. While a queue
+ *	nobody. A queue that drains after a burst is not standing. While a queue
  *	is standing, a new item may spend only half of its remaining time
  *	waiting, and the predicted wait includes the items that will overtake
  *	it: while other callers keep sending, a caller whose flow holds more
@@ -67,7 +67,7 @@
  *	A queue is standing only after 32 mean service times. Sooner, it would
  *	refuse calls that could be served when long jobs stand among short ones.
  *	The offered load is checked too, because otherwise the few arrivals
- *	after a rush would be refused.
+ *	after a burst would be refused.
  *
  *	The figures are in docs/design/decisions.md, "Modules by themselves".
  *	Further constants: 100 ms and 3/4 for the offered load, at least 100 ms
--- a/tests/test_window_budget.c
+++ b/tests/test_window_budget.c
@@ -34,7 +34,7 @@
 	g_assert_false(window_budget_take(&budget, 2, 110 * SECOND - 1));
 }
 
-/* Guards against quiet periods that save up tokens for the rush after them. */
+/* Guards against quiet periods that save up tokens for a burst after them. */
 static void test_unused_allowance_expires(void)
 {
 	struct window_budget budget = {0};
