--- a/include/comfreydockd/decide/quarantine.h
+++ b/include/comfreydockd/decide/quarantine.h
@@ -37,10 +37,11 @@
  *	request.
  *
  * GROUNDS
- *	A crash marks all requests that ran together with the cause. Popular requests
- *	are among these each time, and the answers that they get elsewhere tell
- *	them apart; other requests rarely meet three crashes. A host that loses
- *	its power takes its daemon down with it and marks nothing.
+ *	A crash marks all requests that ran together with the cause. Popular
+ *	requests are among these each time, and the answers that they get
+ *	elsewhere tell them apart; other requests rarely meet three crashes. A
+ *	host that loses its power takes its daemon down with it and marks
+ *	nothing.
  *
  * UNITS
  *	Monotonic microseconds.
--- a/tests/test_measure.c
+++ b/tests/test_measure.c
@@ -6,8 +6,9 @@
 #define ROUNDS 2000
 
 /*
- * However probes, traffic and idle times alternate, no window contains more
- * measurements than its share of slot time plus one probe allows.
+ * However probes, traffic and idle times alternate, the measurements in any
+ * window take at most its share of slot time, one probe, and the time by which
+ * single probes exceeded their expected cost.
  */
 static void test_never_above_budget_in_any_window(void)
 {
@@ -88,8 +89,7 @@
 		measure_end(&measure, MEASURE_PROBE_COST_US, now_us);
 		probes++;
 	}
-	g_assert_cmpint(probes, ==,
-			228); /* after 1, 2, 4 and 8 s, then every 16 s */
+	g_assert_cmpint(probes, ==, 228); /* 1, 2, 4, 8, then every 16 s */
 	for (int i = 0; i < 100; i++) {
 		now_us += US_PER_S / 2;
 		g_assert_cmpint(measure_try_begin(&measure, now_us), ==,
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -29,7 +29,8 @@
 }
 
 /* RETURN VALUE: the calls answered within their target, at 1.3 times the
- * capacity of the slots. knows_targets: the queue knows the targets. */
+ * capacity of the slots for a while, then less. knows_targets: the queue knows
+ * the targets. */
 static int simulate_targets(bool knows_targets)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
