--- a/comfreydockd/decide/quarantine_record.h
+++ b/comfreydockd/decide/quarantine_record.h
@@ -17,8 +17,8 @@
 
 void record_begin_round(struct quarantine_record *record);
 
-/* Copies the state of received, except the key and the fields that track how often
- * it was sent. */
+/* Copies the received state, except the key and the fields that track how often
+ * the record was sent. */
 void record_replace(struct quarantine_record *record,
 		    const struct quarantine_record *received);
 
--- a/include/comfreydockd/decide/queue.h
+++ b/include/comfreydockd/decide/queue.h
@@ -121,7 +121,7 @@
 	int64_t target_us; /* the answer is on time until then; 0: at any time */
 	uint64_t key_hash; /* fair_hash() of the fairness key */
 	bool may_queue; /* false: refuse instead of waiting */
-	bool holds_others; /* other answers on its connection wait for this one */
+	bool holds_others; /* other answers of its caller wait for its own */
 
 	struct fair_item fair;
 	struct heap_node by_latest_start;
