--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 #include "comfreydockd/caller/call_internal.h"
-#include "comfreydockd/decide/ahead.h"
 #include "comfreydockd/decide/deadline.h"
+#include "comfreydockd/decide/pipeline.h"
 #include "comfreydockd/decide/retry.h"
 #include "common/clock.h"
 #include "common/counters.h"
@@ -86,7 +86,7 @@
 	if (call->returned_to_busy || call->tried_busy.count == 0)
 		return false;
 	call->returned_to_busy = true;
-	pick_tried_forget(&call->tried, &call->tried_busy);
+	pick_tried_remove(&call->tried, &call->tried_busy);
 	return true;
 }
 
@@ -164,8 +164,8 @@
 static void call_decide_retry(struct call *call, enum retry_outcome outcome,
 			      enum attempt_entry_state state)
 {
-	struct retry_question question;
-	struct retry_answer answer;
+	struct retry_context question;
+	struct retry_decision answer;
 	int64_t now = clock_mono_us();
 
 	if (outcome == RETRY_OUTCOME_BUSY)
@@ -243,7 +243,7 @@
 	call_decide_retry(call, RETRY_OUTCOME_UNKNOWN, state);
 }
 
-/* Aborts the call if its answer has stalled, see deadline_silence_left_us().
+/* Aborts the call if its answer has stalled, see deadline_idle_left_us().
  * This may free the call, but not when its answer has just begun. */
 static void call_check_stalled_answer(struct call *call)
 {
@@ -254,8 +254,7 @@
 	 * owner ends the answer in that case. */
 	if (call->unread > 0)
 		call->heard_us = now;
-	left_us =
-		deadline_silence_left_us(call->deadline_us, call->heard_us, now);
+	left_us = deadline_idle_left_us(call->deadline_us, call->heard_us, now);
 	if (left_us > 0) {
 		call_start_timer(call, &call->deadline_timer, left_us);
 		return;
@@ -457,8 +456,8 @@
 		if (!attempt->has_small_window)
 			continue;
 		attempt->has_small_window = false;
-		entry_attempt_send_window(attempt, ATTEMPT_ANSWER_WINDOW -
-							   AHEAD_WINDOW_BYTES);
+		entry_attempt_send_window(
+			attempt, ATTEMPT_ANSWER_WINDOW - PIPELINE_WINDOW_BYTES);
 	}
 }
 
--- a/comfreydockd/caller/parallel.c
+++ b/comfreydockd/caller/parallel.c
@@ -13,7 +13,7 @@
 
 void call_arm_hedge(struct call *call)
 {
-	struct hedge_question question;
+	struct hedge_context question;
 	int64_t now = clock_mono_us();
 	int64_t delay;
 
@@ -30,14 +30,14 @@
 }
 
 /* Restarts the time after which the owner is asked whether the attempt is
- * overdue, see deadline_patience_us(). */
+ * overdue, see deadline_attempt_timeout_us(). */
 void call_arm_patience(struct call *call)
 {
 	int64_t patience_us =
-		deadline_patience_us(call->deadline_us, clock_mono_us());
+		deadline_attempt_timeout_us(call->deadline_us, clock_mono_us());
 
 	call_stop_patience(call);
-	if (patience_us < DEADLINE_VERDICT_MIN_US)
+	if (patience_us < DEADLINE_OVERDUE_REPLY_MIN_US)
 		return;
 	call_start_timer(call, &call->patience_timer, patience_us);
 }
@@ -46,7 +46,7 @@
 {
 	struct call *call = timer->data;
 	struct service_upstream *upstream;
-	struct hedge_question question;
+	struct hedge_context question;
 	int64_t now = clock_mono_us();
 
 	(void)loop;
@@ -75,7 +75,7 @@
 static void call_overtake(struct call *call)
 {
 	struct entry_attempt *slow = LIST_FIRST(&call->active);
-	struct retry_question question;
+	struct retry_context question;
 	struct service_upstream *upstream;
 	enum retry_verdict verdict;
 	int64_t now = clock_mono_us();
@@ -89,13 +89,13 @@
 			       &call->entry->random, now)
 			  .verdict;
 	if (verdict != RETRY_GO) {
-		call_log_event(
-			call, EV_ENTRY_NOT_OVERTAKEN,
-			LOG_STR("host", slow->upstream->host),
-			LOG_STR("verdict", retry_verdict_name(verdict)),
-			LOG_INT("budget_left",
-				(int64_t)retry_left(&call->service->retry, now)),
-			LOG_INT("out_us", now - slow->sent_us));
+		call_log_event(call, EV_ENTRY_NOT_OVERTAKEN,
+			       LOG_STR("host", slow->upstream->host),
+			       LOG_STR("verdict", retry_verdict_name(verdict)),
+			       LOG_INT("budget_left",
+				       (int64_t)retry_available(
+					       &call->service->retry, now)),
+			       LOG_INT("out_us", now - slow->sent_us));
 		return;
 	}
 	upstream = service_choose(call->service, &call->tried, now);
@@ -127,7 +127,7 @@
 	call->awaits_verdict = true;
 	entry_attempt_query_overdue(attempt);
 	call_start_timer(call, &call->patience_timer,
-			 deadline_verdict_us(&attempt->upstream->path));
+			 deadline_overdue_reply_us(&attempt->upstream->path));
 }
 
 /* Asks the owner whether the attempt is overdue. If the owner has not replied
--- a/comfreydockd/decide/fair.c
+++ b/comfreydockd/decide/fair.c
@@ -4,17 +4,17 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define FAIR_QUANTUM_DECAY 64 /* one part in so many with each push */
+#define FAIR_QUANTUM_DECAY 64 /* The quantum loses 1/64 with each push. */
 
 uint64_t fair_hash(const char *key)
 {
 	return XXH3_64bits(key, strlen(key));
 }
 
-/* What stands for a key that doesn't wait. */
-static const struct fair_flow no_flow;
+/* Stands for a key that has no waiting item. */
+static const struct fair_flow empty_flow;
 
-/* Switched off, there is one flow. */
+/* With fairness disabled all items share one flow. */
 static uint64_t fair_key_of(const struct fair *fair, uint64_t key_hash)
 {
 	return fair->enabled ? key_hash : 0;
@@ -43,7 +43,7 @@
 	const struct fair_flow *flow =
 		fair_find_flow(fair, fair_key_of(fair, key_hash));
 
-	return flow ? flow : &no_flow;
+	return flow ? flow : &empty_flow;
 }
 
 void fair_init(struct fair *fair, bool enabled, uint64_t seed,
@@ -153,14 +153,15 @@
 	return NULL;
 }
 
-/* The flows that would wait if an item of this flow were added. */
+/* Counts the flows that would wait if an item were added to this flow. */
 static int64_t fair_flows_with(const struct fair *fair,
 			       const struct fair_flow *flow)
 {
 	return fair->active_flows + (flow->length == 0 ? 1 : 0);
 }
 
-int64_t fair_work_ahead_later_us(const struct fair *fair, uint64_t key_hash)
+int64_t fair_work_ahead_with_arrivals_us(const struct fair *fair,
+					 uint64_t key_hash)
 {
 	const struct fair_flow *flow = fair_flow_of(fair, key_hash);
 	int64_t flows = fair_flows_with(fair, flow);
@@ -170,7 +171,8 @@
 
 int64_t fair_work_ahead_us(const struct fair *fair, uint64_t key_hash)
 {
-	return MIN(fair_work_ahead_later_us(fair, key_hash), fair->work_us);
+	return MIN(fair_work_ahead_with_arrivals_us(fair, key_hash),
+		   fair->work_us);
 }
 
 bool fair_is_over_share(const struct fair *fair, uint64_t key_hash)
--- a/comfreydockd/decide/health.c
+++ b/comfreydockd/decide/health.c
@@ -11,7 +11,7 @@
 {
 	health->policy = policy;
 	health->random.state = seed;
-	health->tried_us = 0;
+	health->last_trial_us = 0;
 	TAILQ_INIT(&health->upstreams);
 }
 
@@ -25,7 +25,7 @@
 	upstream->state = state;
 	upstream->epoch++;
 	upstream->trials_out = 0;
-	upstream->trials_good = 0;
+	upstream->trials_passed = 0;
 }
 
 static void close_circuit(struct health_upstream *upstream)
@@ -36,9 +36,9 @@
 	upstream->streak = 0;
 }
 
-/* All that are available may be ejected once the others have left. Then the
- * service would refuse all calls although an upstream stands ready, so the one
- * whose time is over first is taken back. */
+/* Once the other upstreams have left, all available ones may be ejected. The
+ * service would then refuse every call although an upstream is ready, so the
+ * upstream whose ejection ends first is taken back. */
 static void keep_one_in_use(struct health *health)
 {
 	struct health_upstream *upstream;
@@ -49,7 +49,7 @@
 			continue;
 		if (upstream->state == HEALTH_CLOSED)
 			return;
-		if (!best || upstream->until_us < best->until_us)
+		if (!best || upstream->ejected_until_us < best->ejected_until_us)
 			best = upstream;
 	}
 	if (best)
@@ -105,8 +105,8 @@
 	TAILQ_FOREACH (upstream, &health->upstreams, link)
 		available += upstream->available;
 	out = available - in_use + 1;
-	return in_use > 1 &&
-	       (double)out <= MAX(1.0, HEALTH_CEILING * (double)available);
+	return in_use > 1 && (double)out <= MAX(1.0, HEALTH_EJECTED_SHARE_MAX *
+							     (double)available);
 }
 
 static void eject(struct health *health, struct health_upstream *upstream,
@@ -115,22 +115,22 @@
 	double factor = 1.0 + HEALTH_JITTER * random_unit(&health->random);
 	int64_t time_us = HEALTH_EJECT_US;
 
-	if (now_us - upstream->ejected_us > HEALTH_FORGIVE_US)
+	if (now_us - upstream->ejected_us > HEALTH_EJECTION_RESET_US)
 		upstream->ejections = 0;
 	for (uint32_t i = 0; i < upstream->ejections; i++) {
 		time_us *= 2;
-		if (time_us >= HEALTH_EJECT_CAP_US)
+		if (time_us >= HEALTH_EJECT_MAX_US)
 			break;
 	}
-	time_us = MIN(time_us, HEALTH_EJECT_CAP_US);
-	upstream->until_us = now_us + (int64_t)((double)time_us * factor);
+	time_us = MIN(time_us, HEALTH_EJECT_MAX_US);
+	upstream->ejected_until_us = now_us + (int64_t)((double)time_us * factor);
 	set_state(upstream, HEALTH_EJECTED);
 	upstream->ejected_us = now_us;
 	upstream->ejections++;
 }
 
-static void check(struct health *health, struct health_upstream *upstream,
-		  int64_t now_us)
+static void eject_if_failing(struct health *health,
+			     struct health_upstream *upstream, int64_t now_us)
 {
 	if (!is_in_use(upstream))
 		return;
@@ -146,11 +146,11 @@
 {
 	uint32_t epoch = upstream->epoch;
 
-	if (upstream->unanswered++ == 0 && upstream->mutes == 0)
+	if (upstream->unanswered++ == 0 && upstream->open_questions == 0)
 		upstream->heard_us = now_us;
 	if (upstream->state == HEALTH_HALF_OPEN)
 		upstream->trials_out++;
-	check(health, upstream, now_us);
+	eject_if_failing(health, upstream, now_us);
 	return epoch;
 }
 
@@ -169,7 +169,7 @@
 		eject(health, upstream, now_us);
 		return;
 	}
-	if (++upstream->trials_good >= HEALTH_TRIALS)
+	if (++upstream->trials_passed >= HEALTH_TRIALS)
 		close_circuit(upstream);
 }
 
@@ -180,7 +180,7 @@
 	upstream->streak = good ? 0 : upstream->streak + 1;
 	upstream->error_rate +=
 		HEALTH_ALPHA * ((good ? 0.0 : 1.0) - upstream->error_rate);
-	check(health, upstream, now_us);
+	eject_if_failing(health, upstream, now_us);
 }
 
 void health_note_ended(struct health *health, struct health_upstream *upstream,
@@ -208,25 +208,25 @@
 		health_note_heard(upstream, now_us);
 	if (epoch == upstream->epoch && upstream->trials_out > 0)
 		upstream->trials_out--;
-	check(health, upstream, now_us);
+	eject_if_failing(health, upstream, now_us);
 }
 
 void health_note_heard(struct health_upstream *upstream, int64_t now_us)
 {
 	upstream->heard_us = now_us;
-	upstream->mutes = 0;
+	upstream->open_questions = 0;
 }
 
 void health_note_mute(struct health *health, struct health_upstream *upstream,
 		      int64_t now_us)
 {
-	upstream->mutes++;
-	check(health, upstream, now_us);
+	upstream->open_questions++;
+	eject_if_failing(health, upstream, now_us);
 }
 
 bool health_is_mute(const struct health_upstream *upstream, int64_t now_us)
 {
-	return upstream->mutes >= HEALTH_MUTE_ASKED &&
+	return upstream->open_questions >= HEALTH_MUTE_QUESTIONS &&
 	       now_us - upstream->heard_us >= HEALTH_MUTE_US;
 }
 
@@ -248,13 +248,13 @@
 bool health_may_try(struct health *health, bool idempotent, int64_t now_us)
 {
 	int64_t gap_us =
-		idempotent ? HEALTH_MUTE_TRIAL_US : HEALTH_MUTE_RISKY_TRIAL_US;
+		idempotent ? HEALTH_MUTE_TRIAL_US : HEALTH_MUTE_UNSAFE_TRIAL_US;
 
 	if (!all_are_mute(health, now_us))
 		return true;
-	if (now_us - health->tried_us < gap_us)
+	if (now_us - health->last_trial_us < gap_us)
 		return false;
-	health->tried_us = now_us;
+	health->last_trial_us = now_us;
 	return true;
 }
 
@@ -264,10 +264,10 @@
 
 	TAILQ_FOREACH (upstream, &health->upstreams, link) {
 		if (upstream->state == HEALTH_EJECTED &&
-		    now_us >= upstream->until_us)
+		    now_us >= upstream->ejected_until_us)
 			set_state(upstream, HEALTH_HALF_OPEN);
 		else
-			check(health, upstream, now_us);
+			eject_if_failing(health, upstream, now_us);
 	}
 }
 
@@ -280,7 +280,7 @@
 	return false;
 }
 
-/* The mean error rate of the other upstreams in use. */
+/* Returns the mean error rate of the other upstreams in use. */
 static double rate_of_others(const struct health *health,
 			     const struct health_upstream *upstream)
 {
@@ -309,7 +309,7 @@
 		return true;
 	if (upstream->error_rate < HEALTH_OUTLIER_FACTOR * others)
 		return false;
-	if (upstream->streak >= HEALTH_STREAK)
+	if (upstream->streak >= HEALTH_ERRORS_IN_A_ROW)
 		return true;
 	return upstream->samples >= HEALTH_MIN_SAMPLES &&
 	       upstream->error_rate >= HEALTH_ERROR_RATE;
--- a/comfreydockd/decide/limit.c
+++ b/comfreydockd/decide/limit.c
@@ -9,17 +9,17 @@
 #define LIMIT_SAMPLES_MIN 64
 #define LIMIT_WINDOW_US (100 * US_PER_MS)
 #define LIMIT_WINDOW_MAX_US (60 * US_PER_S)
-#define LIMIT_LOW_PERCENT 10
-#define LIMIT_LOW_GAIN ((int64_t)8) /* one window counts one part in so many */
+#define LIMIT_PERCENTILE 10
+#define LIMIT_P10_GAIN ((int64_t)8) /* the mean moves by 1/8 per window */
 #define LIMIT_SLOW_WINDOWS 4 /* in a row, before a trial */
-#define LIMIT_TOLERANCE 2 /* times the floor */
-#define LIMIT_CUT 4 /* one part in so many, on an overload */
-#define LIMIT_TRIAL_STEP 2 /* one part in so many, for a trial */
-#define LIMIT_FOLLOWED 0.8 /* of the way that the limit went */
-#define LIMIT_FLOOR_TURN_US (30 * US_PER_S)
+#define LIMIT_TOLERANCE 2 /* times the floor; above it a window is slow */
+#define LIMIT_CUT 4 /* an overload cuts the limit by 1/4 */
+#define LIMIT_TRIAL_STEP 2 /* a trial changes the limit by 1/2 */
+#define LIMIT_FOLLOWED 0.8 /* share of the change that the p10 must follow */
+#define LIMIT_FLOOR_PERIOD_US (30 * US_PER_S)
 #define LIMIT_HOLD_MIN_US (2 * US_PER_S)
 #define LIMIT_HOLD_MAX_US (60 * US_PER_S)
-#define LIMIT_HOLD_TRIALS 16 /* times as long as the trial took */
+#define LIMIT_HOLD_TRIALS 16 /* the hold time in durations of the trial */
 
 static void limit_window_begin(struct limit *limit, int64_t now_us)
 {
@@ -28,7 +28,7 @@
 	limit->window.saturated = false;
 }
 
-static uint32_t limit_part(uint32_t value, uint32_t parts)
+static uint32_t limit_fraction(uint32_t value, uint32_t parts)
 {
 	return MAX(value / parts, 1);
 }
@@ -41,9 +41,9 @@
 	return (x > y) - (x < y);
 }
 
-static int64_t limit_window_low_us(struct limit_window *window)
+static int64_t limit_window_p10_us(struct limit_window *window)
 {
-	uint32_t rank = window->samples * LIMIT_LOW_PERCENT / 100;
+	uint32_t rank = window->samples * LIMIT_PERCENTILE / 100;
 
 	qsort(window->sample_us, window->samples, sizeof(int64_t),
 	      limit_compare_samples);
@@ -51,38 +51,39 @@
 }
 
 /*
- * Returns the mean of the p10 of recent windows. That of one window of
- * exponential service times strays by a third of itself, and the least of many
- * by far more: held against it, every other window of a healthy upstream looks
- * slow, and the trials take slots away that callers wait for.
+ * Returns the moving mean of the p10. With exponential service times the p10 of
+ * a single window deviates by a third of itself, and the minimum of many
+ * windows by far more. Compared with that minimum, every other window of a
+ * healthy upstream would look slow, and the trials would take away slots that
+ * callers wait for.
  */
-static int64_t limit_note_low(struct limit *limit, int64_t low_us)
+static int64_t limit_note_p10(struct limit *limit, int64_t p10_us)
 {
-	limit->windows = MIN(limit->windows + 1, LIMIT_LOW_GAIN);
-	limit->low_us += (low_us - limit->low_us) / limit->windows;
-	return limit->low_us;
+	limit->windows = MIN(limit->windows + 1, LIMIT_P10_GAIN);
+	limit->p10_us += (p10_us - limit->p10_us) / limit->windows;
+	return limit->p10_us;
 }
 
-/* Returns the least p10 of this half minute and the one before it. */
-static int64_t limit_note_floor(struct limit *limit, int64_t low_us,
+/* Returns the lowest p10 of the current and the previous 30 s period. */
+static int64_t limit_note_floor(struct limit *limit, int64_t p10_us,
 				int64_t now_us)
 {
-	int64_t age_us = now_us - limit->floor_turn_us;
+	int64_t age_us = now_us - limit->floor_period_start_us;
 
-	if (age_us >= LIMIT_FLOOR_TURN_US) {
-		limit->floor_us[1] = age_us < 2 * LIMIT_FLOOR_TURN_US ?
+	if (age_us >= LIMIT_FLOOR_PERIOD_US) {
+		limit->floor_us[1] = age_us < 2 * LIMIT_FLOOR_PERIOD_US ?
 					     limit->floor_us[0] :
 					     INT64_MAX;
 		limit->floor_us[0] = INT64_MAX;
-		limit->floor_turn_us = now_us;
+		limit->floor_period_start_us = now_us;
 	}
-	limit->floor_us[0] = MIN(limit->floor_us[0], low_us);
+	limit->floor_us[0] = MIN(limit->floor_us[0], p10_us);
 	return MIN(limit->floor_us[0], limit->floor_us[1]);
 }
 
-static void limit_trial_begin(struct limit *limit, int64_t low_us)
+static void limit_trial_begin(struct limit *limit, int64_t p10_us)
 {
-	uint32_t step = limit_part(limit->current, LIMIT_TRIAL_STEP);
+	uint32_t step = limit_fraction(limit->current, LIMIT_TRIAL_STEP);
 
 	limit->trial = limit->next_trial;
 	if (limit->current == limit->slots)
@@ -94,7 +95,7 @@
 		return;
 	}
 	limit->trial_from = limit->current;
-	limit->trial_low_us = low_us;
+	limit->trial_p10_us = p10_us;
 	if (limit->trial == LIMIT_TRIAL_DOWN)
 		limit->current -= step;
 	else
@@ -106,44 +107,46 @@
 	return trial == LIMIT_TRIAL_DOWN ? LIMIT_TRIAL_UP : LIMIT_TRIAL_DOWN;
 }
 
-static void limit_hold(struct limit *limit, int64_t trial_us, int64_t now_us)
+static void limit_delay_next_trial(struct limit *limit, int64_t trial_us,
+				   int64_t now_us)
 {
 	limit->hold_until_us =
 		now_us + MAX(limit->hold_us, trial_us * LIMIT_HOLD_TRIALS);
 	limit->hold_us = MIN(limit->hold_us * 2, LIMIT_HOLD_MAX_US);
 }
 
-/* True where the p10 went nearly all of the way that the limit went. */
-static bool limit_trial_was_followed(const struct limit *limit, int64_t low_us)
+/* Returns true if the p10 changed by at least LIMIT_FOLLOWED of the relative
+ * change of the limit. */
+static bool limit_trial_was_followed(const struct limit *limit, int64_t p10_us)
 {
 	bool down = limit->trial == LIMIT_TRIAL_DOWN;
 	double larger = MAX(limit->trial_from, limit->current);
 	double smaller = MIN(limit->trial_from, limit->current);
-	int64_t larger_low_us = down ? limit->trial_low_us : low_us;
-	int64_t smaller_low_us = down ? low_us : limit->trial_low_us;
+	int64_t larger_p10_us = down ? limit->trial_p10_us : p10_us;
+	int64_t smaller_p10_us = down ? p10_us : limit->trial_p10_us;
 
-	return smaller_low_us <=
-	       larger_low_us * (1 - LIMIT_FOLLOWED * (1 - smaller / larger));
+	return smaller_p10_us <=
+	       larger_p10_us * (1 - LIMIT_FOLLOWED * (1 - smaller / larger));
 }
 
-static void limit_trial_end(struct limit *limit, int64_t low_us,
+static void limit_trial_end(struct limit *limit, int64_t p10_us,
 			    const struct limit_window *window, int64_t now_us)
 {
 	enum limit_trial trial = limit->trial;
 	uint32_t larger = MAX(limit->trial_from, limit->current);
 	uint32_t smaller = MIN(limit->trial_from, limit->current);
-	bool followed = limit_trial_was_followed(limit, low_us);
+	bool followed = limit_trial_was_followed(limit, p10_us);
 
 	limit->trial = LIMIT_TRIAL_NONE;
 	if (!window->saturated) {
 		limit->current = larger;
-		limit_hold(limit, now_us - window->start_us, now_us);
+		limit_delay_next_trial(limit, now_us - window->start_us, now_us);
 		return;
 	}
 	limit->current = followed ? smaller : larger;
 	if (limit->current != limit->trial_from) {
 		limit->slow_windows = 0;
-		limit->slow_low_us = 0;
+		limit->slow_p10_us = 0;
 	}
 	limit->next_trial = trial;
 	if ((trial == LIMIT_TRIAL_DOWN) == followed) {
@@ -151,47 +154,47 @@
 		return;
 	}
 	limit->next_trial = limit_trial_opposite(trial);
-	limit_hold(limit, now_us - window->start_us, now_us);
+	limit_delay_next_trial(limit, now_us - window->start_us, now_us);
 }
 
 static void limit_window_end(struct limit *limit, int64_t now_us)
 {
-	int64_t low_us = limit_window_low_us(&limit->window);
+	int64_t p10_us = limit_window_p10_us(&limit->window);
 	bool saturated = limit->window.saturated;
 	int64_t mean_us;
 	int64_t floor_us;
 
 	if (limit->trial != LIMIT_TRIAL_NONE) {
-		limit_trial_end(limit, low_us, &limit->window, now_us);
+		limit_trial_end(limit, p10_us, &limit->window, now_us);
 		limit_window_begin(limit, now_us);
 		return;
 	}
 	limit_window_begin(limit, now_us);
-	mean_us = limit_note_low(limit, low_us);
-	/* The mean of a few windows strays as far as they do. */
-	if (limit->windows < LIMIT_LOW_GAIN)
+	mean_us = limit_note_p10(limit, p10_us);
+	/* A mean of only a few windows deviates as far as the windows do. */
+	if (limit->windows < LIMIT_P10_GAIN)
 		return;
 	floor_us = limit_note_floor(limit, mean_us, now_us);
-	if (low_us <= LIMIT_TOLERANCE * floor_us) {
+	if (p10_us <= LIMIT_TOLERANCE * floor_us) {
 		limit->slow_windows = 0;
-		limit->slow_low_us = 0;
+		limit->slow_p10_us = 0;
 		limit->current = MIN(limit->current + 1, limit->slots);
 		limit->hold_us = LIMIT_HOLD_MIN_US;
 		limit->next_trial = LIMIT_TRIAL_DOWN;
 		return;
 	}
 	limit->slow_windows++;
-	limit->slow_low_us += (low_us - limit->slow_low_us) /
+	limit->slow_p10_us += (p10_us - limit->slow_p10_us) /
 			      MIN(limit->slow_windows, LIMIT_SLOW_WINDOWS);
 	if (limit->slow_windows >= LIMIT_SLOW_WINDOWS && saturated &&
 	    now_us >= limit->hold_until_us)
-		limit_trial_begin(limit, limit->slow_low_us);
+		limit_trial_begin(limit, limit->slow_p10_us);
 }
 
 /*
- * A window that traffic was too thin to fill mixes what is long past with the
- * present. Kept, it would judge by both, and a trial that the end of a burst
- * left open would meet the next one with half the slots.
+ * Discards a window that too little traffic left open for too long: its samples
+ * mix old and current conditions. A trial ends with it. Otherwise, a trial left
+ * open at the end of a burst would meet the next burst with half the slots.
  */
 static void limit_window_abandon(struct limit *limit, int64_t now_us)
 {
@@ -205,7 +208,7 @@
 {
 	limit->trial = LIMIT_TRIAL_NONE;
 	if (limit->current > 1)
-		limit->current -= limit_part(limit->current, LIMIT_CUT);
+		limit->current -= limit_fraction(limit->current, LIMIT_CUT);
 	limit_window_begin(limit, now_us);
 }
 
@@ -260,7 +263,7 @@
 	limit->current = limit->slots;
 	limit->floor_us[0] = INT64_MAX;
 	limit->floor_us[1] = INT64_MAX;
-	limit->floor_turn_us = now_us;
+	limit->floor_period_start_us = now_us;
 	limit->next_trial = LIMIT_TRIAL_DOWN;
 	limit->hold_us = LIMIT_HOLD_MIN_US;
 	limit->hold_until_us = now_us;
--- a/comfreydockd/decide/pace.c
+++ b/comfreydockd/decide/pace.c
@@ -4,38 +4,38 @@
 
 bool pace_is_worse(uint32_t percent, uint32_t other_percent)
 {
-	return percent >= PACE_SLOW_TIMES * other_percent;
+	return percent >= PACE_SLOW_FACTOR * other_percent;
 }
 
-static void note_least(struct pace *pace, uint32_t percent, int64_t now_us)
+static void note_lowest(struct pace *pace, uint32_t percent, int64_t now_us)
 {
 	if (now_us - pace->window_us > PACE_WINDOW_US) {
-		pace->least_before = pace->least;
-		pace->least = 0;
+		pace->lowest_before = pace->lowest;
+		pace->lowest = 0;
 		pace->window_us = now_us;
 	}
-	if (!pace->least || percent < pace->least)
-		pace->least = percent;
+	if (!pace->lowest || percent < pace->lowest)
+		pace->lowest = percent;
 }
 
-/* What this host had at its best of late. */
+/* Returns the lowest recent percentage of this host. */
 static uint32_t pace_usual(const struct pace *pace)
 {
-	if (!pace->least_before)
-		return pace->least;
-	return MIN(pace->least, pace->least_before);
+	if (!pace->lowest_before)
+		return pace->lowest;
+	return MIN(pace->lowest, pace->lowest_before);
 }
 
 bool pace_note(struct pace *pace, uint32_t percent, int64_t now_us)
 {
-	bool differs = pace_is_worse(percent, pace->told_percent) ||
-		       pace_is_worse(pace->told_percent, percent);
+	bool differs = pace_is_worse(percent, pace->sent_percent) ||
+		       pace_is_worse(pace->sent_percent, percent);
 
 	pace->percent = percent;
 	pace->at_us = now_us;
-	note_least(pace, percent, now_us);
+	note_lowest(pace, percent, now_us);
 	if (differs)
-		pace->told_percent = percent;
+		pace->sent_percent = percent;
 	return differs;
 }
 
@@ -56,13 +56,14 @@
 	return took_us * PACE_USUAL_PERCENT / percent;
 }
 
-/* Watched for less than a window: all that was seen may be one spell. */
-static bool is_new(const struct pace *pace)
+/* Returns true before the first full window: until then all reports may come
+ * from one slow spell. */
+static bool is_in_first_window(const struct pace *pace)
 {
-	return pace->least_before == 0;
+	return pace->lowest_before == 0;
 }
 
-/* How long work takes at that pace. */
+/* Returns how long the work takes at the given pace. */
 static int64_t at_percent_us(int64_t work_us, uint32_t percent)
 {
 	return work_us * percent / PACE_USUAL_PERCENT;
@@ -73,18 +74,20 @@
 	if (item->work_us > 0)
 		return item->work_us;
 	return CLAMP(item->deadline_us - now_us, 0, PACE_DEADLINE_MAX_US) /
-	       PACE_DEADLINE_WORKS;
+	       PACE_DEADLINE_WORK_FACTOR;
 }
 
 /*
- * Held while an end of the spell would still bring the answer in time, or slots
- * are scarce; then begun if it can be answered at all at this pace; else held to
- * the last moment that an end of the spell leaves for it, and then refused:
- * begun, it would take a slot for an answer that nobody gets.
+ * Decides during a slow spell. The request is held while an end of the spell
+ * would still bring the answer in time, or, if slots are scarce, while enough
+ * time remains. After that it starts if it can still be answered at the slow
+ * pace. Otherwise it is held for as long as the end of the spell could still
+ * save it, and then refused: started, it would take a slot for an answer that
+ * nobody receives.
  */
-static enum pace_verdict judge_in_spell(const struct pace *pace,
-					const struct pace_item *item,
-					int64_t now_us)
+static enum pace_verdict judge_in_slow_spell(const struct pace *pace,
+					     const struct pace_item *item,
+					     int64_t now_us)
 {
 	int64_t work_us = expected_work_us(item, now_us);
 	int64_t usual_us = at_percent_us(work_us, pace_usual(pace));
@@ -94,8 +97,8 @@
 		return PACE_START;
 	if (now_us + usual_us <= item->target_us)
 		return PACE_HOLD;
-	if (item->is_busy &&
-	    now_us + (int64_t)(PACE_HOLD_SPARE * usual_us) <= item->deadline_us)
+	if (item->is_busy && now_us + (int64_t)(PACE_HOLD_MARGIN * usual_us) <=
+				     item->deadline_us)
 		return PACE_HOLD;
 	if (now_us + slow_us <= item->deadline_us)
 		return PACE_START;
@@ -104,11 +107,12 @@
 	return PACE_TOO_LATE;
 }
 
-/* A host that nothing is known of gets what it can answer at this pace; the rest
- * waits for what may be the end of a spell. */
-static enum pace_verdict judge_at_first(const struct pace *pace,
-					const struct pace_item *item,
-					int64_t now_us)
+/* Decides for a host without a known usual pace. A request that can be answered
+ * at the current pace starts; the others wait, as the report may come from a
+ * slow spell that ends. */
+static enum pace_verdict judge_unknown_host(const struct pace *pace,
+					    const struct pace_item *item,
+					    int64_t now_us)
 {
 	int64_t work_us = expected_work_us(item, now_us);
 	int64_t slow_us = at_percent_us(work_us, pace->percent);
@@ -125,8 +129,8 @@
 	    pace_is_worse(pace->percent, item->other_percent))
 		return PACE_TURN_BACK;
 	if (pace_is_slow(pace))
-		return judge_in_spell(pace, item, now_us);
-	if (is_new(pace))
-		return judge_at_first(pace, item, now_us);
+		return judge_in_slow_spell(pace, item, now_us);
+	if (is_in_first_window(pace))
+		return judge_unknown_host(pace, item, now_us);
 	return PACE_START;
 }
--- a/comfreydockd/decide/pick_policy.c
+++ b/comfreydockd/decide/pick_policy.c
@@ -4,33 +4,35 @@
 #include "comfreydockd/decide/pace.h"
 #include "comfreydockd/decide/pick.h"
 
-/* Work stays in the entry's failure domain up to this utilisation: early
- * enough to spill before calls are refused or queued there. An owner refuses at
- * once what it has no slot for, so there is no need to leave earlier, which only
- * sends more bytes between domains; see docs/design/teranga.md. */
+/* Work stays in the entry's failure domain up to this utilisation, which spills
+ * calls before they are refused or queued there. An owner refuses at once when
+ * it has no free slot, so leaving earlier gains nothing and only sends more
+ * bytes between domains; see docs/design/teranga.md. */
 #define PICK_SPILL_UTILISATION 0.9
-/* A local upstream that is so many times slower than usual has no preference:
- * the way to another domain costs less. */
+/* A local upstream slower than this multiple of the typical latency gets no
+ * preference: the round trip to another domain costs less. */
 #define PICK_SPILL_SLOWNESS 1.5
 
-/* From here on all seem full: the best that the reports offer has a queue. */
+/* Above this, every upstream seems full: even the best reported one has a
+ * queue. */
 #define PICK_FULL_UTILISATION 1.1
-/* Among hosts that would begin a request at once the emptier one is preferred by
- * so much; an assumption. */
-#define PICK_EMPTIER 0.1
+/* Weight of utilisation among hosts that would start a request at once: the
+ * less loaded one is preferred. */
+#define PICK_IDLE_PREFERENCE 0.1
 
 /* Power of two choices. */
 #define PICK_CHOICES 2
-/* Where all that is quick has a queue: of two, three and four the best with few
- * entries, and no worse with hundreds; see docs/design/decisions.md. */
-#define PICK_QUEUES 3
+/* Candidates compared where every fast host has a queue. Of two, three and
+ * four, three gave the best results with few entries and no worse ones with
+ * hundreds; see docs/design/decisions.md. */
+#define PICK_QUEUE_CHOICES 3
 
 typedef double (*cost_function)(const struct pick_set *set,
 				const struct pick_candidate *candidate,
 				int64_t now_us);
 
-/* The cheapest; among equal ones any, so that entries which know nothing
- * don't all go to the first. */
+/* Returns the cheapest candidate. Ties are broken at random, so that entries
+ * without any knowledge do not all choose the first one. */
 static struct pick_candidate *choose_cheapest(struct pick_set *set,
 					      struct pick_candidate **candidates,
 					      size_t count, int64_t now_us,
@@ -63,7 +65,8 @@
 	candidates[b] = candidate;
 }
 
-/* Moves so many random ones to the front and takes the cheapest. */
+/* Moves that many random candidates to the front and returns the cheapest of
+ * them. */
 static struct pick_candidate *choose_of(struct pick_set *set,
 					struct pick_candidate **candidates,
 					size_t count, size_t choices,
@@ -77,7 +80,7 @@
 }
 
 /* Moves the local candidates with room to the front. RETURN VALUE: how many
- * are left to choose from. */
+ * candidates are left to choose from. */
 static size_t prefer_local(const struct pick_set *set,
 			   struct pick_candidate **candidates, size_t count,
 			   int64_t now_us)
@@ -118,7 +121,7 @@
 		   size_t count, int64_t now_us)
 {
 	(void)now_us;
-	return candidates[set->turn++ % count];
+	return candidates[set->next_turn++ % count];
 }
 
 static struct pick_candidate *
@@ -156,22 +159,22 @@
 	return best;
 }
 
-/* Moves those that don't run slow to the front. RETURN VALUE: how many these
- * are. */
-static size_t prefer_quick(const struct pick_set *set,
-			   struct pick_candidate **candidates, size_t count,
-			   int64_t now_us)
+/* Moves the candidates that do not run slow to the front. RETURN VALUE: their
+ * number. */
+static size_t prefer_fast(const struct pick_set *set,
+			  struct pick_candidate **candidates, size_t count,
+			  int64_t now_us)
 {
 	uint32_t best = best_pace(set, candidates, count, now_us);
-	size_t quick = 0;
+	size_t fast = 0;
 
 	for (size_t i = 0; i < count; i++)
 		if (!pace_is_worse(pick_pace(set, candidates[i], now_us), best))
-			swap_candidates(candidates, i, quick++);
-	return quick;
+			swap_candidates(candidates, i, fast++);
+	return fast;
 }
 
-/* Moves those with room to the front. RETURN VALUE: how many these are. */
+/* Moves the candidates with room to the front. RETURN VALUE: their number. */
 static size_t prefer_free(const struct pick_set *set,
 			  struct pick_candidate **candidates, size_t count,
 			  int64_t now_us)
@@ -185,22 +188,22 @@
 	return free;
 }
 
-static double pace_times(const struct pick_set *set,
-			 const struct pick_candidate *candidate, int64_t now_us)
+static double pace_factor(const struct pick_set *set,
+			  const struct pick_candidate *candidate, int64_t now_us)
 {
 	return (double)pick_pace(set, candidate, now_us) / PACE_USUAL_PERCENT;
 }
 
-/* How long a request is there, in usual times: what is full has a queue, what is
- * slow takes longer however empty it is. */
-static double cost_stay(const struct pick_set *set,
-			const struct pick_candidate *candidate, int64_t now_us)
+/* Estimates how long a request stays at the upstream, in typical latencies: a
+ * full upstream has a queue, and a slow one takes longer however idle it is. */
+static double cost_sojourn(const struct pick_set *set,
+			   const struct pick_candidate *candidate, int64_t now_us)
 {
 	double utilisation = pick_utilisation(set, candidate, now_us);
 
-	return (MAX(utilisation, 1.0) + PICK_EMPTIER * utilisation) *
+	return (MAX(utilisation, 1.0) + PICK_IDLE_PREFERENCE * utilisation) *
 	       pick_relative_latency(set, candidate, now_us) *
-	       pace_times(set, candidate, now_us);
+	       pace_factor(set, candidate, now_us);
 }
 
 static double cost_own_by_pace(const struct pick_set *set,
@@ -208,52 +211,54 @@
 			       int64_t now_us)
 {
 	return pick_own_score(set, candidate, now_us) *
-	       pace_times(set, candidate, now_us);
+	       pace_factor(set, candidate, now_us);
 }
 
 /*
- * When a slow spell begins, all entries are told at once and leave that host for
- * the few quick ones with room. Were each to take the best of these, they would
- * all meet at the same one, be refused there and go round together: the better
- * of two random ones spreads them. Between hosts of one pace there is no such
- * rush, and the best of all avoids one that fails.
+ * Chooses among fast hosts with room. When a slow spell begins, all entries
+ * learn of it at once and leave that host for the few fast ones. If each entry
+ * took the best of these, all would meet at the same host, be refused there and
+ * move on together; the better of two random ones spreads them. Without a slow
+ * host there is no such rush, and the best of all avoids a host that fails.
  */
 static struct pick_candidate *choose_free(struct pick_set *set,
 					  struct pick_candidate **candidates,
 					  size_t count, bool has_slow,
 					  int64_t now_us)
 {
-	size_t near = prefer_local(set, candidates, count, now_us);
+	size_t preferred = prefer_local(set, candidates, count, now_us);
 
 	if (has_slow)
-		return choose_of(set, candidates, near, PICK_CHOICES, now_us,
-				 pick_score);
-	return choose_cheapest(set, candidates, near, now_us, pick_score);
+		return choose_of(set, candidates, preferred, PICK_CHOICES,
+				 now_us, pick_score);
+	return choose_cheapest(set, candidates, preferred, now_us, pick_score);
 }
 
 /*
- * Where no quick host has room a slow one that stands empty looks best by its
- * utilisation. A request that goes there waits for the end of the slow spell
- * beside free slots, while the queue of a quick one moves with each answer. All
- * entries have the same late report of these queues, so each looks at a few only.
+ * Chooses where no fast host has room. By utilisation alone a slow, idle host
+ * would look best, but a request waits there beside free slots until the slow
+ * spell ends, while the queue of a fast host moves with each answer. All
+ * entries see the same late reports of these queues, so each looks at a few
+ * random candidates only.
  */
 static struct pick_candidate *choose_queue(struct pick_set *set,
 					   struct pick_candidate **candidates,
 					   size_t count, int64_t now_us)
 {
-	return choose_of(set, candidates, count, PICK_QUEUES, now_us, cost_stay);
+	return choose_of(set, candidates, count, PICK_QUEUE_CHOICES, now_us,
+			 cost_sojourn);
 }
 
 static struct pick_candidate *
 choose_least_score(struct pick_set *set, struct pick_candidate **candidates,
 		   size_t count, int64_t now_us)
 {
-	size_t quick = prefer_quick(set, candidates, count, now_us);
-	size_t free = prefer_free(set, candidates, quick, now_us);
+	size_t fast = prefer_fast(set, candidates, count, now_us);
+	size_t free = prefer_free(set, candidates, fast, now_us);
 	struct pick_candidate *best =
-		free > 0 ? choose_free(set, candidates, free, quick < count,
-				       now_us) :
-			   choose_queue(set, candidates, count, now_us);
+		free > 0 ?
+			choose_free(set, candidates, free, fast < count, now_us) :
+			choose_queue(set, candidates, count, now_us);
 
 	if (pick_utilisation(set, best, now_us) <= PICK_FULL_UTILISATION)
 		return best;
--- a/comfreydockd/decide/quarantine.c
+++ b/comfreydockd/decide/quarantine.c
@@ -5,12 +5,13 @@
 
 #include "quarantine_record.h"
 
-#define TRIAL_RUNS_US \
-	((int64_t)1000 * 1000) /* to ask again, while one is out */
-#define EXPIRE_EVERY_US ((int64_t)1000 * 1000)
+/* Callers are told to come back after this time while a trial runs. */
+#define TRIAL_RETRY_US ((int64_t)1000 * 1000)
+#define EXPIRE_INTERVAL_US ((int64_t)1000 * 1000)
 
-/* The last answer to a request; another one's takes its place. */
-struct good_slot {
+/* The last time a request was answered. Another request with the same slot
+ * replaces it. */
+struct answered_slot {
 	uint64_t key;
 	int64_t answered_us;
 };
@@ -19,11 +20,11 @@
 	int64_t trial_us;
 	quarantine_handler handler;
 	void *data;
-	GHashTable *by_key; /* key of record -> record */
-	struct quarantine_list news; /* to be told, the next one first */
-	struct quarantine_list settled; /* told often enough */
+	GHashTable *by_key; /* key of a record -> record */
+	struct quarantine_list news; /* records to send, next one first */
+	struct quarantine_list settled; /* records sent often enough */
 	int64_t expired_us;
-	struct good_slot good[QUARANTINE_GOOD_SLOTS];
+	struct answered_slot good[QUARANTINE_ANSWERED_SLOTS];
 };
 
 struct quarantine *quarantine_create(int64_t trial_us,
@@ -98,7 +99,7 @@
 		      struct quarantine_record *record)
 {
 	TAILQ_REMOVE(list_of(quarantine, record), record, link);
-	record->told = 0;
+	record->times_sent = 0;
 	record->is_news = true;
 	TAILQ_INSERT_HEAD(&quarantine->news, record, link);
 }
@@ -116,7 +117,8 @@
 		report(quarantine, record, QUARANTINE_MARKED);
 }
 
-/* RETURN VALUE: which goes first where there are too many; -1: none goes. */
+/* RETURN VALUE: the record with the highest rank is evicted first; -1: it is
+ * kept. */
 static int eviction_rank(const struct quarantine_record *record)
 {
 	if (quarantine_record_is_held(record))
@@ -140,7 +142,7 @@
 	return best;
 }
 
-/* RETURN VALUE: false where all that are there are held. */
+/* RETURN VALUE: false if all records in the full table are held. */
 static bool make_room(struct quarantine *quarantine)
 {
 	struct quarantine_record *record;
@@ -156,7 +158,7 @@
 	return true;
 }
 
-/* RETURN VALUE: NULL where there is no room. */
+/* RETURN VALUE: NULL if there is no room. */
 static struct quarantine_record *add_record(struct quarantine *quarantine,
 					    uint64_t key)
 {
@@ -174,11 +176,11 @@
 static bool was_answered(const struct quarantine *quarantine, uint64_t key,
 			 int64_t now_us)
 {
-	const struct good_slot *slot =
-		&quarantine->good[key % QUARANTINE_GOOD_SLOTS];
+	const struct answered_slot *slot =
+		&quarantine->good[key % QUARANTINE_ANSWERED_SLOTS];
 
 	return slot->key == key && slot->answered_us &&
-	       now_us - slot->answered_us <= QUARANTINE_GOOD_US;
+	       now_us - slot->answered_us <= QUARANTINE_ANSWERED_US;
 }
 
 bool quarantine_note_crash(struct quarantine *quarantine, uint64_t key,
@@ -197,7 +199,7 @@
 	if (record->is_cleared)
 		record_begin_round(record);
 	record->asked_us = now_us;
-	/* A failed trial must not change which hosts try. */
+	/* A failed trial must not change the hosts at which trials run. */
 	if (!quarantine_record_is_held(record))
 		is_changed = record_add_crash(record, crash);
 	if (record->is_on_trial) {
@@ -221,7 +223,8 @@
 void quarantine_note_answer(struct quarantine *quarantine, uint64_t key,
 			    int64_t now_us)
 {
-	struct good_slot *slot = &quarantine->good[key % QUARANTINE_GOOD_SLOTS];
+	struct answered_slot *slot =
+		&quarantine->good[key % QUARANTINE_ANSWERED_SLOTS];
 	struct quarantine_record *record = find(quarantine, key);
 
 	slot->key = key;
@@ -243,32 +246,32 @@
 static void note_asked(struct quarantine *quarantine,
 		       struct quarantine_record *record, int64_t asked_us)
 {
-	if (asked_us - record->asked_us < QUARANTINE_ASKED_EVERY_US)
+	if (asked_us - record->asked_us < QUARANTINE_ASKED_INTERVAL_US)
 		return;
 	record->asked_us = asked_us;
 	make_news(quarantine, record);
 }
 
-struct quarantine_answer quarantine_judge(struct quarantine *quarantine,
-					  uint64_t key, int64_t now_us)
+struct quarantine_decision quarantine_judge(struct quarantine *quarantine,
+					    uint64_t key, int64_t now_us)
 {
 	struct quarantine_record *record = find(quarantine, key);
-	struct quarantine_answer answer = {.verdict = QUARANTINE_FREE};
+	struct quarantine_decision decision = {.verdict = QUARANTINE_FREE};
 
 	if (!record || !quarantine_record_is_held(record) ||
 	    quarantine->trial_us == 0)
-		return answer;
+		return decision;
 	note_asked(quarantine, record, now_us);
-	answer.verdict = QUARANTINE_HELD;
-	answer.left_us = record_trial_us(quarantine, record) - now_us;
-	answer.trial_host = record_trial_host(record);
+	decision.verdict = QUARANTINE_HELD;
+	decision.left_us = record_trial_us(quarantine, record) - now_us;
+	decision.trial_host = record_trial_host(record);
 	if (record->failed_trials >= QUARANTINE_TRIALS_MAX)
-		answer.left_us = QUARANTINE_FORGET_US;
+		decision.left_us = QUARANTINE_FORGET_US;
 	else if (record->is_on_trial)
-		answer.left_us = TRIAL_RUNS_US;
-	else if (answer.left_us <= 0)
-		answer.verdict = QUARANTINE_TRIAL;
-	return answer;
+		decision.left_us = TRIAL_RETRY_US;
+	else if (decision.left_us <= 0)
+		decision.verdict = QUARANTINE_TRIAL;
+	return decision;
 }
 
 void quarantine_begin_trial(struct quarantine *quarantine, uint64_t key)
@@ -305,7 +308,7 @@
 
 void quarantine_tick(struct quarantine *quarantine, int64_t now_us)
 {
-	if (now_us - quarantine->expired_us < EXPIRE_EVERY_US)
+	if (now_us - quarantine->expired_us < EXPIRE_INTERVAL_US)
 		return;
 	quarantine->expired_us = now_us;
 	forget_old(quarantine, &quarantine->news, now_us);
@@ -313,22 +316,22 @@
 }
 
 void quarantine_merge(struct quarantine *quarantine,
-		      const struct quarantine_record *heard, int64_t now_us)
+		      const struct quarantine_record *received, int64_t now_us)
 {
-	struct quarantine_record *record = find(quarantine, heard->key);
+	struct quarantine_record *record = find(quarantine, received->key);
 
-	if (now_us > record_forget_us(quarantine, heard) ||
-	    (record && heard->round < record->round))
+	if (now_us > record_forget_us(quarantine, received) ||
+	    (record && received->round < record->round))
 		return;
 	if (!record) {
-		record = add_record(quarantine, heard->key);
+		record = add_record(quarantine, received->key);
 		if (!record)
 			return;
-		record_take_over(record, heard);
-	} else if (heard->round > record->round) {
-		record_take_over(record, heard);
-	} else if (!record_unite(record, heard)) {
-		note_asked(quarantine, record, heard->asked_us);
+		record_replace(record, received);
+	} else if (received->round > record->round) {
+		record_replace(record, received);
+	} else if (!record_merge(record, received)) {
+		note_asked(quarantine, record, received->asked_us);
 		return;
 	}
 	note_changed(quarantine, record, record->changed_us);
@@ -341,38 +344,38 @@
 	return !TAILQ_EMPTY(&quarantine->news);
 }
 
-bool quarantine_has_untold(const struct quarantine *quarantine)
+bool quarantine_has_unsent(const struct quarantine *quarantine)
 {
 	const struct quarantine_record *record = TAILQ_FIRST(&quarantine->news);
 
-	return record && record->told == 0;
+	return record && record->times_sent == 0;
 }
 
-static size_t tell_news(struct quarantine *quarantine, unsigned int times_max,
+static size_t copy_news(struct quarantine *quarantine, unsigned int times_max,
 			struct quarantine_record *out, size_t size)
 {
-	struct quarantine_list told = TAILQ_HEAD_INITIALIZER(told);
+	struct quarantine_list sent = TAILQ_HEAD_INITIALIZER(sent);
 	struct quarantine_record *record;
 	size_t count = 0;
 
 	while (count < size && (record = TAILQ_FIRST(&quarantine->news))) {
 		TAILQ_REMOVE(&quarantine->news, record, link);
 		out[count++] = *record;
-		record->is_news = ++record->told < times_max;
+		record->is_news = ++record->times_sent < times_max;
 		if (record->is_news)
-			TAILQ_INSERT_TAIL(&told, record, link);
+			TAILQ_INSERT_TAIL(&sent, record, link);
 		else
 			TAILQ_INSERT_TAIL(&quarantine->settled, record, link);
 	}
-	TAILQ_CONCAT(&quarantine->news, &told, link);
+	TAILQ_CONCAT(&quarantine->news, &sent, link);
 	return count;
 }
 
-size_t quarantine_tell(struct quarantine *quarantine, unsigned int times_max,
-		       struct quarantine_record *out, size_t size)
+size_t quarantine_copy_news(struct quarantine *quarantine, unsigned int times_max,
+			    struct quarantine_record *out, size_t size)
 {
-	size_t count = tell_news(quarantine, times_max, out, size);
-	size_t most = MIN(size, count + QUARANTINE_RETOLD_MAX);
+	size_t count = copy_news(quarantine, times_max, out, size);
+	size_t most = MIN(size, count + QUARANTINE_RESENT_MAX);
 	struct quarantine_record *first = TAILQ_FIRST(&quarantine->settled);
 	struct quarantine_record *record = first;
 
--- a/comfreydockd/decide/quarantine_record.c
+++ b/comfreydockd/decide/quarantine_record.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define HOST_SHIFT 32 /* in the name of a crash */
+#define HOST_SHIFT 32 /* position of the host hash in a crash id */
 
 uint64_t quarantine_crash_id(uint32_t host, uint64_t random)
 {
@@ -46,8 +46,8 @@
 		record->crashes[record->failed_trials % QUARANTINE_CRASHES]);
 }
 
-/* The lowest are kept, so that daemons that hear of four in another order hold the
- * same three. */
+/* Keeps the lowest ids, so that daemons that hear of four crashes in different
+ * orders keep the same three. */
 bool record_add_crash(struct quarantine_record *record, uint64_t crash)
 {
 	uint32_t at = 0;
@@ -72,38 +72,39 @@
 	record->failed_trials = 0;
 }
 
-void record_take_over(struct quarantine_record *record,
-		      const struct quarantine_record *heard)
+void record_replace(struct quarantine_record *record,
+		    const struct quarantine_record *received)
 {
-	record->round = heard->round;
-	record->is_cleared = heard->is_cleared;
-	record->crash_count = heard->crash_count;
-	memcpy(record->crashes, heard->crashes, sizeof(record->crashes));
-	record->failed_trials = heard->failed_trials;
-	record->changed_us = heard->changed_us;
-	record->asked_us = heard->asked_us;
+	record->round = received->round;
+	record->is_cleared = received->is_cleared;
+	record->crash_count = received->crash_count;
+	memcpy(record->crashes, received->crashes, sizeof(record->crashes));
+	record->failed_trials = received->failed_trials;
+	record->changed_us = received->changed_us;
+	record->asked_us = received->asked_us;
 }
 
-bool record_unite(struct quarantine_record *record,
-		  const struct quarantine_record *heard)
+bool record_merge(struct quarantine_record *record,
+		  const struct quarantine_record *received)
 {
 	bool is_changed = false;
 
 	if (record->is_cleared)
 		return false;
-	if (heard->is_cleared) {
+	if (received->is_cleared) {
 		record->is_cleared = true;
 		is_changed = true;
 	}
-	for (uint32_t i = 0; i < heard->crash_count; i++)
-		is_changed |= record_add_crash(record, heard->crashes[i]);
-	if (heard->failed_trials > record->failed_trials) {
-		record->failed_trials = heard->failed_trials;
+	for (uint32_t i = 0; i < received->crash_count; i++)
+		is_changed |= record_add_crash(record, received->crashes[i]);
+	if (received->failed_trials > record->failed_trials) {
+		record->failed_trials = received->failed_trials;
 		is_changed = true;
 	}
 	if (is_changed) {
-		record->changed_us = MAX(record->changed_us, heard->changed_us);
-		record->asked_us = MAX(record->asked_us, heard->asked_us);
+		record->changed_us =
+			MAX(record->changed_us, received->changed_us);
+		record->asked_us = MAX(record->asked_us, received->asked_us);
 	}
 	return is_changed;
 }
--- a/comfreydockd/decide/queue_admit.c
+++ b/comfreydockd/decide/queue_admit.c
@@ -2,17 +2,18 @@
 
 #include <glib.h>
 
-#include "comfreydockd/decide/queue_foresee.h"
 #include "comfreydockd/decide/queue_lane.h"
+#include "comfreydockd/decide/queue_predict.h"
 
-#define QUEUE_DOUBT_TURN 4
-/* What a caller may have in a full queue, one part of the bound in so many, and all
- * of them together, so many times the bound. Assumptions. */
-#define QUEUE_FULL_PARTS 256
-#define QUEUE_FULL_TIMES 4
+#define QUEUE_OVERRIDE_INTERVAL 4
+/* In a full queue each caller may still have 1/256 of the bound, and the whole
+ * queue may grow to four times the bound. */
+#define QUEUE_FULL_CALLER_PARTS 256
+#define QUEUE_FULL_FACTOR 4
 
-/* One caller that fills the queue must not shut out the others: each may have a
- * small part of it beyond the bound. */
+/* Returns true if the queue is full for this item. A caller that fills the
+ * queue must not shut out the others, so each caller may have a small part of
+ * it beyond the bound. */
 static bool queue_is_full_for(const struct queue *queue,
 			      const struct queue_item *item)
 {
@@ -21,14 +22,14 @@
 
 	if (queue->length < queue->max_items)
 		return false;
-	return queue->length / QUEUE_FULL_TIMES >= queue->max_items ||
+	return queue->length / QUEUE_FULL_FACTOR >= queue->max_items ||
 	       fair_flow_length(lane, item->key_hash) >=
-		       queue->max_items / QUEUE_FULL_PARTS;
+		       queue->max_items / QUEUE_FULL_CALLER_PARTS;
 }
 
-static enum queue_verdict queue_name_refusal(const struct queue *queue,
-					     const struct queue_item *item,
-					     int64_t wait_us, int64_t now_us)
+static enum queue_verdict queue_refusal_reason(const struct queue *queue,
+					       const struct queue_item *item,
+					       int64_t wait_us, int64_t now_us)
 {
 	const struct fair *lane =
 		&queue->lanes[queue_lane_in_time(queue, item->class)];
@@ -44,22 +45,24 @@
 }
 
 /*
- * An estimate left high by a slow spell would refuse everything, so that
- * nothing runs to correct it. Where a slot is free, an item is therefore let
- * through against the estimate now and then, and always where nothing runs.
+ * Returns true if an item is accepted against the estimate. An estimate left
+ * high by a slow spell would refuse everything, and then nothing would run to
+ * correct it. If a slot is free, every fourth such item is therefore accepted,
+ * and every one if nothing runs.
  */
-static bool queue_doubts_estimate(struct queue *queue,
-				  const struct queue_item *item,
-				  const struct queue_slots *slots, int64_t now_us)
+static bool queue_overrides_estimate(struct queue *queue,
+				     const struct queue_item *item,
+				     const struct queue_slots *slots,
+				     int64_t now_us)
 {
 	if (!queue_has_free_slot(queue, slots) || item->deadline_us <= now_us)
 		return false;
 	if (queue->policy->latest_start_us(queue, item) >= now_us)
 		return false;
 	if (slots->running > 0 &&
-	    ++queue->doubts[item->class] % QUEUE_DOUBT_TURN != 0)
+	    ++queue->estimate_refusals[item->class] % QUEUE_OVERRIDE_INTERVAL != 0)
 		return false;
-	queue->in_doubt[item->class] = true;
+	queue->estimate_overridden[item->class] = true;
 	return true;
 }
 
@@ -77,18 +80,18 @@
 	if (queue_is_full_for(queue, item))
 		return QUEUE_REFUSED_FULL;
 	wait_us = queue->policy->by_class && queue_is_standing(queue, now_us) ?
-			  queue_foresee_later_us(queue, item, slots) :
-			  queue_foresee_wait_us(queue, item->lane,
+			  queue_predict_wait_with_arrivals_us(queue, item, slots) :
+			  queue_predict_wait_us(queue, item->lane,
 						item->key_hash, slots);
 	allowed_us = queue->policy->allowed_wait_us(queue, item, now_us);
 	if (wait_us <= allowed_us)
 		return QUEUE_ACCEPTED;
 	*retry_after_ms = queue_to_retry_after_ms(wait_us - allowed_us);
-	return queue_name_refusal(queue, item, wait_us, now_us);
+	return queue_refusal_reason(queue, item, wait_us, now_us);
 }
 
-/* Past it a wait would only make others late; a start at once may still be of
- * use. */
+/* Returns until when an item that holds up others may wait. A longer wait would
+ * only make the others late; an immediate start may still be useful. */
 static int64_t queue_wait_until_us(const struct queue *queue,
 				   const struct queue_item *item, int64_t now_us)
 {
@@ -106,7 +109,7 @@
 	item->wait_until_us = queue_wait_until_us(queue, item, now_us);
 	item->lane = queue_lane_for(queue, item, slots, now_us);
 	item->latest_start_us = queue->policy->latest_start_us(queue, item);
-	if (queue_doubts_estimate(queue, item, slots, now_us)) {
+	if (queue_overrides_estimate(queue, item, slots, now_us)) {
 		item->latest_start_us = item->deadline_us;
 		return QUEUE_ACCEPTED;
 	}
--- a/include/comfreydockd/caller/call_internal.h
+++ b/include/comfreydockd/caller/call_internal.h
@@ -24,7 +24,7 @@
 void call_end_now(struct call *call);
 
 void call_fill_hedge_question(const struct call *call,
-			      struct hedge_question *question);
+			      struct hedge_context *question);
 
 /* RETURN VALUE: the attempts so far that count against the rule's limit. */
 uint32_t call_counted_attempts(const struct call *call);
@@ -36,7 +36,7 @@
 /* RETURN VALUE: the number of upstreams not yet tried. */
 size_t call_untried(const struct call *call);
 void call_fill_retry_question(const struct call *call, enum retry_outcome outcome,
-			      struct retry_question *question);
+			      struct retry_context *question);
 
 /* parallel.c: attempts that are sent in parallel to an outstanding one, which
  * may be slow (a hedge) or whose owner may be gone (an overtaking attempt). */
--- a/tests/queue_owner.c
+++ b/tests/queue_owner.c
@@ -34,7 +34,7 @@
 	call->answered = true;
 	call->refused_us = owner->now_us;
 	owner->refused[call->hot]++;
-	owner->slowest_refusal_us = MAX(owner->slowest_refusal_us, late_us);
+	owner->latest_refusal_us = MAX(owner->latest_refusal_us, late_us);
 }
 
 static void owner_start(struct owner *owner, struct call *call)
@@ -81,7 +81,7 @@
 		owner->late[call->hot]++;
 }
 
-/* Ends what ends and refuses what gets stale until then. */
+/* Ends requests and refuses stale items up to the given time. */
 void owner_run_until(struct owner *owner, int64_t until_us)
 {
 	for (;;) {
@@ -126,9 +126,10 @@
 	return (int64_t)(-log(1 - g_test_rand_double()) * mean_us) + 1;
 }
 
-/* Calls of a load (1: all slots busy) with the given mean service time. */
-void owner_plan(struct owner *owner, double load, double mean_us,
-		int64_t deadline_us)
+/* Generates calls for a load (1: all slots busy) with the given mean service
+ * time. */
+void owner_generate_calls(struct owner *owner, double load, double mean_us,
+			  int64_t deadline_us)
 {
 	int64_t at_us = 0;
 
@@ -144,7 +145,7 @@
 	}
 }
 
-void owner_play(struct owner *owner, const char *what)
+void owner_simulate(struct owner *owner, const char *what)
 {
 	for (int i = 0; i < CALLS; i++)
 		owner_receive(owner, &owner->calls[i]);
--- a/tests/test_breaker.c
+++ b/tests/test_breaker.c
@@ -5,84 +5,88 @@
 
 #define MS ((int64_t)1000)
 
-/* What one owner got of a load in which one request in three may not run
- * twice, and how many of these its upstream broke off. */
-struct play {
+/* A simulated owner, and how many requests its upstream failed. One request in
+ * three must not run twice. */
+struct simulation {
 	struct breaker breaker;
 	unsigned int begun;
-	unsigned int lost; /* of those that may not run twice */
+	unsigned int lost; /* of those that must not run twice */
 	unsigned int turned_back;
 };
 
-static void offer(struct play *play, bool idempotent, bool may_turn_back,
-		  bool is_answer, int64_t now_us)
+static void offer(struct simulation *simulation, bool idempotent,
+		  bool may_turn_back, bool is_answer, int64_t now_us)
 {
-	if (breaker_turns_back(&play->breaker, may_turn_back, idempotent, now_us)) {
-		play->turned_back++;
+	if (breaker_turns_back(&simulation->breaker, may_turn_back, idempotent,
+			       now_us)) {
+		simulation->turned_back++;
 		return;
 	}
-	play->begun++;
-	play->lost += !is_answer && !idempotent;
-	breaker_note(&play->breaker, is_answer);
+	simulation->begun++;
+	simulation->lost += !is_answer && !idempotent;
+	breaker_note_result(&simulation->breaker, is_answer);
 }
 
 /*
- * The health path of an upstream says that all is well, and it resets each
- * request. Requests that may not run twice end as unknown there: the caller
- * is told neither that the booking was made nor that it was not. With 30
- * requests a second for six seconds 60 such callers would be left so.
+ * The health check of an upstream succeeds, but it resets every request. A
+ * request that must not run twice then ends with an unknown outcome: the caller
+ * does not learn whether the booking was made. At 30 requests a second for six
+ * seconds 60 callers would be affected.
  */
 static void test_reset_upstream_loses_few(void)
 {
-	struct play play = {.lost = 0};
+	struct simulation simulation = {.lost = 0};
 
 	for (int i = 0; i < 180; i++)
-		offer(&play, i % 3 != 0, true, false, i * 33 * MS);
-	g_assert_cmpuint(play.lost, <=, BREAKER_STREAK);
-	g_assert_cmpuint(play.turned_back, >, 100);
+		offer(&simulation, i % 3 != 0, true, false, i * 33 * MS);
+	g_assert_cmpuint(simulation.lost, <=, BREAKER_FAILURES);
+	g_assert_cmpuint(simulation.turned_back, >, 100);
 }
 
-/* Well again, it gets its share back within a fifth of a second or so. */
+/* Guards against a recovered upstream that gets no requests: its breaker closes
+ * within about a fifth of a second. */
 static void test_closes_after_good_answers(void)
 {
-	struct play play = {.lost = 0};
+	struct simulation simulation = {.lost = 0};
 	int64_t now = 0;
 
-	for (int i = 0; i < BREAKER_STREAK; i++)
-		offer(&play, true, true, false, now += 33 * MS);
-	g_assert_true(play.breaker.is_open);
+	for (int i = 0; i < BREAKER_FAILURES; i++)
+		offer(&simulation, true, true, false, now += 33 * MS);
+	g_assert_true(simulation.breaker.is_open);
 	for (int i = 0; i < 10; i++)
-		offer(&play, true, true, true, now += 33 * MS);
-	g_assert_false(play.breaker.is_open);
+		offer(&simulation, true, true, true, now += 33 * MS);
+	g_assert_false(simulation.breaker.is_open);
 }
 
 /*
- * A network that loses one answer in twenty. Were such an upstream closed off,
- * and its likes with it, the rest would be overrun for little.
+ * Guards against a breaker that opens on a network that loses one answer in
+ * twenty. If it took such an upstream and others like it out of use, the
+ * remaining ones would be overloaded for little gain.
  */
-static void test_some_losses_are_borne(void)
+static void test_few_losses_keep_breaker_closed(void)
 {
 	struct random_state random = {.state = 5};
-	struct play play = {.lost = 0};
+	struct simulation simulation = {.lost = 0};
 
 	for (int i = 0; i < 100000; i++)
-		offer(&play, true, true, random_unit(&random) >= 0.05, i * MS);
-	g_assert_cmpuint(play.turned_back, ==, 0);
+		offer(&simulation, true, true, random_unit(&random) >= 0.05,
+		      i * MS);
+	g_assert_cmpuint(simulation.turned_back, ==, 0);
 }
 
 /*
- * All upstreams of the group reset what they get. A request that has been
- * turned back everywhere is begun where it returns to: a poor chance is better
+ * All upstreams of the group reset every request. A request that all others
+ * have turned back is started where it returns to: a small chance is better
  * than none, and its caller decides about another try.
  */
-static void test_last_resort_is_begun(void)
+static void test_last_resort_is_started(void)
 {
-	struct play play = {.lost = 0};
+	struct simulation simulation = {.lost = 0};
 
 	for (int i = 0; i < 20; i++)
-		offer(&play, true, false, false, i * MS);
-	g_assert_true(play.breaker.is_open);
-	g_assert_cmpuint(play.begun, ==, 20);
+		offer(&simulation, true, false, false, i * MS);
+	g_assert_true(simulation.breaker.is_open);
+	g_assert_cmpuint(simulation.begun, ==, 20);
 }
 
 int main(int argc, char **argv)
@@ -90,7 +94,8 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/breaker/reset", test_reset_upstream_loses_few);
 	g_test_add_func("/breaker/closes", test_closes_after_good_answers);
-	g_test_add_func("/breaker/some-losses", test_some_losses_are_borne);
-	g_test_add_func("/breaker/last-resort", test_last_resort_is_begun);
+	g_test_add_func("/breaker/some-losses",
+			test_few_losses_keep_breaker_closed);
+	g_test_add_func("/breaker/last-resort", test_last_resort_is_started);
 	return g_test_run();
 }
--- a/tests/test_deadline.c
+++ b/tests/test_deadline.c
@@ -4,8 +4,8 @@
 #include "common/clock.h"
 
 /*
- * Hosts' clocks differ by any amount, and a call goes 13 deep. Seen by a clock
- * that stands above all, no hop ends later than the one before it.
+ * The clocks of hosts differ by any amount, and calls are nested 13 deep. By a
+ * global clock no hop ends later than the one before it.
  */
 static void test_no_hop_extends_a_deadline(void)
 {
@@ -19,12 +19,12 @@
 			int64_t at_us = deadline_at(
 				sent_us, g_test_rand_int_range(0, 20000),
 				true_us + skew_us);
-			int64_t path_us = g_test_rand_int_range(-10, 5000);
+			int64_t rtt_us = g_test_rand_int_range(-10, 5000);
 
 			g_assert_cmpint(at_us - skew_us, <=, ends_us);
 			ends_us = at_us - skew_us;
 			true_us += g_test_rand_int_range(0, US_PER_S);
-			sent_us = deadline_for_hop_us(at_us, path_us,
+			sent_us = deadline_for_hop_us(at_us, rtt_us,
 						      true_us + skew_us);
 			g_assert_cmpint(sent_us, >=, 0);
 			g_assert_cmpint(true_us + sent_us, <=,
@@ -34,7 +34,7 @@
 	}
 }
 
-/* With no time spent, 13 hops keep two thirds; each one keeps a little back. */
+/* If no time is spent, 13 hops leave two thirds; each one keeps a share. */
 static void test_time_left_after_13_hops(void)
 {
 	int64_t remaining_us = 10 * US_PER_S;
@@ -46,8 +46,9 @@
 }
 
 /*
- * A service at the bottom of 13 fails, and each layer tries up to three times.
- * Unchecked, one call becomes 3^13 at the bottom; it may become six.
+ * A service at the bottom of 13 layers fails, and each layer tries up to three
+ * times. Without a reduction by depth one call becomes 3^13 at the bottom; it
+ * may become six.
  */
 static void test_retries_do_not_multiply(void)
 {
@@ -80,50 +81,51 @@
 }
 
 /*
- * A daemon was paused for some seconds, and its refusals of "busy" came after
- * that. Taken for the way there and back they would leave no time to any call
- * to its upstream: each is refused as late, so nothing corrects the estimate,
- * and callers are told "not run" by a service that is idle.
+ * A daemon paused for some seconds, and its "busy" refusals arrived after the
+ * pause. If they counted as round-trip times, no call to its upstream would
+ * have any time left. Each call would be refused as late, nothing would correct
+ * the estimate, and callers would get "not run" from an idle service.
  */
-static void test_a_pause_is_no_path(void)
+static void test_pause_is_not_counted_as_round_trip(void)
 {
-	struct deadline_path path = {0};
+	struct deadline_rtt rtt = {0};
 	int64_t all_us = 2 * US_PER_S;
 
 	for (int i = 0; i < 20; i++)
-		deadline_path_note(&path, 2500 * US_PER_MS);
-	g_assert_cmpint(deadline_path_us(&path), ==, DEADLINE_PATH_DEFAULT_US);
+		deadline_rtt_note(&rtt, 2500 * US_PER_MS);
+	g_assert_cmpint(deadline_rtt_us(&rtt), ==, DEADLINE_RTT_DEFAULT_US);
 	for (int i = 0; i < 20; i++)
-		deadline_path_note(&path, DEADLINE_PATH_MAX_US * (i % 2));
-	g_assert_cmpint(deadline_for_hop_us(all_us, deadline_path_us(&path), 0),
+		deadline_rtt_note(&rtt, DEADLINE_RTT_MAX_US * (i % 2));
+	g_assert_cmpint(deadline_for_hop_us(all_us, deadline_rtt_us(&rtt), 0),
 			>, all_us / 2);
-	g_assert_cmpint(deadline_for_hop_us(100, deadline_path_us(&path), 0), >,
+	g_assert_cmpint(deadline_for_hop_us(100, deadline_rtt_us(&rtt), 0), >,
 			50);
 }
 
-/* A path of 1 ms is allowed little more, one that varies its variance. */
-static void test_path_follows_round_trips(void)
+/* Little more than 1 ms is set aside for a steady round trip of 1 ms; a varying
+ * one adds its deviation. */
+static void test_rtt_follows_round_trips(void)
 {
-	struct deadline_path path = {0};
+	struct deadline_rtt rtt = {0};
 
-	g_assert_cmpint(deadline_path_us(&path), ==, DEADLINE_PATH_DEFAULT_US);
+	g_assert_cmpint(deadline_rtt_us(&rtt), ==, DEADLINE_RTT_DEFAULT_US);
 	for (int i = 0; i < 100; i++)
-		deadline_path_note(&path, 1000);
-	g_assert_cmpint(deadline_path_us(&path), <=, 1020);
+		deadline_rtt_note(&rtt, 1000);
+	g_assert_cmpint(deadline_rtt_us(&rtt), <=, 1020);
 	for (int i = 0; i < 100; i++)
-		deadline_path_note(&path, i % 2 ? 1000 : 3000);
-	g_assert_cmpint(deadline_path_us(&path), >, 3000);
+		deadline_rtt_note(&rtt, i % 2 ? 1000 : 3000);
+	g_assert_cmpint(deadline_rtt_us(&rtt), >, 3000);
 }
 
 /*
- * Under overload a call has waited for half of its time and has just been
- * started when its entry grows impatient. Broken off now, its slot time would
- * be lost and its caller told that nobody knows; one that an upstream has sat
- * on from the start is given up while another can still answer.
+ * Under overload a call has waited for half of its time and has just started
+ * when its entry's attempt timeout expires. Aborted now, its slot time would be
+ * lost and its outcome unknown. An attempt that an upstream has held from the
+ * start is given up while another upstream can still answer.
  */
 static void test_started_late_is_not_overdue(void)
 {
-	g_assert_cmpint(deadline_patience_us(1000, 0), ==, 500);
+	g_assert_cmpint(deadline_attempt_timeout_us(1000, 0), ==, 500);
 	g_assert_false(deadline_is_overdue(480, 1000, 500));
 	g_assert_true(deadline_is_overdue(0, 1000, 500));
 	g_assert_true(deadline_is_overdue(999, 1000, 1000));
@@ -131,37 +133,40 @@
 }
 
 /*
- * An upstream stops in the middle of a long answer and resets nothing. Its caller
- * would wait for ever; one whose answer goes on for longer than its deadline gets
- * the whole of it.
+ * An upstream stops in the middle of a long answer and resets nothing. Without
+ * an idle timeout its caller would wait forever. An answer that makes progress
+ * beyond its deadline is delivered completely.
  */
-static void test_begun_answer_must_go_on(void)
+static void test_stalled_answer_is_aborted(void)
 {
 	int64_t deadline_us = 1000;
-	int64_t heard_us = deadline_us + 5 * DEADLINE_SILENCE_US;
-	int64_t due_us = heard_us + DEADLINE_SILENCE_US;
+	int64_t last_data_us = deadline_us + 5 * DEADLINE_IDLE_US;
+	int64_t due_us = last_data_us + DEADLINE_IDLE_US;
 
-	g_assert_cmpint(deadline_silence_left_us(deadline_us, heard_us, heard_us),
-			==, DEADLINE_SILENCE_US);
 	g_assert_cmpint(
-		deadline_silence_left_us(deadline_us, heard_us, due_us - 1), >,
+		deadline_idle_left_us(deadline_us, last_data_us, last_data_us),
+		==, DEADLINE_IDLE_US);
+	g_assert_cmpint(
+		deadline_idle_left_us(deadline_us, last_data_us, due_us - 1), >,
 		0);
-	g_assert_cmpint(deadline_silence_left_us(deadline_us, heard_us, due_us),
+	g_assert_cmpint(deadline_idle_left_us(deadline_us, last_data_us, due_us),
 			<=, 0);
-	g_assert_cmpint(deadline_silence_left_us(2 * due_us, heard_us, due_us),
+	g_assert_cmpint(deadline_idle_left_us(2 * due_us, last_data_us, due_us),
 			==, due_us);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/deadline/pause", test_a_pause_is_no_path);
+	g_test_add_func("/deadline/pause-is-not-a-round-trip",
+			test_pause_is_not_counted_as_round_trip);
 	g_test_add_func("/deadline/hops", test_no_hop_extends_a_deadline);
 	g_test_add_func("/deadline/depth", test_time_left_after_13_hops);
 	g_test_add_func("/deadline/retries", test_retries_do_not_multiply);
 	g_test_add_func("/deadline/late", test_late_work_is_not_started);
-	g_test_add_func("/deadline/path", test_path_follows_round_trips);
+	g_test_add_func("/deadline/rtt", test_rtt_follows_round_trips);
 	g_test_add_func("/deadline/overdue", test_started_late_is_not_overdue);
-	g_test_add_func("/deadline/silence", test_begun_answer_must_go_on);
+	g_test_add_func("/deadline/stalled-answer",
+			test_stalled_answer_is_aborted);
 	return g_test_run();
 }
--- a/tests/test_health.c
+++ b/tests/test_health.c
@@ -60,8 +60,8 @@
 }
 
 /*
- * A service behind all upstreams is down, and all answer with errors. To eject
- * them one after the other would only crowd those that are left.
+ * A service behind all upstreams is down, and all of them answer with errors.
+ * Ejecting one after the other would only overload the remaining ones.
  */
 static void test_common_fault_ejects_few(void)
 {
@@ -76,9 +76,9 @@
 }
 
 /*
- * A host freezes: its connections stand, and nothing comes back. Each call sent
- * there is lost to its caller, and no error ever counts against it before the
- * deadlines run out.
+ * A host freezes: its connections stay open, and nothing comes back. Each call
+ * sent there is lost, and no error counts against the upstream before the
+ * deadlines expire.
  */
 static void test_black_hole_is_ejected(void)
 {
@@ -94,11 +94,12 @@
 }
 
 /*
- * An upstream comes back and fails again. Each return takes one call at a time
- * and each failure keeps it away for longer, so that a flapping upstream costs
- * fewer and fewer callers an error. A late end of an older call is no trial.
+ * An upstream recovers and fails again. Each recovery lets one call through at
+ * a time, and each failure ejects it for longer, so that a flapping upstream
+ * fails fewer and fewer calls. A late result of an older call does not count as
+ * a trial.
  */
-static void test_flapping_costs_less_and_less(void)
+static void test_flapping_upstream_is_ejected_for_longer(void)
 {
 	struct fixture f;
 	struct health_upstream *u = &f.upstreams[0];
@@ -108,13 +109,13 @@
 
 	set_up(&f, &health_outlier);
 	old = health_note_sent(&f.health, u, now);
-	for (int i = 0; i < HEALTH_STREAK; i++)
+	for (int i = 0; i < HEALTH_ERRORS_IN_A_ROW; i++)
 		call(&f, 0, HEALTH_LOST, now);
 	for (int i = 0; i < 5; i++) {
 		g_assert_cmpint(u->state, ==, HEALTH_EJECTED);
-		g_assert_cmpint(u->until_us - now, >, away);
-		away = u->until_us - now;
-		now = u->until_us;
+		g_assert_cmpint(u->ejected_until_us - now, >, away);
+		away = u->ejected_until_us - now;
+		now = u->ejected_until_us;
 		health_tick(&f.health, now);
 		health_note_ended(&f.health, u, old, HEALTH_TIMEOUT, now);
 		g_assert_true(health_is_usable(u));
@@ -122,14 +123,14 @@
 		g_assert_false(health_is_usable(u));
 		health_note_ended(&f.health, u, old, HEALTH_LOST, now);
 	}
-	now = u->until_us;
+	now = u->ejected_until_us;
 	health_tick(&f.health, now);
 	for (int i = 0; i < HEALTH_TRIALS; i++)
 		call(&f, 0, HEALTH_OK, now);
 	g_assert_cmpint(u->state, ==, HEALTH_CLOSED);
 }
 
-static void do_anything(struct fixture *f, size_t i, int64_t now)
+static void apply_random_event(struct fixture *f, size_t i, int64_t now)
 {
 	struct health_upstream *u = &f->upstreams[i];
 
@@ -153,9 +154,9 @@
 }
 
 /*
- * Whatever ends how, drains, leaves or returns: while an upstream is available
- * one is in use, or all callers would be refused although it stands ready. And
- * no event ejects one more once the ceiling is reached.
+ * Whatever the outcomes, drains, removals and returns: while an upstream is
+ * available, one is in use, or all callers would be refused although it is
+ * ready. No event ejects an upstream once the maximum share is reached.
  */
 static void test_never_ejects_the_last(void)
 {
@@ -170,23 +171,24 @@
 		size_t out, all;
 
 		now += g_test_rand_int_range(0, 200) * MS;
-		do_anything(&f, u, now);
+		apply_random_event(&f, u, now);
 		out = count_state(&f, HEALTH_EJECTED) +
 		      count_state(&f, HEALTH_HALF_OPEN);
 		all = out + count_state(&f, HEALTH_CLOSED);
 		if (all > 0)
 			g_assert_cmpuint(all - out, >, 0);
 		if (all - out < open && f.upstreams[u].available && available)
-			g_assert_cmpfloat(out, <=, MAX(1, HEALTH_CEILING * all));
+			g_assert_cmpfloat(
+				out, <=, MAX(1, HEALTH_EJECTED_SHARE_MAX * all));
 	}
 }
 
 /*
- * Half of the hosts lose their network. A fifth of all calls is sent to each of
- * them, to be lost at its deadline: the ceiling, made for common faults, would
- * keep most of them in use although the others answer.
+ * Half of the hosts lose their network. A fifth of all calls goes to each of
+ * them and is lost at its deadline. The maximum share, which exists for common
+ * faults, would keep most of these hosts in use although the others answer.
  */
-static void test_mute_beyond_the_ceiling(void)
+static void test_mute_are_ejected_beyond_the_ceiling(void)
 {
 	struct fixture f;
 
@@ -194,7 +196,7 @@
 	for (size_t u = 0; u < UPSTREAMS; u++)
 		health_note_sent(&f.health, &f.upstreams[u], 0);
 	for (size_t u = 0; u < 4; u++) {
-		for (int i = 0; i < HEALTH_MUTE_ASKED; i++)
+		for (int i = 0; i < HEALTH_MUTE_QUESTIONS; i++)
 			health_note_mute(&f.health, &f.upstreams[u], 250 * MS);
 		g_assert_true(health_is_usable(&f.upstreams[u]));
 	}
@@ -206,8 +208,8 @@
 }
 
 /*
- * A slow upstream keeps a call for seconds, and its owner says so each time it
- * is asked. It must stay in use: its answer comes.
+ * A slow upstream takes seconds for a call, and its owner says so each time it
+ * is asked. The upstream must stay in use, since its answer comes.
  */
 static void test_slow_is_not_mute(void)
 {
@@ -224,12 +226,12 @@
 }
 
 /*
- * This host itself is cut off. Its callers would each wait for their whole
- * deadline, to hear that nobody knows what became of their call, while other
- * daemons could serve them. They are refused at once instead, but for a trial
- * now and then, and with the first sign of life all go through again.
+ * This host itself is cut off. Its callers would each wait until their
+ * deadlines and then get an unknown outcome, while other daemons could serve
+ * them. They are refused at once instead, except for occasional trials. With
+ * the first sign of life all calls go through again.
  */
-static void test_all_mute(void)
+static void test_all_mute_allows_trials_only(void)
 {
 	int64_t now = SECOND;
 	struct fixture f;
@@ -239,7 +241,7 @@
 	for (size_t u = 0; u < UPSTREAMS; u++) {
 		health_note_sent(&f.health, &f.upstreams[u], 0);
 		g_assert_true(health_may_try(&f.health, false, now));
-		for (int i = 0; i < HEALTH_MUTE_ASKED; i++)
+		for (int i = 0; i < HEALTH_MUTE_QUESTIONS; i++)
 			health_note_mute(&f.health, &f.upstreams[u], now);
 	}
 	for (int i = 0; i < 1000; i++)
@@ -260,10 +262,12 @@
 	g_test_add_func("/health/fail-fast", test_failing_upstream_is_ejected);
 	g_test_add_func("/health/common", test_common_fault_ejects_few);
 	g_test_add_func("/health/black-hole", test_black_hole_is_ejected);
-	g_test_add_func("/health/flapping", test_flapping_costs_less_and_less);
-	g_test_add_func("/health/mute", test_mute_beyond_the_ceiling);
+	g_test_add_func("/health/flapping",
+			test_flapping_upstream_is_ejected_for_longer);
+	g_test_add_func("/health/mute-beyond-share",
+			test_mute_are_ejected_beyond_the_ceiling);
 	g_test_add_func("/health/slow", test_slow_is_not_mute);
-	g_test_add_func("/health/all-mute", test_all_mute);
+	g_test_add_func("/health/all-mute", test_all_mute_allows_trials_only);
 	g_test_add_func("/health/last", test_never_ejects_the_last);
 	return g_test_run();
 }
--- a/tests/test_hedge.c
+++ b/tests/test_hedge.c
@@ -4,14 +4,14 @@
 
 #define MS ((int64_t)1000)
 
-static const struct hedge_question good = {
+static const struct hedge_context valid = {
 	.enabled = true,
 	.idempotent = true,
 	.untried = 1,
 	.deadline_us = 1000 * MS,
 };
 
-/* Ninety calls of 5 ms and ten of 100 ms in each hundred. */
+/* Of each hundred calls ninety take 5 ms and ten take 100 ms. */
 static void set_up(struct hedge *hedge, uint32_t percent)
 {
 	hedge_init(hedge, percent);
@@ -20,8 +20,8 @@
 }
 
 /*
- * One lookup of ten meets a pause of 100 ms. The hedge goes out once the call
- * takes longer than nineteen of twenty do, so not for the common ones.
+ * One lookup in ten meets a pause of 100 ms. The hedge is sent once the call
+ * takes longer than nineteen of twenty calls, so not for common calls.
  */
 static void test_waits_for_the_percentile(void)
 {
@@ -29,12 +29,12 @@
 	int64_t delay;
 
 	set_up(&hedge, 10);
-	delay = hedge_delay_us(&hedge, &good, 0);
+	delay = hedge_delay_us(&hedge, &valid, 0);
 	g_assert_cmpint(delay, >=, 100 * MS);
 	g_assert_cmpint(delay, <=, 110 * MS);
 }
 
-/* A service that has just started knows no percentile: a guess that is too low
+/* A service that has just started knows no percentile. A guess that is too low
  * would double its load. */
 static void test_no_hedge_without_samples(void)
 {
@@ -42,22 +42,22 @@
 
 	hedge_init(&hedge, 10);
 	hedge_note_latency(&hedge, 5 * MS);
-	g_assert_cmpint(hedge_delay_us(&hedge, &good, 0), ==, -1);
+	g_assert_cmpint(hedge_delay_us(&hedge, &valid, 0), ==, -1);
 }
 
 /*
- * Whatever is asked: a booking is never sent twice, no hedge starts that can't
- * end in time or has no other upstream, and the hedges stay within their
- * budget from the start on.
+ * For any input: a request that is not idempotent is never sent twice, no hedge
+ * is sent that cannot end in time or has no untried upstream, and the hedges
+ * stay within their budget from the start.
  */
-static void test_rules_hold_for_any_question(void)
+static void test_rules_hold_for_any_input(void)
 {
 	struct hedge hedge;
 	double spent = 0;
 
 	set_up(&hedge, 5);
 	for (int i = 0; i < 20000; i++) {
-		struct hedge_question q = {
+		struct hedge_context q = {
 			.enabled = g_test_rand_bit(),
 			.idempotent = g_test_rand_bit(),
 			.answer_begun = g_test_rand_int_range(0, 5) == 0,
@@ -88,7 +88,7 @@
 
 	for (int i = 0; i < calls; i++) {
 		hedge_note_request(hedge);
-		if (!hedge_take(hedge, &good, 0))
+		if (!hedge_take(hedge, &valid, 0))
 			continue;
 		hedges++;
 		hedge_note_race(hedge, won);
@@ -97,23 +97,23 @@
 }
 
 /*
- * The late calls of a service are late because there is much to do for them. A
- * second attempt does it all again and is later still; it takes a slot that
- * somebody waits for, and nobody gets an answer sooner.
+ * The slow calls of a service are slow because their work is long. A hedge does
+ * all the work again and ends even later; it takes a slot that somebody waits
+ * for, and nobody gets an answer sooner.
  */
 static void test_losing_hedges_are_few(void)
 {
 	struct hedge losing;
 	struct hedge winning;
-	int few;
+	int losing_count;
 
 	set_up(&losing, 10);
 	set_up(&winning, 10);
-	few = count_hedges(&losing, 10000, false);
-	g_assert_cmpint(few, >, 100);
-	g_assert_cmpint(few, <, 300);
+	losing_count = count_hedges(&losing, 10000, false);
+	g_assert_cmpint(losing_count, >, 100);
+	g_assert_cmpint(losing_count, <, 300);
 	g_assert_cmpint(count_hedges(&winning, 10000, true), >, 900);
-	/* The upstreams change; what wins again is found out. */
+	/* The upstreams change, and hedges that win again are detected. */
 	count_hedges(&losing, 1000, true);
 	g_assert_cmpint(count_hedges(&losing, 10000, true), >, 900);
 }
@@ -123,7 +123,7 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/hedge/percentile", test_waits_for_the_percentile);
 	g_test_add_func("/hedge/samples", test_no_hedge_without_samples);
-	g_test_add_func("/hedge/any", test_rules_hold_for_any_question);
+	g_test_add_func("/hedge/any", test_rules_hold_for_any_input);
 	g_test_add_func("/hedge/losing", test_losing_hedges_are_few);
 	return g_test_run();
 }
--- a/tests/test_knee.c
+++ b/tests/test_knee.c
@@ -7,10 +7,10 @@
 #define S ((int64_t)1000 * 1000)
 #define USUAL_US 210000
 
-/* Requests of an upstream that slows by a factor beyond four fifths; their
- * times spread by a third. */
-static void play(struct knee *knee, struct random_state *random, double factor,
-		 unsigned int count, int64_t *now_us)
+/* Feeds requests of an upstream that slows down by a factor above four fifths
+ * of its slots; their times vary by a third. */
+static void feed_requests(struct knee *knee, struct random_state *random,
+			  double factor, unsigned int count, int64_t *now_us)
 {
 	for (unsigned int i = 0; i < count; i++) {
 		uint32_t busy = 1 + (uint32_t)random_below(random, SLOTS);
@@ -26,8 +26,8 @@
 
 /*
  * An upstream's requests take 1.7 times as long once eight of its nine slots
- * are taken. Filled up in a rush it does less than with seven, and callers
- * wait longer for it.
+ * are busy. Full, it completes fewer requests than with seven busy slots, and
+ * callers wait longer for them.
  */
 static void test_full_upstream_that_slows_keeps_slots_free(void)
 {
@@ -37,12 +37,12 @@
 		int64_t now_us = S;
 
 		g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, SLOTS);
-		play(&knee, &random, 1.7, 400, &now_us);
+		feed_requests(&knee, &random, 1.7, 400, &now_us);
 		g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, 7);
 	}
 }
 
-/* One that does not slow loses none of its slots to chance. */
+/* An upstream that does not slow down loses no slots to noise. */
 static void test_steady_upstream_keeps_all(void)
 {
 	for (uint64_t seed = 1; seed <= 50; seed++) {
@@ -51,20 +51,20 @@
 		int64_t now_us = S;
 
 		for (int round = 0; round < 20; round++) {
-			play(&knee, &random, 1.0, 50, &now_us);
+			feed_requests(&knee, &random, 1.0, 50, &now_us);
 			g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, SLOTS);
 		}
 	}
 }
 
 /*
- * A rush fills an upstream that was nearly idle, and fills it for seconds: its
- * lookups take 1.7 times as long, and soon that is the usual time there. Compared
- * with the usual time of the moment they would pass for hardly slower than before,
- * all slots would stay in use, and callers would wait 170 ms in place of 100 for an
- * upstream that does less.
+ * A rush fills an upstream that was nearly idle and keeps it full for seconds.
+ * Its lookups take 1.7 times as long, and soon that is the typical time there.
+ * Compared with the current typical time they would look hardly slower than
+ * before, all slots would stay in use, and callers would wait 170 ms instead of
+ * 100 ms for an upstream that completes fewer requests.
  */
-static void test_rush_does_not_hide_it(void)
+static void test_rush_does_not_hide_slowdown(void)
 {
 	struct random_state random = {.state = 5};
 	struct knee knee = {0};
@@ -86,11 +86,12 @@
 }
 
 /*
- * At night an upstream answers checks of 20 ms, in the rush of the day bundles of
- * 200 ms. That these take ten times as long says nothing of how full it is; with
- * slots left free for it, callers would be refused beside them.
+ * An upstream answers checks of 20 ms at night and bundles of 200 ms during the
+ * daytime rush. That the bundles take ten times as long says nothing about how
+ * full it is. If slots were left free because of it, callers would be refused
+ * although slots are free.
  */
-static void test_other_work_is_no_slowness(void)
+static void test_different_classes_are_not_compared(void)
 {
 	struct random_state random = {.state = 6};
 	struct knee knee = {0};
@@ -111,17 +112,17 @@
 	g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, SLOTS);
 }
 
-/* What was found holds while it is seen, and is tried again after a while: the
- * upstream may have been mended. */
-static void test_finding_fades(void)
+/* A result holds while samples confirm it and is checked again after a while,
+ * as the upstream may have been repaired. */
+static void test_finding_decays(void)
 {
 	struct random_state random = {.state = 7};
 	struct knee knee = {0};
 	int64_t now_us = S;
 
-	play(&knee, &random, 1.7, 400, &now_us);
+	feed_requests(&knee, &random, 1.7, 400, &now_us);
 	g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, 7);
-	now_us += 10 * KNEE_HALF_US;
+	now_us += 10 * KNEE_HALF_LIFE_US;
 	knee_note(&knee, CONFIG_CLASS_NORMAL, 1, SLOTS, USUAL_US, now_us);
 	g_assert_cmpuint(knee_slots(&knee, SLOTS), ==, SLOTS);
 }
@@ -132,14 +133,15 @@
 	struct knee knee = {0};
 	int64_t now_us = S;
 
-	play(&knee, &random, 1.7, 400, &now_us);
+	feed_requests(&knee, &random, 1.7, 400, &now_us);
 	g_assert_cmpuint(knee_slots(&knee, 1), ==, 1);
 	g_assert_cmpuint(knee_slots(&knee, 2), ==, 1);
 }
 
-/* Requests done in so many seconds by an upstream that starts under more work
- * than it can do: as soon as one ends, the next begins. */
-static unsigned int done_under_overload(double factor, int64_t seconds)
+/* Returns how many requests an upstream completes in the given time if it
+ * starts under more load than it can handle: a request starts as soon as one
+ * ends. */
+static unsigned int count_done_under_overload(double factor, int64_t seconds)
 {
 	struct random_state random = {.state = 11};
 	int64_t ends_us[SLOTS] = {0};
@@ -173,24 +175,25 @@
 }
 
 /*
- * All hosts have lost their power and come back at once, to callers who have
- * been waiting. Each upstream is full from its first moment and slower for it,
- * so the rush lasts; as it is never less than full, nothing shows that it would
- * do more with two slots left free. Of 33 requests a second that it can do it
- * does 24, and callers are refused for ten seconds more.
+ * All hosts have lost their power and restart at once, with callers already
+ * waiting. Each upstream is full from the start and slow because of it, so the
+ * rush lasts. As it is never less than full, nothing shows that two free slots
+ * would make it faster. It completes 24 requests a second instead of the
+ * possible 33, and callers are refused for ten more seconds.
  */
-static void test_never_less_than_full(void)
+static void test_overload_from_the_start_is_explored(void)
 {
-	unsigned int done = done_under_overload(1.7, 10);
+	unsigned int done = count_done_under_overload(1.7, 10);
 
 	g_test_message("%u done in 10 s", done);
 	g_assert_cmpuint(done, >=, 310);
 }
 
-/* Finding out costs an upstream that does not slow hardly anything. */
-static void test_looking_costs_little(void)
+/* The exploration costs hardly anything at an upstream that does not slow
+ * down. */
+static void test_exploring_costs_little(void)
 {
-	unsigned int done = done_under_overload(1.0, 120);
+	unsigned int done = count_done_under_overload(1.0, 120);
 
 	g_test_message("%u done in 120 s", done);
 	g_assert_cmpuint(done, >=, 120 * SLOTS / 0.21 * 0.98);
@@ -202,11 +205,13 @@
 	g_test_add_func("/knee/slows",
 			test_full_upstream_that_slows_keeps_slots_free);
 	g_test_add_func("/knee/steady", test_steady_upstream_keeps_all);
-	g_test_add_func("/knee/rush", test_rush_does_not_hide_it);
-	g_test_add_func("/knee/other-work", test_other_work_is_no_slowness);
-	g_test_add_func("/knee/fades", test_finding_fades);
-	g_test_add_func("/knee/never-less-than-full", test_never_less_than_full);
-	g_test_add_func("/knee/looking", test_looking_costs_little);
+	g_test_add_func("/knee/rush", test_rush_does_not_hide_slowdown);
+	g_test_add_func("/knee/different-classes",
+			test_different_classes_are_not_compared);
+	g_test_add_func("/knee/decays", test_finding_decays);
+	g_test_add_func("/knee/overload-from-start",
+			test_overload_from_the_start_is_explored);
+	g_test_add_func("/knee/exploring-cost", test_exploring_costs_little);
 	g_test_add_func("/knee/few-slots", test_few_slots);
 	return g_test_run();
 }
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -3,44 +3,47 @@
 
 #include "queue_owner.h"
 
-#define FULL 512 /* the bound of the queue that is filled */
+#define FULL 512 /* bound of the queue under test */
 
 /*
- * For a quarter of an hour twice as many lookups come as can be answered. In
- * a plain queue each reaches its slot after its caller has given up, and
- * nobody is served. Half of them can be, and the others are told at once.
+ * Twice as many lookups as can be answered arrive for a quarter of an hour. In
+ * a plain queue each one reaches its slot after its caller has given up, and
+ * nobody is served. Half of them can be served, and the others are refused at
+ * once.
  */
 static void test_overload_serves_what_it_can(void)
 {
 	struct owner *plain = owner_create(&queue_fifo, false);
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 
-	owner_plan(plain, 2, 10 * MS, 100 * MS);
-	owner_play(plain, "overload");
-	owner_plan(owner, 2, 10 * MS, 100 * MS);
-	owner_play(owner, "overload");
+	owner_generate_calls(plain, 2, 10 * MS, 100 * MS);
+	owner_simulate(plain, "overload");
+	owner_generate_calls(owner, 2, 10 * MS, 100 * MS);
+	owner_simulate(owner, "overload");
 	g_assert_cmpint(owner_in_time(owner), >, CALLS * 45 / 100);
 	g_assert_cmpint(owner_in_time(owner), >, 10 * owner_in_time(plain));
 	g_assert_cmpint(owner->late[0], <, CALLS / 50);
-	g_assert_cmpint(owner->slowest_refusal_us, <=, 0);
+	g_assert_cmpint(owner->latest_refusal_us, <=, 0);
 	owner_destroy(plain);
 	owner_destroy(owner);
 }
 
-/* RETURN VALUE: calls answered within their target, at 1.3 times what the slots
- * can do for a while, then less; targets are told to the queue or not. */
-static int play_targets(bool told)
+/* RETURN VALUE: the calls answered within their target, at 1.3 times the
+ * capacity of the slots for a while, then less. knows_targets: the queue knows
+ * the targets. */
+static int simulate_targets(bool knows_targets)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 	int in_target = 0;
 
-	owner_plan(owner, 1.3, 60 * MS, 500 * MS);
+	owner_generate_calls(owner, 1.3, 60 * MS, 500 * MS);
 	for (int i = 0; i < CALLS; i++) {
 		struct call *call = &owner->calls[i];
 
 		call->service_us =
 			(int64_t)((0.7 + 0.6 * g_test_rand_double()) * 60 * MS);
-		call->item.target_us = told ? call->arrives_us + 200 * MS : 0;
+		call->item.target_us =
+			knows_targets ? call->arrives_us + 200 * MS : 0;
 	}
 	for (int i = 0; i < CALLS; i++)
 		owner_receive(owner, &owner->calls[i]);
@@ -54,15 +57,15 @@
 }
 
 /*
- * A little more comes than can be answered. Each caller waits nearly up to its
- * deadline, and each listing comes after the time at which it was of use. Those
- * that can still have it in time go first: some are late or refused, and most
- * are not.
+ * Slightly more lookups arrive than can be answered. Without targets each
+ * caller waits nearly until its deadline, and each answer comes too late to be
+ * useful. If requests that can still meet their target go first, some are late
+ * or refused and most are on time.
  */
 static void test_targets_go_first(void)
 {
-	int without = play_targets(false);
-	int with = play_targets(true);
+	int without = simulate_targets(false);
+	int with = simulate_targets(true);
 
 	g_test_message("in target: %d without, %d with, of %d", without, with,
 		       CALLS);
@@ -70,13 +73,13 @@
 	g_assert_cmpint(with, >, CALLS / 2);
 }
 
-/* RETURN VALUE: the longest that a call waited to be refused, at twice what the
- * slots can do, with a target of 200 ms and a deadline of 2 s. */
-static int64_t play_refusals(struct owner *owner)
+/* RETURN VALUE: the longest wait of a refused call, at twice the capacity of
+ * the slots, with a target of 200 ms and a deadline of 2 s. */
+static int64_t simulate_refusals(struct owner *owner)
 {
 	int64_t longest_us = 0;
 
-	owner_plan(owner, 2, 60 * MS, 2000 * MS);
+	owner_generate_calls(owner, 2, 60 * MS, 2000 * MS);
 	for (int i = 0; i < CALLS; i++) {
 		struct call *call = &owner->calls[i];
 
@@ -97,18 +100,19 @@
 }
 
 /*
- * Twice as many lookups come as can be answered, from callers who send several at
- * once and would wait for two seconds, but have use for an answer within 200 ms
- * only. Whoever can't have it is told so while the answer could still have been in
- * time; it was held for nearly its two seconds, for nothing, and the answers of the
- * caller's other lookups stood behind that one.
+ * Twice as many lookups as can be answered arrive, from callers that send
+ * several at once and would wait for two seconds, but can use an answer only
+ * within 200 ms. A request that cannot meet its target must be refused while
+ * the answer could still have been on time. Otherwise, it is held for nearly
+ * two seconds for nothing, and the answers to the caller's other lookups wait
+ * behind it.
  */
-static void test_hopeless_is_told_at_once(void)
+static void test_unreachable_target_is_refused_early(void)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
-	int64_t longest_us = play_refusals(owner);
+	int64_t longest_us = simulate_refusals(owner);
 
-	g_test_message("told after %d ms at most, %d answered",
+	g_test_message("refused after %d ms at most, %d answered",
 		       (int)(longest_us / MS), owner_in_time(owner));
 	g_assert_cmpint(longest_us, <, 200 * MS);
 	g_assert_cmpint(owner_in_time(owner), >, CALLS * 45 / 100);
@@ -116,20 +120,21 @@
 }
 
 /*
- * A thousand requests come in the same millisecond, each with a second. All
- * can be served in time, if none is refused because the queue looks long.
+ * A thousand requests arrive in the same millisecond, each with a deadline of
+ * one second. All can be served in time if none is refused because the queue
+ * looks long.
  */
 static void test_burst_is_absorbed(void)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 
-	owner_plan(owner, 0.5, 10 * MS, 1000 * MS);
+	owner_generate_calls(owner, 0.5, 10 * MS, 1000 * MS);
 	for (int i = 10000; i < 11000; i++) {
 		owner->calls[i].arrives_us = owner->calls[10000].arrives_us;
 		owner->calls[i].item.deadline_us =
 			owner->calls[10000].item.deadline_us;
 	}
-	owner_play(owner, "burst");
+	owner_simulate(owner, "burst");
 	g_assert_cmpint(owner_in_time(owner), >, CALLS * 99 / 100);
 	owner_destroy(owner);
 }
@@ -141,13 +146,13 @@
 	return INT64_MAX;
 }
 
-static void play_long_among_short(int in_time[2])
+static void simulate_long_among_short(int in_time[2])
 {
 	struct queue_policy all = queue_by_deadline;
 	struct owner *owner = owner_create(&queue_by_deadline, true);
-	struct owner *hindsight;
+	struct owner *accepting;
 
-	owner_plan(owner, 0.8, 30 * MS, 300 * MS);
+	owner_generate_calls(owner, 0.8, 30 * MS, 300 * MS);
 	for (int i = 0; i < CALLS; i++) {
 		struct call *call = &owner->calls[i];
 
@@ -156,43 +161,44 @@
 		if (call->hot)
 			call->item.deadline_us = call->arrives_us + 10000 * MS;
 	}
-	all.name = "all let in";
+	all.name = "accept all";
 	all.allowed_wait_us = wait_any;
-	hindsight = owner_create(&all, true);
-	memcpy(hindsight->calls, owner->calls, CALLS * sizeof(struct call));
-	owner_play(owner, "long among short (+long)");
-	owner_play(hindsight, "long among short (+long)");
+	accepting = owner_create(&all, true);
+	memcpy(accepting->calls, owner->calls, CALLS * sizeof(struct call));
+	owner_simulate(owner, "long jobs among short ones (+long)");
+	owner_simulate(accepting, "long jobs among short ones (+long)");
 	in_time[0] += owner->in_time[0];
-	in_time[1] += hindsight->in_time[0];
-	owner_destroy(hindsight);
+	in_time[1] += accepting->in_time[0];
+	owner_destroy(accepting);
 	owner_destroy(owner);
 }
 
 /*
- * Nightly bundles take 1 s each and get in among lookups of 5 ms. The short
- * ones must not be refused because the average looks long: nearly as many are
- * answered in time as if all were let in and only the hopeless dropped. That
- * is no policy to run, since under overload half of its answers are late.
+ * Nightly bundles take 1 s each and mix with lookups of 5 ms. The short ones
+ * must not be refused because the mean looks long: nearly as many are answered
+ * in time as if all were accepted and only stale ones dropped. The latter is no
+ * usable policy, since under overload half of its answers are late.
  */
 static void test_short_jobs_among_long_ones(void)
 {
 	int in_time[2] = {0};
 
 	for (int round = 0; round < 4; round++)
-		play_long_among_short(in_time);
+		simulate_long_among_short(in_time);
 	g_assert_cmpint(in_time[0], >, in_time[1] * 97 / 100);
 }
 
 /*
- * One caller in a loop sends twice what the upstream can do, while others send
- * a fifth of it. The others' calls are answered as if it were not there.
+ * One caller in a loop sends twice the capacity of the upstream, while others
+ * send a fifth of it. The others' calls are answered as if that caller did not
+ * exist.
  */
-static void test_hot_caller_bears_the_refusals(void)
+static void test_refusals_hit_the_hot_caller(void)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 	int others = 0;
 
-	owner_plan(owner, 2.2, 10 * MS, 200 * MS);
+	owner_generate_calls(owner, 2.2, 10 * MS, 200 * MS);
 	for (int i = 0; i < CALLS; i++) {
 		struct call *call = &owner->calls[i];
 
@@ -200,17 +206,18 @@
 		call->item.key_hash = call->hot ? 0 : i % 10 + 1;
 		others += !call->hot;
 	}
-	owner_play(owner, "hot caller (+hot)");
+	owner_simulate(owner, "hot caller (+hot)");
 	g_assert_cmpint(owner->in_time[0], >, others * 98 / 100);
 	owner_destroy(owner);
 }
 
 /*
- * After a slow spell the estimate says that every request takes 10 s. Were it
- * believed, all requests of 1 s would be refused, and since none runs the
- * estimate would stay. So it goes also while one bundle takes an hour.
+ * After a slow spell the estimate says that every request takes 10 s. If the
+ * queue trusted it, all requests with a deadline of 1 s would be refused, none
+ * would run, and the estimate would never change. The same holds while one
+ * bundle takes an hour.
  */
-static void test_slow_spell_is_forgotten(void)
+static void test_estimate_recovers_after_slow_spell(void)
 {
 	for (int bundles = 0; bundles < 2; bundles++) {
 		struct owner *owner = owner_create(&queue_by_deadline, true);
@@ -218,39 +225,39 @@
 		for (int i = 0; i < 2000; i++)
 			queue_note_done(&owner->queue, CONFIG_CLASS_INTERACTIVE,
 					10 * US_PER_S);
-		owner_plan(owner, 0.5, 10 * MS, 1000 * MS);
+		owner_generate_calls(owner, 0.5, 10 * MS, 1000 * MS);
 		if (bundles > 0) {
 			owner->calls[0].service_us = 3600 * US_PER_S;
 			owner->calls[0].item.deadline_us = INT64_MAX;
 		}
-		owner_play(owner, "after a slow spell");
+		owner_simulate(owner, "after a slow spell");
 		g_assert_cmpint(owner_in_time(owner), >, CALLS * 95 / 100);
 		owner_destroy(owner);
 	}
 }
 
 /*
- * The same in a quiet hour: a few calls a second, with the host's pause of some
- * seconds just over. While the estimate goes down bit by bit with each call
- * that gets through, most are refused, though all slots are free; a caller sees
- * "not run" from an idle service.
+ * The same at low load: a few calls arrive per second, and the host's pause of
+ * some seconds has just ended. If the estimate falls only a little with each
+ * accepted call, most calls are refused although all slots are free, and
+ * callers get "not run" from an idle service.
  */
-static void test_quiet_hour_after_a_slow_spell(void)
+static void test_estimate_recovers_at_low_load(void)
 {
 	struct owner *owner = owner_create(&queue_by_deadline, true);
 
 	for (int i = 0; i < 50; i++)
 		queue_note_done(&owner->queue, CONFIG_CLASS_INTERACTIVE,
 				10 * US_PER_S);
-	owner_plan(owner, 0.1, 10 * MS, 1000 * MS);
-	owner_play(owner, "quiet, after a slow spell");
+	owner_generate_calls(owner, 0.1, 10 * MS, 1000 * MS);
+	owner_simulate(owner, "low load after a slow spell");
 	g_assert_cmpint(CALLS - owner_in_time(owner), <=, 10);
 	owner_destroy(owner);
 }
 
 /*
- * Lookups alone could fill the upstream. Strictly by class the archive's
- * checks would never run; one in seventeen turns is theirs.
+ * Lookups alone could fill the upstream. With strict priority the archive's
+ * checks would never run; one turn in seventeen is theirs.
  */
 static void test_no_class_starves(void)
 {
@@ -279,8 +286,9 @@
 }
 
 /*
- * Whatever waits, with fairness off: nothing comes out before another of its
- * class that is due earlier, however many were cancelled in between.
+ * For any waiting items, with fairness disabled: no item comes out before
+ * another one of its class with an earlier deadline, however many were
+ * cancelled in between.
  */
 static void test_earliest_deadline_comes_first(void)
 {
@@ -319,8 +327,8 @@
 }
 
 /*
- * An attempt that may still go elsewhere meets a full upstream. Queued, its
- * caller would wait here while a slot is free next door.
+ * An attempt that another upstream may take meets a full upstream. If it were
+ * queued, its caller would wait while a slot is free elsewhere.
  */
 static void test_refuses_busy_at_once(void)
 {
@@ -340,7 +348,7 @@
 	owner_destroy(owner);
 }
 
-/* Marks an item that left the queue; it must be its first time. */
+/* Marks an item that left the queue; it must not have left before. */
 static void take_out(struct queue_item *item, uint32_t *in)
 {
 	g_assert_false(call_of(item)->answered);
@@ -364,9 +372,9 @@
 }
 
 /*
- * Whatever arrives, is cancelled and gets stale, under both policies: each
- * accepted item comes out exactly once, none cancelled does, and by deadline
- * none that is past it is to be run.
+ * For any arrivals, cancels and stale items, under both policies: each accepted
+ * item comes out exactly once, no cancelled one does, and by deadline no
+ * expired item is to be run.
  */
 static void test_each_item_comes_out_once(gconstpointer policy)
 {
@@ -415,12 +423,13 @@
 }
 
 /*
- * Callers send several lookups at once, and all arrive at an idle upstream in one
- * turn of its daemon. What was accepted is begun at the end of the turn, so it is
- * still in the queue when the next one is looked at. Taken for a queue, it would
- * make all but the first be refused as busy beside free slots.
+ * Callers send several lookups at once, which all arrive at an idle upstream in
+ * one iteration of the daemon's event loop. Accepted items start at the end of
+ * the iteration, so they are still in the queue when the next one is offered.
+ * If they counted as waiting, all but the first would be refused as busy
+ * although slots are free.
  */
-static void test_rush_finds_the_free_slots(void)
+static void test_rush_uses_the_free_slots(void)
 {
 	const struct queue_options options = {.policy = &queue_by_deadline,
 					      .fair = true};
@@ -448,12 +457,13 @@
 }
 
 /*
- * One caller fills the queue of an upstream to its bound. Others still get a few
- * places each, or they would all be refused because of it. But whoever sends each
- * request under a new name must not make the queue grow without end: the daemon
- * would run out of memory, and all requests on its host fail.
+ * One caller fills the queue of an upstream to its bound. The others still get
+ * a few places each, or they would all be refused because of it. A caller that
+ * sends each request under a new name must not make the queue grow without
+ * bound: the daemon would run out of memory, and all requests on its host would
+ * fail.
  */
-static void test_full_queue_has_an_end(void)
+static void test_full_queue_is_bounded(void)
 {
 	const struct queue_options options = {
 		.policy = &queue_by_deadline, .fair = true, .max_items = FULL};
@@ -487,16 +497,18 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/queue/overload", test_overload_serves_what_it_can);
 	g_test_add_func("/queue/targets", test_targets_go_first);
-	g_test_add_func("/queue/hopeless", test_hopeless_is_told_at_once);
+	g_test_add_func("/queue/unreachable-target",
+			test_unreachable_target_is_refused_early);
 	g_test_add_func("/queue/burst", test_burst_is_absorbed);
 	g_test_add_func("/queue/long-jobs", test_short_jobs_among_long_ones);
-	g_test_add_func("/queue/hot", test_hot_caller_bears_the_refusals);
-	g_test_add_func("/queue/slow-spell", test_slow_spell_is_forgotten);
-	g_test_add_func("/queue/quiet-hour", test_quiet_hour_after_a_slow_spell);
-	g_test_add_func("/queue/full", test_full_queue_has_an_end);
+	g_test_add_func("/queue/hot", test_refusals_hit_the_hot_caller);
+	g_test_add_func("/queue/slow-spell",
+			test_estimate_recovers_after_slow_spell);
+	g_test_add_func("/queue/low-load", test_estimate_recovers_at_low_load);
+	g_test_add_func("/queue/full", test_full_queue_is_bounded);
 	g_test_add_func("/queue/classes", test_no_class_starves);
 	g_test_add_func("/queue/order", test_earliest_deadline_comes_first);
-	g_test_add_func("/queue/rush", test_rush_finds_the_free_slots);
+	g_test_add_func("/queue/rush", test_rush_uses_the_free_slots);
 	g_test_add_func("/queue/busy", test_refuses_busy_at_once);
 	g_test_add_data_func("/queue/once/fifo", &queue_fifo,
 			     test_each_item_comes_out_once);
--- a/tests/test_retry.c
+++ b/tests/test_retry.c
@@ -6,8 +6,8 @@
 
 static struct random_state generator = {7};
 
-/* A question that gets a retry; each test spoils one thing. */
-static const struct retry_question good = {
+/* Input that gets a retry; each test changes one field. */
+static const struct retry_context retryable = {
 	.outcome = RETRY_OUTCOME_UNKNOWN,
 	.idempotent = true,
 	.attempts = 1,
@@ -17,19 +17,19 @@
 };
 
 static enum retry_verdict verdict_of(struct retry *retry,
-				     const struct retry_question *question)
+				     const struct retry_context *context)
 {
-	return retry_decide(retry, question, &generator, 0).verdict;
+	return retry_decide(retry, context, &generator, 0).verdict;
 }
 
 /*
- * A connection breaks after a connect-through was sent. It may have been
- * placed; a second one would bill the franchise twice.
+ * A connection breaks after a connect-through was sent. The request may have
+ * run; a second one would bill the franchise twice.
  */
 static void test_booking_is_not_repeated(void)
 {
 	struct retry retry;
-	struct retry_question q = good;
+	struct retry_context q = retryable;
 
 	retry_init(&retry, 100);
 	q.idempotent = false;
@@ -42,20 +42,20 @@
 
 /*
  * One of seven upstreams drains and refuses a seventh of all calls until every
- * entry has heard of it. These refusals cost no work: were they paid for from
- * a budget of 10%, or counted as attempts, callers would be refused during a
+ * entry knows about it. These refusals do no work: if they were charged to a
+ * budget of 10% or counted as attempts, callers would be refused during a
  * planned change.
  */
 static void test_drain_costs_no_budget(void)
 {
 	struct retry retry;
-	struct retry_question q = good;
+	struct retry_context q = retryable;
 
 	retry_init(&retry, 0);
 	q.outcome = RETRY_OUTCOME_NOT_HERE;
 	q.max_attempts = 1;
 	for (int i = 0; i < 1000; i++) {
-		struct retry_answer a = retry_decide(&retry, &q, &generator, 0);
+		struct retry_decision a = retry_decide(&retry, &q, &generator, 0);
 
 		g_assert_cmpint(a.verdict, ==, RETRY_GO);
 		g_assert_cmpint(a.delay_us, ==, 0);
@@ -63,14 +63,14 @@
 }
 
 /*
- * All upstreams are over their limit and say when to come back. A caller whose
- * deadline is before that gets the final answer at once, with that time.
+ * All upstreams are above their limits and give a retry time. A caller whose
+ * deadline is earlier gets the final answer at once, with that time.
  */
-static void test_gives_up_at_once_with_a_time(void)
+static void test_refuses_at_once_with_retry_time(void)
 {
 	struct retry retry;
-	struct retry_question q = good;
-	struct retry_answer a;
+	struct retry_context q = retryable;
+	struct retry_decision a;
 
 	retry_init(&retry, 100);
 	q.outcome = RETRY_OUTCOME_OVERLOAD;
@@ -83,13 +83,14 @@
 }
 
 /*
- * A rush of a thousand calls is refused within a few milliseconds, each with
- * the hint of one second. If all came back then, they would be refused again.
+ * A burst of a thousand calls is refused within a few milliseconds, each with a
+ * hint of one second. If all callers came back at that time, they would be
+ * refused again.
  */
-static void test_callers_come_back_spread(void)
+static void test_retry_times_are_spread(void)
 {
 	struct retry retry;
-	struct retry_question q = good;
+	struct retry_context q = retryable;
 	int early = 0;
 
 	retry_init(&retry, 0);
@@ -107,13 +108,14 @@
 }
 
 /*
- * The lowest of 13 layers fails for a moment. If each layer repeated as much as
- * the first, the calls to it would nearly quadruple; a retry there costs more.
+ * The lowest of 13 layers fails for a moment. If each layer retried as much as
+ * the first one, the calls to the lowest would nearly quadruple; deep retries
+ * therefore cost more.
  */
 static void test_deep_calls_retry_less(void)
 {
 	struct retry top, deep;
-	struct retry_question q = good;
+	struct retry_context q = retryable;
 	int retries_top = 0, retries_deep = 0;
 
 	retry_init(&top, 10);
@@ -131,9 +133,9 @@
 	g_assert_cmpint(retries_deep, >, 60);
 }
 
-static struct retry_question random_question(int64_t now_us)
+static struct retry_context random_context(int64_t now_us)
 {
-	return (struct retry_question){
+	return (struct retry_context){
 		.outcome = (enum retry_outcome)g_test_rand_int_range(0, 7),
 		.idempotent = g_test_rand_bit(),
 		.answer_begun = g_test_rand_int_range(0, 8) == 0,
@@ -147,8 +149,8 @@
 	};
 }
 
-static void check_answer(const struct retry_question *q,
-			 const struct retry_answer *a, int64_t now_us)
+static void check_answer(const struct retry_context *q,
+			 const struct retry_decision *a, int64_t now_us)
 {
 	if (a->verdict != RETRY_GO) {
 		g_assert_cmpint(a->come_back_us, >, 0);
@@ -165,11 +167,12 @@
 }
 
 /*
- * Whatever ends an attempt: nothing that may have run is repeated unless it is
- * idempotent, nothing is repeated past its deadline, and in any window of calls
- * the tokens spent stay within the burst and the share of the window's calls.
+ * For any outcome of an attempt: a request that may have run is repeated only
+ * if it is idempotent, nothing is repeated past its deadline, and in any window
+ * of calls the tokens spent stay within the burst plus the share of the
+ * window's calls.
  */
-static void test_rules_hold_for_any_question(void)
+static void test_rules_hold_for_any_input(void)
 {
 	enum {
 		CALLS = 4000,
@@ -181,8 +184,8 @@
 
 	retry_init(&retry, PERCENT);
 	for (int i = 0; i < CALLS; i++) {
-		struct retry_question q = random_question(i);
-		struct retry_answer a;
+		struct retry_context q = random_context(i);
+		struct retry_decision a;
 		double before;
 
 		retry_note_request(&retry, i);
@@ -201,9 +204,9 @@
 }
 
 /*
- * Seventy daemons share one budget of repeats. If each took it for its own, an
- * upstream that fails would get seventy times as many requests again, just when
- * it can least bear them.
+ * Seventy daemons share one retry budget. If each used all of it, a failing
+ * upstream would get seventy times as many retries, just when it can least
+ * handle them.
  */
 static void test_shared_budget_holds_for_all(void)
 {
@@ -219,7 +222,7 @@
 			retry_set_shared(&all[d], 20, 56, daemons[i]);
 		for (unsigned int n = 0; n < requests; n++) {
 			struct retry *retry = &all[n % daemons[i]];
-			struct retry_question question = {
+			struct retry_context context = {
 				.outcome = RETRY_OUTCOME_UNKNOWN,
 				.idempotent = true,
 				.attempts = 1,
@@ -230,7 +233,7 @@
 
 			retry_note_request(retry, 0);
 			repeats +=
-				retry_decide(retry, &question, &random, 0).verdict ==
+				retry_decide(retry, &context, &random, 0).verdict ==
 				RETRY_GO;
 		}
 		g_assert_cmpuint(repeats, >, 0);
@@ -239,8 +242,8 @@
 	}
 }
 
-/* Guards against callers who wait for their deadline where some hosts go at once,
- * while the budget that all daemons share is hardly used. */
+/* Guards against callers that wait until their deadlines when several hosts
+ * fail at once, while the shared budget of all daemons is hardly used. */
 static void test_shared_budget_serves_a_burst(void)
 {
 	struct random_state random = {.state = 1};
@@ -254,10 +257,10 @@
 		retry_note_request(&retry, now);
 	}
 	for (int i = 0; i < 10; i++) {
-		struct retry_question question = good;
+		struct retry_context context = retryable;
 
-		question.deadline_us = now + 10 * SECOND;
-		repeats += retry_decide(&retry, &question, &random, now).verdict ==
+		context.deadline_us = now + 10 * SECOND;
+		repeats += retry_decide(&retry, &context, &random, now).verdict ==
 			   RETRY_GO;
 	}
 	g_assert_cmpint(repeats, >=, 4);
@@ -269,10 +272,11 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/retry/booking", test_booking_is_not_repeated);
 	g_test_add_func("/retry/drain", test_drain_costs_no_budget);
-	g_test_add_func("/retry/at-once", test_gives_up_at_once_with_a_time);
+	g_test_add_func("/retry/retry-time",
+			test_refuses_at_once_with_retry_time);
 	g_test_add_func("/retry/depth", test_deep_calls_retry_less);
-	g_test_add_func("/retry/any", test_rules_hold_for_any_question);
-	g_test_add_func("/retry/spread", test_callers_come_back_spread);
+	g_test_add_func("/retry/any", test_rules_hold_for_any_input);
+	g_test_add_func("/retry/spread", test_retry_times_are_spread);
 	g_test_add_func("/retry/shared", test_shared_budget_holds_for_all);
 	g_test_add_func("/retry/shared-burst", test_shared_budget_serves_a_burst);
 	return g_test_run();
--- a/tests/test_retry_estimate.c
+++ b/tests/test_retry_estimate.c
@@ -7,14 +7,14 @@
 #define LEFT_US (2000 * MS)
 
 /*
- * A daemon has just been started and has heard from two upstreams. One of them
- * answered late: its link had been silent, and the first answers after it took
- * more than two seconds, so that is the median that it reports. The other one
- * answers in 40 ms and begins to drain. A request that it turns away, with two
- * seconds left, is to go to another upstream. Where the daemon takes the slow
- * report for what every attempt takes, it makes no second attempt at all: callers
- * are told "not run" for as long as that report stands, while upstreams that
- * could serve them in milliseconds are up.
+ * Guards against a daemon that has just started and makes no second attempts
+ * because of one slow report. It has reports from two upstreams. One of them
+ * answered its first requests after more than two seconds, as its connection
+ * had been idle, and reports that as its median. The other one answers in 40 ms
+ * and is draining. A request that it refuses, with two seconds left, must go to
+ * another upstream. If the slow report counts as the duration of every attempt,
+ * callers get "not run" for as long as the report stands, although upstreams
+ * that could answer within milliseconds are up.
  */
 static void test_one_slow_report_of_two(void)
 {
@@ -23,9 +23,9 @@
 	struct pick_load quick = {.service_us = 40 * MS};
 	struct pick_load slow = {.service_us = 2040 * MS};
 	struct random_state random = {.state = 1};
-	struct retry_answer answer;
+	struct retry_decision answer;
 	struct retry retry;
-	struct retry_question question = {
+	struct retry_context context = {
 		.outcome = RETRY_OUTCOME_NOT_HERE,
 		.attempts = 0,
 		.max_attempts = 3,
@@ -42,8 +42,8 @@
 	pick_note_load(&set, &candidates[0], &slow, 0);
 	pick_note_load(&set, &candidates[1], &quick, 0);
 	retry_init(&retry, 20);
-	question.expected_us = (int64_t)set.typical_service_us;
-	answer = retry_decide(&retry, &question, &random, 0);
+	context.expected_us = (int64_t)set.typical_service_us;
+	answer = retry_decide(&retry, &context, &random, 0);
 	g_assert_cmpstr(retry_verdict_name(answer.verdict), ==,
 			retry_verdict_name(RETRY_GO));
 	pick_set_finish(&set);
