--- a/bench/bench_log.c
+++ b/bench/bench_log.c
@@ -65,7 +65,7 @@
 	close(ends[1]);
 	reader = g_thread_new("reader", read_all, GINT_TO_POINTER(ends[0]));
 	log_init(LOG_FORMAT_JSON, "katla-3");
-	log_collect();
+	log_enable_buffering();
 	log_set_budget(NO_BUDGET_LINES, NO_BUDGET_BYTES);
 	measure("JSON, written");
 	log_init(LOG_FORMAT_TEXT, "katla-3");
--- a/comfreydockctl/apply.c
+++ b/comfreydockctl/apply.c
@@ -25,7 +25,8 @@
 };
 
 /* RETURN VALUE: whether a daemon's answer shows the version or a higher one. */
-static bool holds(const struct ctl_call *call, const char *name, uint64_t version)
+static bool has_version(const struct ctl_call *call, const char *name,
+			uint64_t version)
 {
 	json_object *root = json_tokener_parse(call->text->str);
 	json_object *array = jsonc_get_array(root, "namespaces");
@@ -42,7 +43,7 @@
 	return found;
 }
 
-static void note_holder(GHashTable *holders, const char *url)
+static void add_holder(GHashTable *holders, const char *url)
 {
 	const char *path = strstr(url, "/v1/");
 
@@ -70,8 +71,8 @@
 	}
 	ctl_run_calls(ctl, calls, asked);
 	for (size_t i = 0; i < asked; i++) {
-		if (holds(&calls[i], name, version)) {
-			note_holder(holders, calls[i].url);
+		if (has_version(&calls[i], name, version)) {
+			add_holder(holders, calls[i].url);
 			known++;
 		}
 		ctl_call_finish(&calls[i]);
@@ -89,7 +90,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
-static void pause_a_little(struct ctl *ctl)
+static void pause_between_polls(struct ctl *ctl)
 {
 	ev_timer timer;
 
@@ -99,7 +100,7 @@
 }
 
 /* The list of hosts is read anew each time: daemons come and go meanwhile. */
-static int wait_everywhere(struct ctl *ctl, json_object *outcome)
+static int wait_for_daemons(struct ctl *ctl, json_object *outcome)
 {
 	int64_t end_us = clock_mono_us() + wait_s * US_PER_S;
 	const char *name = jsonc_get_text(outcome, "namespace");
@@ -110,7 +111,7 @@
 	size_t all = 1;
 
 	do {
-		GPtrArray *urls = ctl_find_daemons(ctl);
+		GPtrArray *urls = ctl_list_daemon_urls(ctl);
 
 		if (!urls)
 			break;
@@ -118,12 +119,12 @@
 		holders = count_holders(ctl, urls, known, name, version);
 		g_ptr_array_free(urls, TRUE);
 		if (holders < all)
-			pause_a_little(ctl);
+			pause_between_polls(ctl);
 	} while (holders < all && clock_mono_us() < end_us);
 	g_hash_table_unref(known);
 	jsonc_add_uint(outcome, "daemons", all);
 	jsonc_add_uint(outcome, "daemons_holding", holders);
-	return holders == all ? CTL_OK : CTL_NOT_EVERYWHERE;
+	return holders == all ? CTL_OK : CTL_WAIT_TIMED_OUT;
 }
 
 static void print_conflict(json_object *outcome)
@@ -203,11 +204,11 @@
 }
 
 /* A daemon that broke off after it got the file may have applied it. */
-static json_object *unanswered(const struct ctl_call *call)
+static json_object *outcome_without_answer(const struct ctl_call *call)
 {
 	json_object *outcome = json_object_new_object();
 
-	ctl_complain("no answer from %s", call->url);
+	ctl_print_error("no answer from %s", call->url);
 	jsonc_add_text(outcome, "result",
 		       call->never_sent ? "failed" : "unknown");
 	return outcome;
@@ -226,10 +227,10 @@
 	if (call.answered)
 		outcome = json_tokener_parse(call.text->str);
 	if (!outcome)
-		outcome = unanswered(&call);
+		outcome = outcome_without_answer(&call);
 	else if (!*jsonc_get_text(outcome, "result"))
-		ctl_complain("%s answered %ld %s", ctl->admin, call.status,
-			     jsonc_get_text(outcome, "error"));
+		ctl_print_error("%s answered %ld %s", ctl->admin, call.status,
+				jsonc_get_text(outcome, "error"));
 	ctl_call_finish(&call);
 	g_free(path);
 	return outcome;
@@ -247,7 +248,7 @@
 	g_free(text);
 	status = status_of(jsonc_get_text(outcome, "result"));
 	if (status == CTL_OK && wait_for_all)
-		status = wait_everywhere(ctl, outcome);
+		status = wait_for_daemons(ctl, outcome);
 	if (ctl->json) {
 		ctl_print_json(outcome);
 		return status;
--- a/comfreydockctl/check.c
+++ b/comfreydockctl/check.c
@@ -30,7 +30,7 @@
 	return passes ? CTL_OK : CTL_REFUSED;
 }
 
-static int check_here(struct ctl *ctl, const char *file, const char *text)
+static int check_offline(struct ctl *ctl, const char *file, const char *text)
 {
 	struct config_namespace *ns;
 	struct findings findings;
@@ -44,7 +44,7 @@
 	return status;
 }
 
-static int check_there(struct ctl *ctl, const char *file, const char *text)
+static int check_with_daemon(struct ctl *ctl, const char *file, const char *text)
 {
 	char *name = g_uri_escape_string(file, NULL, FALSE);
 	char *path = g_strconcat("/v1/config/check?file=", name, NULL);
@@ -62,8 +62,8 @@
 		status = report(ctl, file, json_object_get(findings),
 				call.status == 200);
 	else
-		ctl_complain("no answer from %s; --offline asks no daemon",
-			     call.url);
+		ctl_print_error("no answer from %s; --offline asks no daemon",
+				call.url);
 	json_object_put(root);
 	ctl_call_finish(&call);
 	g_free(path);
@@ -78,8 +78,8 @@
 
 	if (!text)
 		return CTL_USAGE;
-	status = offline ? check_here(ctl, arguments[0], text) :
-			   check_there(ctl, arguments[0], text);
+	status = offline ? check_offline(ctl, arguments[0], text) :
+			   check_with_daemon(ctl, arguments[0], text);
 	g_free(text);
 	return status;
 }
--- a/comfreydockctl/ctl.c
+++ b/comfreydockctl/ctl.c
@@ -8,9 +8,9 @@
 #include "common/http_client.h"
 #include "common/jsonc.h"
 
-#define CALLS_AT_ONCE 64
+#define CONCURRENT_CALLS_MAX 64
 
-void ctl_complain(const char *format, ...)
+void ctl_print_error(const char *format, ...)
 {
 	va_list args;
 
@@ -67,7 +67,7 @@
 
 	if (g_file_get_contents(file, &text, NULL, &error))
 		return text;
-	ctl_complain("%s", error->message);
+	ctl_print_error("%s", error->message);
 	g_error_free(error);
 	return NULL;
 }
@@ -147,25 +147,25 @@
 {
 	struct run run = {.ctl = ctl, .calls = calls, .count = count};
 
-	while (run.started < count && run.started < CALLS_AT_ONCE)
+	while (run.started < count && run.started < CONCURRENT_CALLS_MAX)
 		start_next(&run);
 	if (count)
 		ev_run(ctl->loop, 0);
 }
 
-static void complain_of_answer(const struct ctl_call *call, json_object *root)
+static void print_answer_error(const struct ctl_call *call, json_object *root)
 {
 	const char *error = jsonc_get_text(root, "error");
 
 	if (!call->answered)
-		ctl_complain("no answer from %s", call->url);
+		ctl_print_error("no answer from %s", call->url);
 	else
-		ctl_complain("%s answered %ld %s", call->url, call->status,
-			     error);
+		ctl_print_error("%s answered %ld %s", call->url, call->status,
+				error);
 	ctl_print_findings(jsonc_get_array(root, "findings"));
 }
 
-json_object *ctl_ask(struct ctl *ctl, const char *method, const char *path)
+json_object *ctl_request(struct ctl *ctl, const char *method, const char *path)
 {
 	struct ctl_call call;
 	json_object *root;
@@ -176,7 +176,7 @@
 	ctl_run_calls(ctl, &call, 1);
 	root = json_tokener_parse(call.text->str);
 	if (!call.answered || call.status != 200 || !root) {
-		complain_of_answer(&call, root);
+		print_answer_error(&call, root);
 		json_object_put(root);
 		root = NULL;
 	}
@@ -194,7 +194,7 @@
 			json_object_get(json_object_array_get_idx(hosts, i)));
 }
 
-json_object *ctl_ask_hosts(struct ctl *ctl)
+json_object *ctl_fetch_hosts(struct ctl *ctl)
 {
 	json_object *root = json_object_new_object();
 	json_object *all = json_object_new_array();
@@ -202,7 +202,7 @@
 
 	json_object_object_add(root, "hosts", all);
 	while (path) {
-		json_object *page = ctl_ask(ctl, "GET", path);
+		json_object *page = ctl_request(ctl, "GET", path);
 		const char *next = page ? jsonc_get_text(page, "next") : "";
 
 		g_free(path);
@@ -236,10 +236,10 @@
 	return strcmp(state, "alive") == 0 || strcmp(state, "suspect") == 0;
 }
 
-GPtrArray *ctl_find_daemons(struct ctl *ctl)
+GPtrArray *ctl_list_daemon_urls(struct ctl *ctl)
 {
-	json_object *status = ctl_ask(ctl, "GET", "/v1/status");
-	json_object *hosts = status ? ctl_ask_hosts(ctl) : NULL;
+	json_object *status = ctl_request(ctl, "GET", "/v1/status");
+	json_object *hosts = status ? ctl_fetch_hosts(ctl) : NULL;
 	json_object *array = jsonc_get_array(hosts, "hosts");
 	const char *own = jsonc_get_text(status, "host");
 	GPtrArray *urls = NULL;
--- a/comfreydockctl/drain.c
+++ b/comfreydockctl/drain.c
@@ -34,15 +34,16 @@
 		else
 			puts("may stop: nothing runs any more");
 	} else if (call.timed_out) {
-		status = CTL_NOT_EVERYWHERE;
-		ctl_complain("requests still run after %d s; the upstream goes "
-			     "on draining",
-			     wait_s);
+		status = CTL_WAIT_TIMED_OUT;
+		ctl_print_error(
+			"requests still run after %d s; the upstream goes "
+			"on draining",
+			wait_s);
 	} else {
-		ctl_complain("%s: %s%s", call.url,
-			     call.answered ? jsonc_get_text(root, "state") :
-					     "no answer",
-			     jsonc_get_text(root, "error"));
+		ctl_print_error("%s: %s%s", call.url,
+				call.answered ? jsonc_get_text(root, "state") :
+						"no answer",
+				jsonc_get_text(root, "error"));
 	}
 	json_object_put(root);
 	ctl_call_finish(&call);
@@ -60,7 +61,7 @@
 	(void)arguments;
 	if (wait_until_idle)
 		return wait_for_stop(ctl);
-	return ctl_print(ctl, ctl_ask(ctl, "POST", "/v1/upstream/drain"),
+	return ctl_print(ctl, ctl_request(ctl, "POST", "/v1/upstream/drain"),
 			 print_running);
 }
 
--- a/comfreydockctl/failures.c
+++ b/comfreydockctl/failures.c
@@ -5,7 +5,7 @@
 #include "comfreydockctl/logs.h"
 #include "common/jsonc.h"
 
-#define FAILED "entry.failed"
+#define FAILED_EVENT "entry.failed"
 
 /* Calls that failed in the same way. */
 struct failure {
@@ -51,7 +51,7 @@
 	uint64_t time_us;
 	char *key;
 
-	if (strcmp(jsonc_get_text(line, "name"), FAILED) != 0)
+	if (strcmp(jsonc_get_text(line, "name"), FAILED_EVENT) != 0)
 		return;
 	time_us = logs_time_us(line);
 	if (time_us < summary->since_us || time_us >= summary->until_us)
@@ -105,14 +105,14 @@
 	g_ptr_array_unref(sorted);
 }
 
-static bool read_bound(const char *name, const char *text, uint64_t missing,
+static bool read_bound(const char *name, const char *text, uint64_t default_us,
 		       uint64_t *out)
 {
-	*out = text ? logs_parse_time_us(text) : missing;
+	*out = text ? logs_parse_time_us(text) : default_us;
 	if (text && !*out)
-		ctl_complain("--%s: \"%s\" is no time such as "
-			     "2026-01-31T12:00:00Z",
-			     name, text);
+		ctl_print_error("--%s: \"%s\" is no time such as "
+				"2026-01-31T12:00:00Z",
+				name, text);
 	return !text || *out;
 }
 
@@ -130,8 +130,8 @@
 						 failure_free);
 	ok = logs_read(arguments, handle_line, &summary, &unreadable);
 	if (ok && unreadable)
-		ctl_complain("%zu lines are no JSON and were passed over",
-			     unreadable);
+		ctl_print_error("%zu lines are no JSON and were passed over",
+				unreadable);
 	if (ok)
 		print_failures(&summary);
 	g_hash_table_unref(summary.failures);
--- a/comfreydockctl/hosts.c
+++ b/comfreydockctl/hosts.c
@@ -31,7 +31,7 @@
 static int run(struct ctl *ctl, char **arguments)
 {
 	(void)arguments;
-	return ctl_print(ctl, ctl_ask_hosts(ctl), print_hosts);
+	return ctl_print(ctl, ctl_fetch_hosts(ctl), print_hosts);
 }
 
 const struct ctl_command ctl_hosts = {
--- a/comfreydockctl/logs.c
+++ b/comfreydockctl/logs.c
@@ -33,14 +33,14 @@
 	bool ok;
 
 	if (!file) {
-		ctl_complain("%s: %s", name, g_strerror(errno));
+		ctl_print_error("%s: %s", name, g_strerror(errno));
 		return false;
 	}
 	while (getline(&line, &size, file) >= 0)
 		read_line(line, handler, data, unreadable);
 	ok = !ferror(file);
 	if (!ok)
-		ctl_complain("%s: %s", name, g_strerror(errno));
+		ctl_print_error("%s: %s", name, g_strerror(errno));
 	free(line);
 	if (!is_input)
 		fclose(file);
--- a/comfreydockctl/main.c
+++ b/comfreydockctl/main.c
@@ -76,7 +76,7 @@
 						  NULL);
 	ok = g_option_context_parse(context, argc, argv, &error);
 	if (!ok)
-		ctl_complain("%s", error->message);
+		ctl_print_error("%s", error->message);
 	ok = ok && read_token(ctl, token_file);
 	ctl->json = json;
 	g_clear_error(&error);
@@ -99,8 +99,8 @@
 		return CTL_USAGE;
 	if (argc - 1 < command->min_arguments ||
 	    argc - 1 > command->max_arguments) {
-		ctl_complain("usage: comfreydockctl %s %s", command->name,
-			     command->arguments);
+		ctl_print_error("usage: comfreydockctl %s %s", command->name,
+				command->arguments);
 		return CTL_USAGE;
 	}
 	if (!ctl->admin)
@@ -132,7 +132,7 @@
 	}
 	command = find_command(argv[1]);
 	if (!command) {
-		ctl_complain("no command \"%s\"; see --help", argv[1]);
+		ctl_print_error("no command \"%s\"; see --help", argv[1]);
 		return CTL_USAGE;
 	}
 	status = run(&ctl, command, argc - 1, argv + 1);
--- a/comfreydockctl/metrics.c
+++ b/comfreydockctl/metrics.c
@@ -30,7 +30,7 @@
 	ctl_call_init(&call, "GET", ctl->admin, "/metrics");
 	ctl_run_calls(ctl, &call, 1);
 	if (!call.answered || call.status != 200) {
-		ctl_complain("no metrics from %s", call.url);
+		ctl_print_error("no metrics from %s", call.url);
 		status = CTL_FAILED;
 	} else if (ctl->json) {
 		ctl_print_json(metrics_to_json(call.text->str));
--- a/comfreydockctl/quarantine.c
+++ b/comfreydockctl/quarantine.c
@@ -41,7 +41,8 @@
 {
 	char *escaped = g_uri_escape_string(cleared, NULL, TRUE);
 	char *path = g_strconcat("/v1/quarantine/clear?content=", escaped, NULL);
-	int status = ctl_print(ctl, ctl_ask(ctl, "POST", path), print_cleared);
+	int status =
+		ctl_print(ctl, ctl_request(ctl, "POST", path), print_cleared);
 
 	g_free(path);
 	g_free(escaped);
@@ -53,7 +54,7 @@
 	(void)arguments;
 	if (cleared)
 		return clear(ctl);
-	return ctl_print(ctl, ctl_ask(ctl, "GET", "/v1/quarantine"),
+	return ctl_print(ctl, ctl_request(ctl, "GET", "/v1/quarantine"),
 			 print_requests);
 }
 
--- a/comfreydockctl/resume.c
+++ b/comfreydockctl/resume.c
@@ -11,7 +11,7 @@
 static int run(struct ctl *ctl, char **arguments)
 {
 	(void)arguments;
-	return ctl_print(ctl, ctl_ask(ctl, "POST", "/v1/upstream/resume"),
+	return ctl_print(ctl, ctl_request(ctl, "POST", "/v1/upstream/resume"),
 			 print_state);
 }
 
--- a/comfreydockctl/show.c
+++ b/comfreydockctl/show.c
@@ -59,7 +59,7 @@
 	}
 	if (body)
 		g_string_append(path, "body=1");
-	root = ctl_ask(ctl, "GET", path->str);
+	root = ctl_request(ctl, "GET", path->str);
 	g_string_free(path, TRUE);
 	return ctl_print(ctl, root, print_namespaces);
 }
--- a/comfreydockctl/status.c
+++ b/comfreydockctl/status.c
@@ -29,7 +29,8 @@
 static int run(struct ctl *ctl, char **arguments)
 {
 	(void)arguments;
-	return ctl_print(ctl, ctl_ask(ctl, "GET", "/v1/status"), print_status);
+	return ctl_print(ctl, ctl_request(ctl, "GET", "/v1/status"),
+			 print_status);
 }
 
 const struct ctl_command ctl_status = {
--- a/comfreydockctl/timeline.c
+++ b/comfreydockctl/timeline.c
@@ -16,12 +16,12 @@
 }
 
 /* A part that is missing would mislead, so it is named. */
-static void complain_of_missing(json_object *missing)
+static void print_missing_daemons(json_object *missing)
 {
 	for (size_t i = 0; missing && i < json_object_array_length(missing); i++)
-		ctl_complain("no time line from %s",
-			     json_object_get_string(
-				     json_object_array_get_idx(missing, i)));
+		ctl_print_error("no time line from %s",
+				json_object_get_string(
+					json_object_array_get_idx(missing, i)));
 }
 
 static void print_lines(json_object *all)
@@ -108,7 +108,7 @@
 {
 	char *escaped = g_uri_escape_string(trace, NULL, FALSE);
 	char *path = g_strconcat("/v1/timeline?trace=", escaped, NULL);
-	json_object *root = ctl_ask(ctl, "GET", path);
+	json_object *root = ctl_request(ctl, "GET", path);
 
 	g_free(path);
 	g_free(escaped);
@@ -133,9 +133,9 @@
 		ctl_print_json(root);
 		return status;
 	}
-	complain_of_missing(jsonc_get_array(root, "missing"));
+	print_missing_daemons(jsonc_get_array(root, "missing"));
 	if (status != CTL_OK)
-		ctl_complain("no events of %s are kept", arguments[0]);
+		ctl_print_error("no events of %s are kept", arguments[0]);
 	print_lines(events);
 	json_object_put(root);
 	return status;
--- a/comfreydockd/assembly.c
+++ b/comfreydockd/assembly.c
@@ -185,7 +185,7 @@
 	struct daemon *daemon = &assembly->daemon;
 	const struct settings *settings = daemon->settings;
 
-	daemon->slices = slices_create(daemon->loop);
+	daemon->slice_queue = slice_queue_create(daemon->loop);
 	daemon->http = http_client_create(daemon->loop);
 	daemon->members = member_table_create();
 	daemon->quarantine =
@@ -304,7 +304,7 @@
 {
 	ev_prepare_init(&assembly->log_turn, handle_log_turn);
 	ev_prepare_start(assembly->daemon.loop, &assembly->log_turn);
-	log_collect();
+	log_enable_buffering();
 	ev_signal_init(&assembly->terminate, handle_signal, SIGTERM);
 	ev_signal_init(&assembly->interrupt, handle_signal, SIGINT);
 	assembly->terminate.data = assembly;
@@ -366,7 +366,7 @@
 		rows_destroy(assembly->rows);
 	gossip_destroy(daemon->gossip);
 	platform_destroy(daemon->platform);
-	slices_destroy(daemon->slices);
+	slice_queue_destroy(daemon->slice_queue);
 	on_platform_destroy(assembly->on_platform);
 	reload_destroy(assembly->reload);
 	stop_destroy(assembly->stop);
--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -275,9 +275,9 @@
 	call_stop_patience(call);
 	hedge_note_latency(&call->service->hedge,
 			   attempt->head_us - call->began_us);
-	latency_note_us(&latencies.call_added,
-			attempt->head_us - call->began_us -
-				(int64_t)answer->upstream_us);
+	latency_record_us(&latencies.call_added,
+			  attempt->head_us - call->began_us -
+				  (int64_t)answer->upstream_us);
 	call_note(call, EV_ENTRY_ANSWERED,
 		  LOG_STR("from", attempt->upstream->host),
 		  LOG_INT("status", answer->status),
--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -99,7 +99,7 @@
 {
 	const char *given = fields_find(fields, daemon->headers->trace);
 
-	if (trace_is_sound(given))
+	if (trace_is_valid(given))
 		g_strlcpy(trace, given, TIMELINE_TRACE_MAX);
 	else
 		trace_create(daemon->settings->host, trace);
@@ -246,12 +246,12 @@
 	copy_host(request->host, service, sizeof(service));
 	g_strlcpy(path, request->target, sizeof(path));
 	path[strcspn(path, "?#")] = '\0';
-	timeline_note(&entry->daemon->timeline, trace, EV_ENTRY_NO_RULE,
-		      LOG_STR("service", service), LOG_STR("path", path),
-		      LOG_STR("reason", reason), LOG_INT("status", status),
-		      LOG_INT("head", config_store_head(config)),
-		      LOG_INT("known_head", config_store_known_head(config)),
-		      LOG_INT("told_age_us", config_store_told_age_us(config)));
+	timeline_log(&entry->daemon->timeline, trace, EV_ENTRY_NO_RULE,
+		     LOG_STR("service", service), LOG_STR("path", path),
+		     LOG_STR("reason", reason), LOG_INT("status", status),
+		     LOG_INT("head", config_store_head(config)),
+		     LOG_INT("known_head", config_store_known_head(config)),
+		     LOG_INT("told_age_us", config_store_told_age_us(config)));
 }
 
 /*
--- a/comfreydockd/caller/outcome.c
+++ b/comfreydockd/caller/outcome.c
@@ -77,7 +77,7 @@
 void outcome_count(const struct call *call, struct latency *latency,
 		   const char *outcome)
 {
-	latency_note_us(latency, clock_mono_us() - call->began_us);
+	latency_record_us(latency, clock_mono_us() - call->began_us);
 	tally_add(TALLY_CALLS, call->rule->name, outcome);
 }
 
--- a/comfreydockd/config/check.c
+++ b/comfreydockd/config/check.c
@@ -228,7 +228,8 @@
 	struct jsonc_doc *doc;
 
 	findings_init(&findings);
-	doc = jsonc_parse_cut("body", text, CONFIG_RULES_SHAPE, &findings);
+	doc = jsonc_parse_without_items("body", text, CONFIG_RULES_SHAPE,
+					&findings);
 	if (doc)
 		ns = read_namespace(doc, &findings);
 	jsonc_doc_destroy(doc);
--- a/comfreydockd/config/check_rules.c
+++ b/comfreydockd/config/check_rules.c
@@ -238,7 +238,7 @@
 static struct config_rule *take_rule(struct schema *item, json_object *value,
 				     const char *group)
 {
-	const struct json_span *span = jsonc_cut_item(item->doc, value);
+	const struct json_span *span = jsonc_omitted_item(item->doc, value);
 	struct config_rule *rule;
 
 	if (!span)
@@ -269,7 +269,7 @@
 			reach_add(&reach, rule);
 		}
 		schema_finish(&item);
-		slice_pause();
+		slice_yield();
 	}
 	reach_finish(&reach);
 }
--- a/comfreydockd/config/follow.c
+++ b/comfreydockd/config/follow.c
@@ -138,7 +138,8 @@
 	taking->as_of_us = as_of_us;
 	taking->was_read = was_read;
 	config_store_begin_taking(follow->options.store);
-	slices_add(follow->options.slices, take_row, free_taking, taking);
+	slice_queue_add(follow->options.slice_queue, take_row, free_taking,
+			taking);
 }
 
 /* RETURN VALUE: false where the store gave no answer. */
--- a/comfreydockd/config/model.c
+++ b/comfreydockd/config/model.c
@@ -15,7 +15,7 @@
 	for (size_t done = 0; done < size; done += SUM_STEP_BYTES) {
 		g_checksum_update(sum, (const guchar *)body + done,
 				  (gssize)MIN(size - done, SUM_STEP_BYTES));
-		slice_pause();
+		slice_yield();
 	}
 	g_strlcpy(hex, g_checksum_get_string(sum), 65);
 	g_checksum_free(sum);
--- a/comfreydockd/config/spread.c
+++ b/comfreydockd/config/spread.c
@@ -194,7 +194,7 @@
 	spread->platform_ops = options->platform_ops;
 	spread->platform = options->platform;
 	spread->ops = options->ops;
-	spread->slices = options->slices;
+	spread->slice_queue = options->slice_queue;
 	spread->random.state = options->seed;
 	spread->now_us = now_us;
 	spread->platform_tried = !options->platform_ops;
--- a/comfreydockd/config/spread_fetch.c
+++ b/comfreydockd/config/spread_fetch.c
@@ -371,7 +371,7 @@
 	whole->pieces = spread->pieces;
 	config_pieces_init(&spread->pieces);
 	config_store_begin_taking(spread->store);
-	slices_add(spread->slices, take_whole, free_whole, whole);
+	slice_queue_add(spread->slice_queue, take_whole, free_whole, whole);
 }
 
 /* RETURN VALUE: whether there is more of the body than before. */
--- a/comfreydockd/config/spread_peers.c
+++ b/comfreydockd/config/spread_peers.c
@@ -85,7 +85,7 @@
 		.platform_ops = ops,
 		.platform = platform,
 		.ops = &peers->ops,
-		.slices = daemon->slices,
+		.slice_queue = daemon->slice_queue,
 		.seed = id_random_u64(),
 	};
 
--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -67,7 +67,7 @@
 	const struct settings *settings = gossip->daemon->settings;
 	uint8_t packet[GOSSIP_PACKET_MAX];
 	union socket_address to;
-	socklen_t to_size = address_fill(&to, address, port);
+	socklen_t to_size = address_parse(&to, address, port);
 
 	size = gossip_packet_seal(settings->peer_key, settings->peer_key_size,
 				  body, size, packet);
@@ -107,7 +107,7 @@
 {
 	const struct settings *settings = gossip->daemon->settings;
 	char address[MEMBER_ADDRESS_MAX];
-	uint16_t port = address_read(from, address);
+	uint16_t port = address_unpack(from, address);
 	enum gossip_packet_status status;
 	Cfd__Packet *packet;
 
@@ -211,7 +211,7 @@
 static int gossip_bind(const char *address, uint16_t port)
 {
 	union socket_address at = {0};
-	socklen_t size = address_fill(&at, address, port);
+	socklen_t size = address_parse(&at, address, port);
 	int bytes = RECEIVE_BUFFER_BYTES;
 	int fd;
 
@@ -239,7 +239,7 @@
 
 	if (getsockname(fd, &at.any, &size) < 0)
 		return 0;
-	return address_read(&at, address);
+	return address_unpack(&at, address);
 }
 
 static void gossip_create_swim(struct gossip *gossip)
@@ -339,7 +339,7 @@
 	if (size == 0 || size >= sizeof(address) || port < 1 || port > UINT16_MAX)
 		return false;
 	memcpy(address, peer, size);
-	if (address_fill(&storage, address, (uint16_t)port) == 0)
+	if (address_parse(&storage, address, (uint16_t)port) == 0)
 		return false;
 	swim_join(gossip->swim, address, (uint16_t)port, clock_mono_us());
 	return true;
--- a/comfreydockd/member/rows_codec.c
+++ b/comfreydockd/member/rows_codec.c
@@ -75,7 +75,7 @@
 		take_string(object, "host", member->host, sizeof(member->host)) &&
 		take_string(object, "address", member->address,
 			    sizeof(member->address)) &&
-		address_is_ip_number(member->address) &&
+		address_is_ip(member->address) &&
 		take_number(object, "incarnation", UINT64_MAX - 1,
 			    &member->incarnation) &&
 		take_number(object, "peer_port", UINT16_MAX, &port) && port > 0;
--- a/comfreydockd/member/swim_message.c
+++ b/comfreydockd/member/swim_message.c
@@ -149,7 +149,7 @@
 
 bool swim_endpoint_is_valid(const char *address, uint32_t port)
 {
-	return port > 0 && port <= UINT16_MAX && address_is_ip_number(address);
+	return port > 0 && port <= UINT16_MAX && address_is_ip(address);
 }
 
 static bool record_endpoint_is_valid(const Cfd__MemberRecord *record)
--- a/comfreydockd/on_platform.c
+++ b/comfreydockd/on_platform.c
@@ -38,7 +38,7 @@
 	return owner_take_report(on->daemon->owner, report);
 }
 
-static void take_leave(const char *instance, void *data)
+static void take_deregistration(const char *instance, void *data)
 {
 	const struct on_platform *on = data;
 
@@ -69,7 +69,7 @@
 		.key = PLATFORM_MANIFEST_KEY,
 		.namespace = PLATFORM_MANIFEST_NAMESPACE,
 		.ops = &on->follow_ops,
-		.slices = on->daemon->slices,
+		.slice_queue = on->daemon->slice_queue,
 		.seed = id_random_u64(),
 	};
 
@@ -90,7 +90,7 @@
 	on->control_ops = (struct control_ops){
 		.is_ready = is_ready,
 		.take_report = take_report,
-		.take_leave = take_leave,
+		.take_deregistration = take_deregistration,
 		.data = on,
 	};
 	on->control = control_create(daemon->loop, &settings->ready,
--- a/comfreydockd/operator/gather.c
+++ b/comfreydockd/operator/gather.c
@@ -155,7 +155,7 @@
 {
 	if (member->state != MEMBER_ALIVE && member->state != MEMBER_SUSPECT)
 		return false;
-	return !trace_names_host(trace) || trace_is_from(trace, member->host);
+	return !trace_has_host_form(trace) || trace_is_from(trace, member->host);
 }
 
 static void gather_ask_first(struct gather *gather)
--- a/comfreydockd/peer/peers.c
+++ b/comfreydockd/peer/peers.c
@@ -176,8 +176,8 @@
 {
 	struct peers *peers;
 	uint16_t port = 0;
-	int fd = socket_listen_both(daemon->settings->peer.address,
-				    daemon->settings->peer.port, &port);
+	int fd = socket_listen_udp_free(daemon->settings->peer.address,
+					daemon->settings->peer.port, &port);
 
 	if (fd < 0)
 		return NULL;
--- a/comfreydockd/settings.c
+++ b/comfreydockd/settings.c
@@ -57,7 +57,7 @@
 
 	if (!at)
 		return false;
-	if (!address_has_port(at) || *at == '[') {
+	if (!address_is_ip_port(at) || *at == '[') {
 		schema_error(schema, "at", "IP:PORT is expected");
 		colon = NULL;
 	}
@@ -77,7 +77,7 @@
 	out->address = schema_string(schema, "address", SCHEMA_REQUIRED);
 	out->port = (uint16_t)schema_uint(schema, "port", SCHEMA_REQUIRED, 0, 0,
 					  UINT16_MAX);
-	if (out->address && !address_is_ip_number(out->address))
+	if (out->address && !address_is_ip(out->address))
 		schema_error(schema, "address",
 			     "an IP number is expected, not a name");
 }
@@ -154,7 +154,7 @@
 	where->address = schema_string(&advertise, "address", SCHEMA_OPTIONAL);
 	where->port = (uint16_t)schema_uint(&advertise, "port", SCHEMA_OPTIONAL,
 					    0, 1, UINT16_MAX);
-	if (where->address && !address_is_ip_number(where->address))
+	if (where->address && !address_is_ip(where->address))
 		schema_error(&advertise, "address",
 			     "an IP number is expected, not a name");
 	if (!where->address && settings->peer.address &&
@@ -197,7 +197,7 @@
 	if (!settings->join)
 		settings->join = g_new0(char *, 1);
 	for (char **join = settings->join; *join; join++) {
-		if (!address_has_port(*join))
+		if (!address_is_ip_port(*join))
 			schema_error(&peer, "join", "\"%s\" is not IP:PORT",
 				     *join);
 	}
@@ -232,7 +232,7 @@
 	if (settings->platform_url) {
 		rest = settings->platform_url;
 		if (!g_str_has_prefix(rest, "http://") ||
-		    !address_has_port(rest + strlen("http://")))
+		    !address_is_ip_port(rest + strlen("http://")))
 			schema_error(&platform, "url",
 				     "\"http://IP:PORT\" is expected");
 	}
--- a/comfreydockd/upstream/attempts.c
+++ b/comfreydockd/upstream/attempts.c
@@ -11,14 +11,13 @@
 #include "common/tally.h"
 
 /* Into the time line and the log, with the attempt's number and entry. */
-#define attempt_note(attempt, event, ...)                                  \
-	timeline_note(&owner_daemon((attempt)->owner)->timeline,           \
-		      (attempt)->request->trace, event,                    \
-		      LOG_INT("seq", (attempt)->request->seq),             \
-		      LOG_STR("from", (attempt)->peer ?                    \
-					      peer_host((attempt)->peer) : \
-					      "-"),                        \
-		      __VA_ARGS__)
+#define attempt_note(attempt, event, ...)                                         \
+	timeline_log(&owner_daemon((attempt)->owner)->timeline,                   \
+		     (attempt)->request->trace, event,                            \
+		     LOG_INT("seq", (attempt)->request->seq),                     \
+		     LOG_STR("from",                                              \
+			     (attempt)->peer ? peer_host((attempt)->peer) : "-"), \
+		     __VA_ARGS__)
 
 void attempt_destroy(struct owner_attempt *attempt)
 {
@@ -135,8 +134,8 @@
 
 	attempt->head_us = clock_mono_us();
 	attempt->status = status;
-	latency_note_us(&latencies.owner_upstream,
-			attempt->head_us - attempt->started_us);
+	latency_record_us(&latencies.owner_upstream,
+			  attempt->head_us - attempt->started_us);
 	owner_note_answer(attempt->owner, fields);
 	attempt->verdict = attempt_judge(attempt, status, fields);
 	if (attempt->verdict != ANSWER_GOOD)
@@ -362,7 +361,7 @@
 		     LOG_INT("pace_age_us", owner_pace_age_us(attempt->owner)));
 	counters.owner_started++;
 	counters.gate_slow_starts += owner_is_slow(attempt->owner);
-	latency_note_us(&latencies.owner_waited, now - attempt->arrived_us);
+	latency_record_us(&latencies.owner_waited, now - attempt->arrived_us);
 	attempt_fill_fields(attempt, &fields, attempt->item.deadline_us - now);
 	attempt->run = run_create(owner_pool(attempt->owner), &run,
 				  (size_t)attempt->credit, &callbacks, attempt);
--- a/comfreydockd/upstream/crash.c
+++ b/comfreydockd/upstream/crash.c
@@ -114,11 +114,10 @@
 	const char *outcome = mark_run(owner, at, crash);
 	char content[KEY_TEXT_SIZE];
 
-	timeline_note(
-		&owner->daemon->timeline, run->trace, EV_OWNER_RAN_AT_CRASH,
-		LOG_STR("content", key_text(run->content, content)),
-		LOG_STR("outcome", outcome),
-		LOG_INT("ran_us", owner->crash.broken_us - run->started_us));
+	timeline_log(&owner->daemon->timeline, run->trace, EV_OWNER_RAN_AT_CRASH,
+		     LOG_STR("content", key_text(run->content, content)),
+		     LOG_STR("outcome", outcome),
+		     LOG_INT("ran_us", owner->crash.broken_us - run->started_us));
 }
 
 void crash_confirm(struct owner *owner, const char *by)
@@ -207,9 +206,9 @@
 	attempt->is_trial = true;
 	counters.quarantine_trials++;
 	quarantine_begin_trial(owner->daemon->quarantine, key);
-	timeline_note(&owner->daemon->timeline, attempt->request->trace,
-		      EV_QUARANTINE_TRIAL,
-		      LOG_STR("content", key_text(key, content)));
+	timeline_log(&owner->daemon->timeline, attempt->request->trace,
+		     EV_QUARANTINE_TRIAL,
+		     LOG_STR("content", key_text(key, content)));
 }
 
 bool crash_may_start(struct owner *owner, struct owner_attempt *attempt)
--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -232,7 +232,7 @@
 	owner->turn_is_due = false;
 	ev_timer_stop(loop, &owner->wake);
 	owner_turn(owner);
-	http_client_begin(owner->daemon->http);
+	http_client_flush(owner->daemon->http);
 }
 
 /* Of both timers: keeps the loop from waiting before handle_turn_end(). */
--- a/comfreydockd/upstream/probe.c
+++ b/comfreydockd/upstream/probe.c
@@ -118,7 +118,7 @@
 static int connect_to(const struct owner_announcement *announced)
 {
 	union socket_address to;
-	socklen_t size = address_fill(&to, announced->address, announced->port);
+	socklen_t size = address_parse(&to, announced->address, announced->port);
 	int fd = socket(to.any.sa_family,
 			SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 
--- a/common/address.c
+++ b/common/address.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <string.h>
 
-socklen_t address_fill(union socket_address *to, const char *text, uint16_t port)
+socklen_t address_parse(union socket_address *to, const char *text, uint16_t port)
 {
 	memset(to, 0, sizeof(*to));
 	if (inet_pton(AF_INET, text, &to->v4.sin_addr) == 1) {
@@ -20,8 +20,8 @@
 	return 0;
 }
 
-uint16_t address_read(const union socket_address *from,
-		      char text[ADDRESS_TEXT_SIZE])
+uint16_t address_unpack(const union socket_address *from,
+			char text[ADDRESS_TEXT_SIZE])
 {
 	if (from->any.sa_family == AF_INET) {
 		inet_ntop(AF_INET, &from->v4.sin_addr, text, ADDRESS_TEXT_SIZE);
@@ -31,17 +31,17 @@
 	return ntohs(from->v6.sin6_port);
 }
 
-bool address_is_ip_number(const char *text)
+bool address_is_ip(const char *text)
 {
 	union socket_address out;
 
-	return address_fill(&out, text, 0) != 0;
+	return address_parse(&out, text, 0) != 0;
 }
 
 bool address_is_loopback(const char *text)
 {
 	return strcmp(text, "::1") == 0 ||
-	       (g_str_has_prefix(text, "127.") && address_is_ip_number(text));
+	       (g_str_has_prefix(text, "127.") && address_is_ip(text));
 }
 
 bool address_is_any(const char *text)
@@ -55,7 +55,7 @@
 	       IN6_IS_ADDR_UNSPECIFIED(&in6);
 }
 
-bool address_has_port(const char *text)
+bool address_is_ip_port(const char *text)
 {
 	const char *colon = strrchr(text, ':');
 	guint64 port;
@@ -70,7 +70,7 @@
 		number = g_strndup(text + 1, (gsize)(colon - text - 2));
 	else
 		number = g_strndup(text, (gsize)(colon - text));
-	ok = address_is_ip_number(number) &&
+	ok = address_is_ip(number) &&
 	     (*text == '[') == (strchr(number, ':') != NULL);
 	g_free(number);
 	return ok;
--- a/common/freeze.c
+++ b/common/freeze.c
@@ -22,7 +22,7 @@
 
 /* A platform may hide /proc, or a kernel keep no such figures. It is not tried
  * again: a line at each tick would fill the log. */
-static int64_t schedstat_give_up(const char *why)
+static int64_t schedstat_disable(const char *why)
 {
 	schedstat_failed = true;
 	if (schedstat_fd >= 0)
@@ -45,16 +45,16 @@
 	if (schedstat_fd < 0)
 		schedstat_fd = open(SCHEDSTAT_PATH, O_RDONLY | O_CLOEXEC);
 	if (schedstat_fd < 0)
-		return schedstat_give_up(g_strerror(errno));
+		return schedstat_disable(g_strerror(errno));
 	size = pread(schedstat_fd, text, sizeof(text) - 1, 0);
 	if (size < 0)
-		return schedstat_give_up(g_strerror(errno));
+		return schedstat_disable(g_strerror(errno));
 	text[size] = '\0';
 	if (sscanf(text, "%*u %" SCNd64 " %" SCNd64, &waited_ns, &turns) != 2)
-		return schedstat_give_up("not of the known form");
+		return schedstat_disable("not of the known form");
 	/* This thread runs: a kernel that counted would know a turn of it. */
 	if (turns <= 0)
-		return schedstat_give_up("the kernel counts nothing");
+		return schedstat_disable("the kernel counts nothing");
 	return waited_ns / NS_PER_US;
 }
 
--- a/common/http_client.c
+++ b/common/http_client.c
@@ -6,7 +6,7 @@
 #define DEFAULT_TIMEOUT_MS 5000
 #define DEFAULT_CONNECT_TIMEOUT_MS 1000
 /* More than an upstream takes in all. */
-#define KEPT_CONNECTIONS 1024L
+#define IDLE_CONNECTIONS_MAX 1024L
 
 struct http_pending {
 	LIST_ENTRY(http_pending) link;
@@ -23,7 +23,7 @@
 	struct ev_loop *loop;
 	CURLM *multi;
 	ev_timer timer;
-	bool has_new; /* transfers that libcurl has not looked at */
+	bool has_unstarted; /* transfers that libcurl has not looked at */
 	LIST_HEAD(, http_pending) pending;
 };
 
@@ -128,7 +128,8 @@
 	LIST_INIT(&client->pending);
 	/* By default libcurl keeps four connections for each transfer that
 	 * runs at this moment: after each lull they would be made anew. */
-	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS, KEPT_CONNECTIONS);
+	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS,
+			  IDLE_CONNECTIONS_MAX);
 	curl_multi_setopt(client->multi, CURLMOPT_SOCKETFUNCTION,
 			  handle_set_socket);
 	curl_multi_setopt(client->multi, CURLMOPT_SOCKETDATA, client);
@@ -177,16 +178,16 @@
 	}
 	curl_easy_setopt(transfer->easy, CURLOPT_PRIVATE, transfer);
 	curl_multi_add_handle(client->multi, transfer->easy);
-	client->has_new = true;
+	client->has_unstarted = true;
 }
 
-void http_client_begin(struct http_client *client)
+void http_client_flush(struct http_client *client)
 {
 	int running;
 
-	if (!client->has_new)
+	if (!client->has_unstarted)
 		return;
-	client->has_new = false;
+	client->has_unstarted = false;
 	curl_multi_socket_action(client->multi, CURL_SOCKET_TIMEOUT, 0, &running);
 	report_done(client);
 }
@@ -286,7 +287,7 @@
 			 call->connect_timeout_ms ? call->connect_timeout_ms :
 						    DEFAULT_CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_LOW_SPEED_LIMIT, 1L);
-	curl_easy_setopt(easy, CURLOPT_LOW_SPEED_TIME, call->quiet_s);
+	curl_easy_setopt(easy, CURLOPT_LOW_SPEED_TIME, call->stall_timeout_s);
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, handle_body);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, pending);
 	set_headers(pending, call->headers);
--- a/common/http_server.c
+++ b/common/http_server.c
@@ -146,7 +146,7 @@
 
 /* Connections that the kernel has taken already; to close their queue would
  * reset them. */
-static void accept_rest(struct http_server *server, int listen_fd)
+static void accept_queued(struct http_server *server, int listen_fd)
 {
 	struct sockaddr_storage address;
 	socklen_t size = sizeof(address);
@@ -170,7 +170,7 @@
 	listen_fd = MHD_quiesce_daemon(server->daemon);
 	if (listen_fd == MHD_INVALID_SOCKET)
 		return;
-	accept_rest(server, listen_fd);
+	accept_queued(server, listen_fd);
 	/* Open, it would take connections that nobody reads. */
 	close(listen_fd);
 	http_server_wake(server);
--- a/common/id.c
+++ b/common/id.c
@@ -6,19 +6,19 @@
 #include <sys/random.h>
 
 /* Up to 256 bytes are never cut short once the kernel's pool is ready. */
-#define STOCK 32
+#define POOL_SIZE 32
 
 uint64_t id_random_u64(void)
 {
-	static uint64_t stock[STOCK];
+	static uint64_t pool[POOL_SIZE];
 	static unsigned int left;
 
 	if (left == 0) {
-		if (getrandom(stock, sizeof(stock), 0) != sizeof(stock))
+		if (getrandom(pool, sizeof(pool), 0) != sizeof(pool))
 			abort();
-		left = STOCK;
+		left = POOL_SIZE;
 	}
-	return stock[--left];
+	return pool[--left];
 }
 
 void id_random(char text[ID_TEXT_SIZE])
--- a/common/json_cut.c
+++ b/common/json_spans.c
@@ -1,15 +1,15 @@
-#include "common/json_cut.h"
+#include "common/json_spans.h"
 
 #include <string.h>
 #include <xxhash.h>
 
 #define DEPTH_MAX 32 /* of brackets, as json-c has it */
 
-struct cutter {
+struct span_scanner {
 	const char *at;
 	const char *end;
-	const char *shape;
-	size_t shape_depth;
+	const char *nesting;
+	size_t nesting_depth;
 	char open[DEPTH_MAX];
 	size_t depth;
 	const char *object; /* begins here; NULL: not in one of the lists */
@@ -27,70 +27,70 @@
 }
 
 /* Stands on the first quote; steps past the last. */
-static bool skip_string(struct cutter *cutter)
+static bool skip_string(struct span_scanner *scanner)
 {
-	const char *start = cutter->at + 1;
+	const char *start = scanner->at + 1;
 	const char *quote = start;
 
 	do {
-		quote = memchr(quote, '"', (size_t)(cutter->end - quote));
+		quote = memchr(quote, '"', (size_t)(scanner->end - quote));
 		if (!quote)
 			return false;
-		cutter->at = ++quote;
+		scanner->at = ++quote;
 	} while (is_escaped(start, quote - 1));
 	return true;
 }
 
-static bool is_in_list(const struct cutter *cutter)
+static bool is_in_named_list(const struct span_scanner *scanner)
 {
-	return cutter->depth == cutter->shape_depth &&
-	       memcmp(cutter->open, cutter->shape, cutter->depth) == 0;
+	return scanner->depth == scanner->nesting_depth &&
+	       memcmp(scanner->open, scanner->nesting, scanner->depth) == 0;
 }
 
-static bool open_bracket(struct cutter *cutter)
+static bool open_bracket(struct span_scanner *scanner)
 {
-	if (cutter->depth == DEPTH_MAX)
+	if (scanner->depth == DEPTH_MAX)
 		return false;
-	if (*cutter->at == '{' && is_in_list(cutter))
-		cutter->object = cutter->at;
-	cutter->open[cutter->depth++] = *cutter->at++;
+	if (*scanner->at == '{' && is_in_named_list(scanner))
+		scanner->object = scanner->at;
+	scanner->open[scanner->depth++] = *scanner->at++;
 	return true;
 }
 
-static bool close_bracket(struct cutter *cutter)
+static bool close_bracket(struct span_scanner *scanner)
 {
-	char open = *cutter->at == '}' ? '{' : '[';
-	struct json_span span = {.at = cutter->object};
+	char open = *scanner->at == '}' ? '{' : '[';
+	struct json_span span = {.at = scanner->object};
 
-	if (cutter->depth == 0 || cutter->open[--cutter->depth] != open)
+	if (scanner->depth == 0 || scanner->open[--scanner->depth] != open)
 		return false;
-	cutter->at++;
-	if (cutter->object && cutter->depth == cutter->shape_depth) {
-		span.size = (size_t)(cutter->at - span.at);
-		g_array_append_val(cutter->spans, span);
-		cutter->object = NULL;
+	scanner->at++;
+	if (scanner->object && scanner->depth == scanner->nesting_depth) {
+		span.size = (size_t)(scanner->at - span.at);
+		g_array_append_val(scanner->spans, span);
+		scanner->object = NULL;
 	}
 	return true;
 }
 
-static bool step(struct cutter *cutter)
+static bool step(struct span_scanner *scanner)
 {
-	switch (*cutter->at) {
+	switch (*scanner->at) {
 	case '"':
-		return skip_string(cutter);
+		return skip_string(scanner);
 	case '{':
 	case '[':
-		return open_bracket(cutter);
+		return open_bracket(scanner);
 	case '}':
 	case ']':
-		return close_bracket(cutter);
+		return close_bracket(scanner);
 	case '\'':
 	case '/':
 	case '-':
 	case '\0':
 		return false;
 	default:
-		cutter->at++;
+		scanner->at++;
 		return true;
 	}
 }
@@ -102,26 +102,27 @@
 	return at == end;
 }
 
-bool json_cut(const char *text, size_t size, const char *shape, GArray *spans)
+bool json_spans_find(const char *text, size_t size, const char *nesting,
+		     GArray *spans)
 {
-	struct cutter cutter = {
+	struct span_scanner scanner = {
 		.at = text,
 		.end = text + size,
-		.shape = shape,
-		.shape_depth = strlen(shape),
+		.nesting = nesting,
+		.nesting_depth = strlen(nesting),
 		.spans = spans,
 	};
 
 	if (size == 0 || *text != '{')
 		return false;
 	do {
-		if (!step(&cutter))
+		if (!step(&scanner))
 			return false;
-	} while (cutter.depth > 0 && cutter.at < cutter.end);
-	return cutter.depth == 0 && is_blank(cutter.at, cutter.end);
+	} while (scanner.depth > 0 && scanner.at < scanner.end);
+	return scanner.depth == 0 && is_blank(scanner.at, scanner.end);
 }
 
-GString *json_cut_rest(const char *text, size_t size, const GArray *spans)
+GString *json_spans_replace(const char *text, size_t size, const GArray *spans)
 {
 	GString *rest = g_string_new(NULL);
 	const char *at = text;
--- a/common/jsonc.c
+++ b/common/jsonc.c
@@ -208,7 +208,7 @@
 		if (json_tokener_get_error(tokener) != json_tokener_continue)
 			break;
 		fed += step;
-		slice_pause();
+		slice_yield();
 	}
 	return root;
 }
@@ -253,40 +253,41 @@
 	return doc;
 }
 
-struct jsonc_doc *jsonc_parse_cut(const char *file, const char *text,
-				  const char *shape, struct findings *findings)
+struct jsonc_doc *jsonc_parse_without_items(const char *file, const char *text,
+					    const char *nesting,
+					    struct findings *findings)
 {
 	GArray *spans = g_array_new(FALSE, FALSE, sizeof(struct json_span));
 	size_t size = strlen(text);
 	struct jsonc_doc *doc;
 	GString *rest;
 
-	if (!json_cut(text, size, shape, spans)) {
+	if (!json_spans_find(text, size, nesting, spans)) {
 		g_array_unref(spans);
 		return jsonc_parse_accepted(file, text, findings);
 	}
-	rest = json_cut_rest(text, size, spans);
+	rest = json_spans_replace(text, size, spans);
 	doc = jsonc_parse_accepted(file, rest->str, findings);
 	g_string_free(rest, TRUE);
 	if (doc)
-		doc->cut = spans;
+		doc->omitted = spans;
 	else
 		g_array_unref(spans);
 	return doc;
 }
 
-const struct json_span *jsonc_cut_item(const struct jsonc_doc *doc,
-				       json_object *item)
+const struct json_span *jsonc_omitted_item(const struct jsonc_doc *doc,
+					   json_object *item)
 {
 	int64_t number;
 
-	if (!doc->cut || !json_object_is_type(item, json_type_int))
+	if (!doc->omitted || !json_object_is_type(item, json_type_int))
 		return NULL;
 	/* No other number below 0 is left where a text was cut. */
 	number = json_object_get_int64(item);
-	if (number >= 0 || -(number + 1) >= (int64_t)doc->cut->len)
+	if (number >= 0 || -(number + 1) >= (int64_t)doc->omitted->len)
 		return NULL;
-	return &g_array_index(doc->cut, struct json_span, -(number + 1));
+	return &g_array_index(doc->omitted, struct json_span, -(number + 1));
 }
 
 struct jsonc_doc *jsonc_parse(const char *file, const char *text,
@@ -317,7 +318,7 @@
 		return;
 	json_object_put(doc->root);
 	g_clear_pointer(&doc->lines, g_hash_table_destroy);
-	g_clear_pointer(&doc->cut, g_array_unref);
+	g_clear_pointer(&doc->omitted, g_array_unref);
 	g_free(doc->file);
 	g_free(doc);
 }
--- a/common/latency.c
+++ b/common/latency.c
@@ -9,7 +9,7 @@
 	50000, 100000, 200000, 300000, 500000, 1000000, 2500000, 10000000,
 };
 
-void latency_note_us(struct latency *latency, int64_t us)
+void latency_record_us(struct latency *latency, int64_t us)
 {
 	int64_t took_us = MAX(us, 0);
 	size_t at = 0;
@@ -34,17 +34,17 @@
 			   const struct latency *latency)
 {
 	char number[G_ASCII_DTOSTR_BUF_SIZE];
-	uint64_t upto = 0;
+	uint64_t cumulative = 0;
 
 	g_string_append_printf(text,
 			       "# HELP comfreydock_%s_seconds %s\n"
 			       "# TYPE comfreydock_%s_seconds histogram\n",
 			       name, help, name);
 	for (size_t i = 0; i < G_N_ELEMENTS(bounds_us); i++) {
-		upto += latency->buckets[i];
+		cumulative += latency->buckets[i];
 		g_ascii_formatd(number, sizeof(number), "%g",
 				(double)bounds_us[i] / US_PER_S);
-		append_bucket(text, name, number, upto);
+		append_bucket(text, name, number, cumulative);
 	}
 	append_bucket(text, name, "+Inf", latency->count);
 	g_ascii_formatd(number, sizeof(number), "%.6f",
--- a/common/log.c
+++ b/common/log.c
@@ -10,7 +10,7 @@
 #include "common/counters.h"
 
 /* Event numbers lie between 1000 and 1999. */
-#define RATES 1000
+#define EVENT_NUMBERS 1000
 /* Of one event, where it is a belief: a host that flaps must not take the
  * lines of all others. */
 #define BELIEF_LINES_PER_S 50
@@ -28,13 +28,13 @@
 	int64_t second;
 	unsigned int lines; /* in this second */
 	unsigned int bytes;
-	unsigned int routine_asked; /* lines that wanted to be written */
+	unsigned int routine_requested; /* lines that wanted to be written */
 	double routine_share; /* of the requests, drawn by their trace */
 	bool has_dropped;
-	bool collects;
-	bool is_told; /* what was left out: no line may lead to another */
+	bool is_buffering;
+	bool is_reporting_dropped; /* what was left out: no line may lead to another */
 	GString *buffer;
-	struct log_rate rates[RATES];
+	struct log_rate rates[EVENT_NUMBERS];
 } state = {
 	.format = LOG_FORMAT_TEXT,
 	.lines_per_s = LOG_LINES_PER_S,
@@ -151,7 +151,7 @@
 }
 
 /* Whole lines only: half of one would spoil the next. */
-static void drop_rest(void)
+static void drop_unread_lines(void)
 {
 	/* The line that was begun is kept, to be ended later. */
 	char *end = strchr(state.buffer->str, '\n');
@@ -175,12 +175,12 @@
 	else if (written < 0 && errno != EAGAIN && errno != EINTR)
 		g_string_truncate(state.buffer, 0); /* nobody reads */
 	if (state.buffer->len > LOG_BUFFER_BYTES)
-		drop_rest();
+		drop_unread_lines();
 }
 
-void log_collect(void)
+void log_enable_buffering(void)
 {
-	state.collects = true;
+	state.is_buffering = true;
 }
 
 /* Lines reach the writer rendered; whatever GLib itself warns of does not. */
@@ -199,7 +199,7 @@
 		state.buffer = g_string_new(NULL);
 	g_string_append(state.buffer, message);
 	g_string_append_c(state.buffer, '\n');
-	if (!state.collects || state.buffer->len > LOG_BUFFER_BYTES ||
+	if (!state.is_buffering || state.buffer->len > LOG_BUFFER_BYTES ||
 	    (level & G_LOG_FLAG_FATAL))
 		log_flush();
 	return G_LOG_WRITER_HANDLED;
@@ -226,22 +226,22 @@
 }
 
 /* One line for each event that was cut short. */
-static void tell_dropped(void)
+static void report_dropped(void)
 {
 	state.has_dropped = false;
-	state.is_told = true;
-	for (unsigned int i = 0; i < RATES; i++) {
+	state.is_reporting_dropped = true;
+	for (unsigned int i = 0; i < EVENT_NUMBERS; i++) {
 		struct log_rate *rate = &state.rates[i];
 
 		if (rate->dropped)
 			log_event(EV_LOG_SUPPRESSED,
 				  LOG_STR("event", log_event_name((enum event)(
-							   i + RATES))),
+							   i + EVENT_NUMBERS))),
 				  LOG_INT("lines", rate->dropped));
 		counters.log_lines_left_out += rate->dropped;
 		rate->dropped = 0;
 	}
-	state.is_told = false;
+	state.is_reporting_dropped = false;
 }
 
 /* How many of the requests fit into the share of the routine, by what there was
@@ -249,10 +249,10 @@
 static void adapt_routine_share(void)
 {
 	double allowed = state.lines_per_s * LOG_ROUTINE_SHARE;
-	double asked = state.routine_asked;
+	double asked = state.routine_requested;
 
 	state.routine_share = asked > allowed ? allowed / asked : 1.0;
-	state.routine_asked = 0;
+	state.routine_requested = 0;
 }
 
 static void begin_second(int64_t second)
@@ -260,11 +260,11 @@
 	state.second = second;
 	state.lines = 0;
 	state.bytes = 0;
-	for (unsigned int i = 0; i < RATES; i++)
+	for (unsigned int i = 0; i < EVENT_NUMBERS; i++)
 		state.rates[i].lines = 0;
 	adapt_routine_share();
 	if (state.has_dropped)
-		tell_dropped();
+		report_dropped();
 }
 
 static const char *find_trace(const struct log_field *fields)
@@ -278,7 +278,7 @@
 
 /* The same at each daemon: whichever has the least share writes a part of what
  * the others write. */
-static bool trace_is_drawn(const char *trace)
+static bool trace_is_sampled(const char *trace)
 {
 	return !trace || g_str_hash(trace) * 2654435761u <=
 				 state.routine_share * (double)G_MAXUINT32;
@@ -292,7 +292,8 @@
 
 static bool is_allowed(enum event id, const struct log_field *fields)
 {
-	const struct log_rate *rate = &state.rates[(unsigned int)id % RATES];
+	const struct log_rate *rate =
+		&state.rates[(unsigned int)id % EVENT_NUMBERS];
 
 	switch (log_event_class(id)) {
 	case LOG_CLASS_BELIEF:
@@ -300,8 +301,8 @@
 	case LOG_CLASS_FAILURE:
 		return has_budget(LOG_FAILURE_SHARE);
 	case LOG_CLASS_ROUTINE:
-		state.routine_asked++;
-		return trace_is_drawn(find_trace(fields)) &&
+		state.routine_requested++;
+		return trace_is_sampled(find_trace(fields)) &&
 		       has_budget(LOG_ROUTINE_SHARE);
 	}
 	return true;
@@ -310,10 +311,10 @@
 /* RETURN VALUE: false where this event has had its part of this second. */
 static bool take_budget(enum event id, const struct log_field *fields)
 {
-	struct log_rate *rate = &state.rates[(unsigned int)id % RATES];
+	struct log_rate *rate = &state.rates[(unsigned int)id % EVENT_NUMBERS];
 	int64_t second = clock_mono_us() / US_PER_S;
 
-	if (state.second != second && !state.is_told)
+	if (state.second != second && !state.is_reporting_dropped)
 		begin_second(second);
 	if (id == EV_LOG_SUPPRESSED || is_allowed(id, fields)) {
 		rate->lines++;
--- a/common/schema.c
+++ b/common/schema.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-#define NEAR_MAX 3 /* edits up to which a name is worth suggesting */
+#define SUGGESTION_MAX_EDITS \
+	3 /* edits up to which a name is worth suggesting */
 #define NAME_MAX_BYTES 63
 
 #define NO_INDEX (-1)
@@ -88,7 +89,7 @@
 
 const char *schema_nearest(const char *word, const GPtrArray *names)
 {
-	size_t best = MIN(NEAR_MAX, strlen(word) / 2) + 1;
+	size_t best = MIN(SUGGESTION_MAX_EDITS, strlen(word) / 2) + 1;
 	const char *nearest = NULL;
 
 	for (guint i = 0; i < names->len; i++) {
@@ -197,7 +198,7 @@
 	child->parent = parent;
 	child->key = key;
 	child->index = (int)index;
-	if (!object && !jsonc_cut_item(parent->doc, item))
+	if (!object && !jsonc_omitted_item(parent->doc, item))
 		schema_error(child, NULL, "an object is expected");
 	return object;
 }
--- a/common/slice.c
+++ b/common/slice.c
@@ -8,7 +8,7 @@
 	void *data;
 };
 
-struct slices {
+struct slice_queue {
 	struct ev_loop *loop;
 	ev_timer timer;
 	GQueue jobs;
@@ -16,7 +16,7 @@
 };
 
 /* Whose job runs; NULL: none does. */
-static struct slices *running;
+static struct slice_queue *running;
 
 static void job_free(struct job *job)
 {
@@ -26,15 +26,15 @@
 
 static void handle_timer(struct ev_loop *loop, ev_timer *timer, int events)
 {
-	struct slices *slices = timer->data;
+	struct slice_queue *slice_queue = timer->data;
 	struct job *job;
 
 	(void)events;
 	if (running)
 		return; /* it goes on with the queue */
-	running = slices;
-	while ((job = g_queue_pop_head(&slices->jobs))) {
-		slices->began_us = clock_mono_us();
+	running = slice_queue;
+	while ((job = g_queue_pop_head(&slice_queue->jobs))) {
+		slice_queue->began_us = clock_mono_us();
 		job->run(job->data);
 		job_free(job);
 	}
@@ -42,35 +42,35 @@
 	ev_timer_stop(loop, timer);
 }
 
-struct slices *slices_create(struct ev_loop *loop)
+struct slice_queue *slice_queue_create(struct ev_loop *loop)
 {
-	struct slices *slices = g_new0(struct slices, 1);
+	struct slice_queue *slice_queue = g_new0(struct slice_queue, 1);
 
-	slices->loop = loop;
-	g_queue_init(&slices->jobs);
-	ev_init(&slices->timer, handle_timer);
-	slices->timer.data = slices;
-	return slices;
+	slice_queue->loop = loop;
+	g_queue_init(&slice_queue->jobs);
+	ev_init(&slice_queue->timer, handle_timer);
+	slice_queue->timer.data = slice_queue;
+	return slice_queue;
 }
 
-void slices_destroy(struct slices *slices)
+void slice_queue_destroy(struct slice_queue *slice_queue)
 {
 	struct job *job;
 
-	if (!slices)
+	if (!slice_queue)
 		return;
-	ev_timer_stop(slices->loop, &slices->timer);
-	while ((job = g_queue_pop_head(&slices->jobs)))
+	ev_timer_stop(slice_queue->loop, &slice_queue->timer);
+	while ((job = g_queue_pop_head(&slice_queue->jobs)))
 		job_free(job);
-	g_free(slices);
+	g_free(slice_queue);
 }
 
-void slices_add(struct slices *slices, void (*run)(void *data),
-		GDestroyNotify free_data, void *data)
+void slice_queue_add(struct slice_queue *slice_queue, void (*run)(void *data),
+		     GDestroyNotify free_data, void *data)
 {
 	struct job *job;
 
-	if (!slices) {
+	if (!slice_queue) {
 		run(data);
 		free_data(data);
 		return;
@@ -79,14 +79,14 @@
 	job->run = run;
 	job->free_data = free_data;
 	job->data = data;
-	g_queue_push_tail(&slices->jobs, job);
-	if (ev_is_active(&slices->timer) || running == slices)
+	g_queue_push_tail(&slice_queue->jobs, job);
+	if (ev_is_active(&slice_queue->timer) || running == slice_queue)
 		return;
-	ev_timer_set(&slices->timer, 0.0, 0.0);
-	ev_timer_start(slices->loop, &slices->timer);
+	ev_timer_set(&slice_queue->timer, 0.0, 0.0);
+	ev_timer_start(slice_queue->loop, &slice_queue->timer);
 }
 
-void slice_pause(void)
+void slice_yield(void)
 {
 	if (!running || clock_mono_us() - running->began_us < SLICE_US)
 		return;
--- a/common/socket.c
+++ b/common/socket.c
@@ -45,7 +45,7 @@
 static int open_stream(const char *text, uint16_t port,
 		       union socket_address *address, socklen_t *size)
 {
-	*size = address_fill(address, text, port);
+	*size = address_parse(address, text, port);
 	errno = EINVAL;
 	if (!*size)
 		return -1;
@@ -74,14 +74,14 @@
 	    listen(fd, LISTEN_BACKLOG) < 0 ||
 	    getsockname(fd, &address.any, &size) < 0)
 		return close_failed(fd);
-	*bound = address_read(&address, number);
+	*bound = address_unpack(&address, number);
 	return fd;
 }
 
 static bool is_free_for_udp(const char *text, uint16_t port)
 {
 	union socket_address address;
-	socklen_t size = address_fill(&address, text, port);
+	socklen_t size = address_parse(&address, text, port);
 	int fd = socket(address.any.sa_family, SOCK_DGRAM | SOCK_CLOEXEC, 0);
 	bool free = fd >= 0 && bind(fd, &address.any, size) == 0;
 
@@ -90,7 +90,7 @@
 	return free;
 }
 
-int socket_listen_both(const char *text, uint16_t port, uint16_t *bound)
+int socket_listen_udp_free(const char *text, uint16_t port, uint16_t *bound)
 {
 	int fd = socket_listen(text, port, bound);
 
--- a/common/timeline.c
+++ b/common/timeline.c
@@ -50,8 +50,8 @@
 	va_end(args);
 }
 
-void timeline_note_fields(struct timeline *timeline, const char *trace,
-			  enum event id, const struct log_field *fields)
+void timeline_log_fields(struct timeline *timeline, const char *trace,
+			 enum event id, const struct log_field *fields)
 {
 	char note[TIMELINE_NOTE_MAX] = "";
 	size_t used = 0;
--- a/common/trace.c
+++ b/common/trace.c
@@ -33,7 +33,7 @@
 	return strncmp(trace, hash, HASH_DIGITS) == 0;
 }
 
-bool trace_is_sound(const char *trace)
+bool trace_is_valid(const char *trace)
 {
 	size_t length = trace ? strlen(trace) : 0;
 
@@ -46,7 +46,7 @@
 	return true;
 }
 
-bool trace_names_host(const char *trace)
+bool trace_has_host_form(const char *trace)
 {
 	if (strlen(trace) != TRACE_LENGTH || trace[HASH_DIGITS] != '-')
 		return false;
--- a/include/comfreydockctl/ctl.h
+++ b/include/comfreydockctl/ctl.h
@@ -25,7 +25,7 @@
 	CTL_CONFLICT = 3, /* somebody else's version is in force */
 	CTL_UNKNOWN = 4, /* whether it took effect isn't known yet */
 	CTL_FAILED = 5, /* no daemon answered, or it answered with an error */
-	CTL_NOT_EVERYWHERE = 6, /* --wait ended before all daemons followed */
+	CTL_WAIT_TIMED_OUT = 6, /* --wait ended before all daemons followed */
 };
 
 struct ctl {
@@ -83,7 +83,7 @@
  * GETs or POSTs one path of the daemon and prints why on failure.
  * RETURN VALUE: the answer as JSON, or NULL.
  */
-json_object *ctl_ask(struct ctl *ctl, const char *method, const char *path);
+json_object *ctl_request(struct ctl *ctl, const char *method, const char *path);
 
 /*
  * Prints an answer as JSON, or by print where that was not asked for, and puts
@@ -94,17 +94,17 @@
 
 /* All pages of the daemon's list of hosts, as one object with "hosts".
  * RETURN VALUE: NULL after a complaint; else the caller puts it. */
-json_object *ctl_ask_hosts(struct ctl *ctl);
+json_object *ctl_fetch_hosts(struct ctl *ctl);
 
 /*
  * The base URLs of the admin APIs of this daemon and of all others that are
  * not known dead, this one first.
  * RETURN VALUE: an array of strings, or NULL after printing why.
  */
-GPtrArray *ctl_find_daemons(struct ctl *ctl);
+GPtrArray *ctl_list_daemon_urls(struct ctl *ctl);
 
 /* Prints "comfreydockctl: TEXT" on standard error. */
-void ctl_complain(const char *format, ...) G_GNUC_PRINTF(1, 2);
+void ctl_print_error(const char *format, ...) G_GNUC_PRINTF(1, 2);
 
 /* Prints the object as JSON and gives it up. */
 void ctl_print_json(json_object *root);
--- a/include/comfreydockd/caller/call.h
+++ b/include/comfreydockd/caller/call.h
@@ -166,9 +166,9 @@
 void call_note_room(struct entry_attempt *attempt, uint32_t bytes);
 
 /* Into the time line and the log. */
-#define call_note(call, event, ...)                                           \
-	timeline_note(&(call)->entry->daemon->timeline, (call)->trace, event, \
-		      __VA_ARGS__)
+#define call_note(call, event, ...)                                          \
+	timeline_log(&(call)->entry->daemon->timeline, (call)->trace, event, \
+		     __VA_ARGS__)
 
 const char *outcome_reason_name(Cfd__Reason reason);
 
--- a/include/comfreydockd/config/follow.h
+++ b/include/comfreydockd/config/follow.h
@@ -49,7 +49,7 @@
 #define CONFIG_FOLLOW_PAUSE_US (200 * 1000)
 
 struct config_follow;
-struct slices;
+struct slice_queue;
 
 struct config_follow_ops {
 	/* Rewrites a row's value as a namespace file; see
@@ -71,7 +71,7 @@
 	const char *key; /* "TABLE/REST" */
 	const char *namespace; /* of the file that read makes */
 	const struct config_follow_ops *ops;
-	struct slices *slices; /* for reading rows; NULL: at once */
+	struct slice_queue *slice_queue; /* for reading rows; NULL: at once */
 	uint64_t seed;
 };
 
--- a/include/comfreydockd/config/known_rules.h
+++ b/include/comfreydockd/config/known_rules.h
@@ -15,7 +15,7 @@
 #define COMFREYDOCKD_CONFIG_KNOWN_RULES_H
 
 #include "comfreydockd/config/model.h"
-#include "common/json_cut.h"
+#include "common/json_spans.h"
 
 /* RETURN VALUE: the rule with a reference for the caller, or NULL. */
 struct config_rule *config_known_rules_find(const struct json_span *text);
--- a/include/comfreydockd/config/spread.h
+++ b/include/comfreydockd/config/spread.h
@@ -55,7 +55,7 @@
 #define CONFIG_SPREAD_ANSWERS_PER_S 20
 
 struct config_spread;
-struct slices;
+struct slice_queue;
 
 struct config_spread_ops {
 	/* Sends a question to a live member; its answer, if it comes, goes to
@@ -76,7 +76,7 @@
 	const struct config_platform_ops *platform_ops; /* NULL: no platform */
 	void *platform;
 	const struct config_spread_ops *ops;
-	struct slices *slices; /* for reading large bodies; NULL: at once */
+	struct slice_queue *slice_queue; /* for reading large bodies; NULL: at once */
 	uint64_t seed;
 };
 
--- a/include/comfreydockd/config/spread_internal.h
+++ b/include/comfreydockd/config/spread_internal.h
@@ -79,7 +79,7 @@
 	char object_sha256[65];
 
 	struct config_pieces pieces;
-	struct slices *slices;
+	struct slice_queue *slice_queue;
 
 	/* answers to others */
 	double answer_tokens;
--- a/include/comfreydockd/daemon.h
+++ b/include/comfreydockd/daemon.h
@@ -26,7 +26,7 @@
 struct platform;
 struct quarantine;
 struct settings;
-struct slices;
+struct slice_queue;
 
 struct daemon {
 	struct ev_loop *loop;
@@ -34,7 +34,7 @@
 	const struct headers *headers;
 	uint64_t incarnation;
 	struct timeline timeline;
-	struct slices *slices;
+	struct slice_queue *slice_queue;
 	struct http_client *http;
 	struct platform *platform;
 	struct member_table *members;
--- a/include/common/address.h
+++ b/include/common/address.h
@@ -24,17 +24,18 @@
 };
 
 /* RETURN VALUE: the address's size; 0 if the text is no IP number. */
-socklen_t address_fill(union socket_address *to, const char *text, uint16_t port);
+socklen_t address_parse(union socket_address *to, const char *text,
+			uint16_t port);
 
 /* RETURN VALUE: the port; text gets the IP number. */
-uint16_t address_read(const union socket_address *from,
-		      char text[ADDRESS_TEXT_SIZE]);
+uint16_t address_unpack(const union socket_address *from,
+			char text[ADDRESS_TEXT_SIZE]);
 
 /* Writes the IP number alone, or nothing. */
 void address_to_text(const struct sockaddr *address,
 		     char text[ADDRESS_TEXT_SIZE]);
 
-bool address_is_ip_number(const char *text);
+bool address_is_ip(const char *text);
 bool address_is_loopback(const char *text);
 
 /* All addresses of a host, as a listener binds them. */
@@ -45,6 +46,6 @@
 char *address_to_url(const char *number, uint16_t port, const char *path);
 
 /* "IP:PORT", an IPv6 number in brackets; the port is not 0. */
-bool address_has_port(const char *text);
+bool address_is_ip_port(const char *text);
 
 #endif
--- a/include/common/http_client.h
+++ b/include/common/http_client.h
@@ -42,7 +42,7 @@
 
 /* Begins what was started, without another turn of the loop. Not to be called
  * from a callback of libcurl. */
-void http_client_begin(struct http_client *client);
+void http_client_flush(struct http_client *client);
 
 /* Takes a running transfer out; handle_done is not called. */
 void http_client_stop(struct http_client *client, struct http_transfer *transfer);
@@ -72,7 +72,7 @@
 	size_t size;
 	long timeout_ms; /* 0: 5000 */
 	long connect_timeout_ms; /* 0: 1000 */
-	long quiet_s; /* given up after so long with nothing coming; 0: not so */
+	long stall_timeout_s; /* given up after so long with nothing coming; 0: not so */
 };
 
 struct http_pending;
--- a/include/common/jsonc.h
+++ b/include/common/jsonc.h
@@ -20,13 +20,13 @@
 #include <stdint.h>
 
 #include "common/findings.h"
-#include "common/json_cut.h"
+#include "common/json_spans.h"
 
 struct jsonc_doc {
 	char *file;
 	json_object *root;
 	GHashTable *lines; /* path to line; NULL: not kept */
-	GArray *cut; /* of struct json_span, not read; NULL: all is read */
+	GArray *omitted; /* of struct json_span, not read; NULL: all is read */
 };
 
 /* RETURN VALUE: NULL where the text has errors, all of them in findings. */
@@ -38,21 +38,22 @@
 struct jsonc_doc *jsonc_parse_accepted(const char *file, const char *text,
 				       struct findings *findings);
 
-/* The same without the objects of the lists that shape names, see json_cut; the
+/* The same without the objects of the lists that nesting names, see json_spans_find; the
  * text must outlive the document. Text that can't be cut is read as a whole. */
-struct jsonc_doc *jsonc_parse_cut(const char *file, const char *text,
-				  const char *shape, struct findings *findings);
+struct jsonc_doc *jsonc_parse_without_items(const char *file, const char *text,
+					    const char *nesting,
+					    struct findings *findings);
 
 /* RETURN VALUE: the text of a list's object that was not read, or NULL. */
-const struct json_span *jsonc_cut_item(const struct jsonc_doc *doc,
-				       json_object *item);
+const struct json_span *jsonc_omitted_item(const struct jsonc_doc *doc,
+					   json_object *item);
 void jsonc_doc_destroy(struct jsonc_doc *doc);
 
 /* RETURN VALUE: the line of the path, or of the nearest part above it. */
 int jsonc_line(const struct jsonc_doc *doc, const char *path);
 
 /*
- * json_tokener_parse_ex() in steps, with a slice_pause() after each.
+ * json_tokener_parse_ex() in steps, with a slice_yield() after each.
  *
  * RETURN VALUE: as there; *end is where the tokener stopped.
  */
--- a/include/common/latency.h
+++ b/include/common/latency.h
@@ -3,7 +3,7 @@
  *	latency - how long things took, for the metrics address
  *
  * DESCRIPTION
- *	latency_note_us(&latencies.owner_waited, now - arrived_us);
+ *	latency_record_us(&latencies.owner_waited, now - arrived_us);
  *
  *	One histogram for each line of latencies.def, in buckets from 100 us to
  *	10 s that grow by 2 to 2.5. A target of 200 ms and a deadline of 500 ms
@@ -32,7 +32,7 @@
 extern struct latencies latencies;
 
 /* A time below zero counts as zero. */
-void latency_note_us(struct latency *latency, int64_t us);
+void latency_record_us(struct latency *latency, int64_t us);
 
 /* Appends all histograms as Prometheus text. */
 void latencies_append_text(GString *text);
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -96,7 +96,7 @@
 void log_flush(void);
 
 /* From now on lines are collected until log_flush(). */
-void log_collect(void);
+void log_enable_buffering(void);
 
 /* The fixed name of an event, or "unknown". */
 const char *log_event_name(enum event id);
--- a/include/common/slice.h
+++ b/include/common/slice.h
@@ -1,10 +1,10 @@
 /*
  * NAME
- *	slice - long work in slices, between which the loop goes on
+ *	slice - long work in slice_queue, between which the loop goes on
  *
  * DESCRIPTION
  *	A job is run from a timer of its own, never from within somebody else's
- *	callback. Whatever takes long calls slice_pause() now and then: in a job,
+ *	callback. Whatever takes long calls slice_yield() now and then: in a job,
  *	after SLICE_US of work, it runs the loop once without waiting, so that
  *	what became readable or due meanwhile is handled. Elsewhere it does
  *	nothing.
@@ -28,17 +28,17 @@
 /* Calls wait for it at most; a turn of the loop costs a hundredth of it. */
 #define SLICE_US (5 * 1000)
 
-struct slices;
+struct slice_queue;
 
-struct slices *slices_create(struct ev_loop *loop);
+struct slice_queue *slice_queue_create(struct ev_loop *loop);
 
 /* Jobs that have not begun are freed. */
-void slices_destroy(struct slices *slices);
+void slice_queue_destroy(struct slice_queue *slice_queue);
 
-/* Without slices (NULL) the job runs at once. */
-void slices_add(struct slices *slices, void (*run)(void *data),
-		GDestroyNotify free_data, void *data);
+/* Without slice_queue (NULL) the job runs at once. */
+void slice_queue_add(struct slice_queue *slice_queue, void (*run)(void *data),
+		     GDestroyNotify free_data, void *data);
 
-void slice_pause(void);
+void slice_yield(void);
 
 #endif
--- a/include/common/socket.h
+++ b/include/common/socket.h
@@ -18,7 +18,7 @@
 int socket_listen(const char *text, uint16_t port, uint16_t *bound);
 
 /* The same, but a port that the kernel chooses is free for UDP as well. */
-int socket_listen_both(const char *text, uint16_t port, uint16_t *bound);
+int socket_listen_udp_free(const char *text, uint16_t port, uint16_t *bound);
 
 /* Begins to connect. */
 int socket_connect(const char *text, uint16_t port);
--- a/include/common/timeline.h
+++ b/include/common/timeline.h
@@ -49,15 +49,15 @@
  * The same, and a line in the log: the fields become the note, "key=value".
  * They end with a key of NULL.
  */
-#define timeline_note(timeline, trace, id, ...)              \
-	timeline_note_fields(                                \
+#define timeline_log(timeline, trace, id, ...)               \
+	timeline_log_fields(                                 \
 		(timeline), (trace), (id),                   \
 		(const struct log_field[]){LOG_TRACE(trace), \
 					   __VA_ARGS__ __VA_OPT__(, ){0}})
 
 /* The first field is the trace. */
-void timeline_note_fields(struct timeline *timeline, const char *trace,
-			  enum event id, const struct log_field *fields);
+void timeline_log_fields(struct timeline *timeline, const char *trace,
+			 enum event id, const struct log_field *fields);
 
 /* The time to put on a frame that leaves. */
 uint64_t timeline_now(struct timeline *timeline);
--- a/include/common/trace.h
+++ b/include/common/trace.h
@@ -20,9 +20,9 @@
 bool trace_is_from(const char *trace, const char *host);
 
 /* True if the id may be used: it ends up in logs and in queries. */
-bool trace_is_sound(const char *trace);
+bool trace_is_valid(const char *trace);
 
 /* True if the id has the form that trace_create() gives. */
-bool trace_names_host(const char *trace);
+bool trace_has_host_form(const char *trace);
 
 #endif
--- a/include/platform/control.h
+++ b/include/platform/control.h
@@ -22,7 +22,7 @@
 	bool (*is_ready)(void *data);
 	enum report_verdict (*take_report)(const struct report *report,
 					   void *data);
-	void (*take_leave)(const char *instance, void *data);
+	void (*take_deregistration)(const char *instance, void *data);
 	void *data;
 };
 
--- a/include/platform/store_era.h
+++ b/include/platform/store_era.h
@@ -32,7 +32,7 @@
  *
  * RETURN VALUE: true where a later one has begun.
  */
-bool store_era_note(struct store_era *era, uint64_t told);
+bool store_era_update(struct store_era *era, uint64_t told);
 
 uint64_t store_era_of(uint64_t version);
 
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -38,7 +38,7 @@
  * state that nobody knows, bytes that are no JSON. None of it may name an
  * upstream to use.
  */
-static void test_strange_reports_are_refused(void)
+static void test_invalid_reports_are_refused(void)
 {
 	static const char *const bad[] = {
 		"",
@@ -76,7 +76,7 @@
 	}
 }
 
-static void test_any_damage_ends_well(void)
+static void test_random_corruption_is_survived(void)
 {
 	for (int i = 0; i < 20000; i++) {
 		char text[] = GOOD;
@@ -117,7 +117,7 @@
 	return f->verdict;
 }
 
-static void take_leave(const char *instance, void *data)
+static void take_deregistration(const char *instance, void *data)
 {
 	g_string_append(((struct fixture *)data)->left, instance);
 }
@@ -155,7 +155,8 @@
 	f->loop = ev_loop_new(0);
 	f->http = http_client_create(f->loop);
 	f->left = g_string_new(NULL);
-	f->ops = (struct control_ops){is_ready, take_report, take_leave, f};
+	f->ops = (struct control_ops){is_ready, take_report,
+				      take_deregistration, f};
 	f->control = control_create(f->loop, &any, &any, &f->ops);
 	g_assert_nonnull(f->control);
 }
@@ -182,7 +183,7 @@
 
 /* A late report is acknowledged like any other: asked again it would only come
  * later still. One of a stranger is not. */
-static void test_reports_and_leaves(struct fixture *f, gconstpointer data)
+static void test_reports_and_deregistration(struct fixture *f, gconstpointer data)
 {
 	static const char path[] = "/comfreydock/instances/i-1/heartbeat";
 	uint16_t port = control_reports_port(f->control);
@@ -212,11 +213,12 @@
 	g_test_init(&argc, &argv, NULL);
 	log_init(LOG_FORMAT_NONE, "test");
 	g_test_add_func("/control/read", test_report_is_read);
-	g_test_add_func("/control/strange", test_strange_reports_are_refused);
-	g_test_add_func("/control/damage", test_any_damage_ends_well);
+	g_test_add_func("/control/invalid", test_invalid_reports_are_refused);
+	g_test_add_func("/control/corruption",
+			test_random_corruption_is_survived);
 	g_test_add("/control/ready", struct fixture, NULL, set_up,
 		   test_readiness, tear_down);
 	g_test_add("/control/reports", struct fixture, NULL, set_up,
-		   test_reports_and_leaves, tear_down);
+		   test_reports_and_deregistration, tear_down);
 	return g_test_run();
 }
--- a/tests/test_ctl.c
+++ b/tests/test_ctl.c
@@ -239,8 +239,8 @@
 
 /* The parts of daemons whose clocks differ come in any order, and one daemon
  * gave none: a reader who isn't told would look for the fault elsewhere. */
-static void test_timeline_is_sorted_and_its_gaps_named(struct fixture *f,
-						       gconstpointer unused)
+static void test_timeline_is_sorted_and_names_missing_daemons(struct fixture *f,
+							      gconstpointer unused)
 {
 	static const char *const names[] = {"early", "middle", "late"};
 	json_object *root;
@@ -351,7 +351,7 @@
 	ADD("/ctl/lost-daemon", test_lost_daemon_is_unknown);
 	ADD("/ctl/wait", test_wait_counts_daemons);
 	ADD("/ctl/drain", test_drain_waits);
-	ADD("/ctl/timeline", test_timeline_is_sorted_and_its_gaps_named);
+	ADD("/ctl/timeline", test_timeline_is_sorted_and_names_missing_daemons);
 	ADD("/ctl/timeline-from-logs", test_timeline_from_logs);
 	ADD("/ctl/failures", test_failures_are_summed_up);
 	return g_test_run();
--- a/tests/test_freeze.c
+++ b/tests/test_freeze.c
@@ -24,7 +24,7 @@
  * A loop that computes for long stands still as one that is stopped does. The
  * on-call engineer who can't tell them apart looks at the host in place of us.
  */
-static void test_long_turn(void)
+static void test_busy_loop(void)
 {
 	struct freeze_mark mark;
 	struct freeze_mark used;
@@ -40,7 +40,7 @@
 		g_assert_cmpint(used.cpu_us + used.waited_us, >=, PAUSE_US / 2);
 }
 
-static void test_asleep(void)
+static void test_sleeping(void)
 {
 	struct freeze_mark mark;
 	struct freeze_mark used;
@@ -166,8 +166,8 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/freeze/long-turn", test_long_turn);
-	g_test_add_func("/freeze/asleep", test_asleep);
+	g_test_add_func("/freeze/busy-loop", test_busy_loop);
+	g_test_add_func("/freeze/sleeping", test_sleeping);
 	g_test_add_func("/freeze/starved", test_starved);
 	g_test_add_func("/freeze/line", test_line);
 	g_test_add_func("/freeze/unreadable", test_unreadable);
--- a/tests/test_json_cut.c
+++ b/tests/test_json_spans.c
@@ -1,14 +1,14 @@
 #include <glib.h>
 #include <string.h>
 
-#include "common/json_cut.h"
+#include "common/json_spans.h"
 
-static char *cut(const char *text, const char *shape)
+static char *find_spans(const char *text, const char *nesting)
 {
 	GArray *spans = g_array_new(FALSE, FALSE, sizeof(struct json_span));
 	GString *found = g_string_new(NULL);
 
-	if (!json_cut(text, strlen(text), shape, spans))
+	if (!json_spans_find(text, strlen(text), nesting, spans))
 		g_string_append(found, "whole");
 	for (guint i = 0; i < spans->len && found->str[0] != 'w'; i++) {
 		const struct json_span *span =
@@ -20,9 +20,10 @@
 	return g_string_free(found, FALSE);
 }
 
-static void assert_cut(const char *text, const char *shape, const char *expected)
+static void assert_spans(const char *text, const char *nesting,
+			 const char *expected)
 {
-	char *found = cut(text, shape);
+	char *found = find_spans(text, nesting);
 
 	g_assert_cmpstr(found, ==, expected);
 	g_free(found);
@@ -30,11 +31,11 @@
 
 static void test_objects_of_lists_are_found(void)
 {
-	assert_cut("{\"a\": [{\"b\": [{}]}, 3, {}], \"c\": {\"d\": [{}]}}",
-		   "{[", "{\"b\": [{}]};{};");
-	assert_cut("{\"a\":{\"b\":{\"c\":[{\"d\":1},{\"e\":2}]}}} \n", "{{{[",
-		   "{\"d\":1};{\"e\":2};");
-	assert_cut("{}", "{[", "");
+	assert_spans("{\"a\": [{\"b\": [{}]}, 3, {}], \"c\": {\"d\": [{}]}}",
+		     "{[", "{\"b\": [{}]};{};");
+	assert_spans("{\"a\":{\"b\":{\"c\":[{\"d\":1},{\"e\":2}]}}} \n", "{{{[",
+		     "{\"d\":1};{\"e\":2};");
+	assert_spans("{}", "{[", "");
 }
 
 /*
@@ -43,12 +44,12 @@
  */
 static void test_brackets_in_strings_are_text(void)
 {
-	assert_cut("{\"a\":[{\"b\":\"}]\\\"{\"},{\"]\":\"\\\\\"}]}", "{[",
-		   "{\"b\":\"}]\\\"{\"};{\"]\":\"\\\\\"};");
+	assert_spans("{\"a\":[{\"b\":\"}]\\\"{\"},{\"]\":\"\\\\\"}]}", "{[",
+		     "{\"b\":\"}]\\\"{\"};{\"]\":\"\\\\\"};");
 }
 
 /* A parser that takes more than JSON sees other objects than the cut does. */
-static void test_what_may_mean_more_is_left_whole(void)
+static void test_extended_json_is_read_whole(void)
 {
 	static const char *const texts[] = {
 		"",
@@ -68,10 +69,10 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
-		assert_cut(texts[i], "{[", "whole");
+		assert_spans(texts[i], "{[", "whole");
 }
 
-static void test_deep_text_is_left_whole(void)
+static void test_deep_text_is_read_whole(void)
 {
 	GString *text = g_string_new("{\"a\":");
 
@@ -80,18 +81,18 @@
 	for (int i = 0; i < 40; i++)
 		g_string_append_c(text, ']');
 	g_string_append_c(text, '}');
-	assert_cut(text->str, "{[", "whole");
+	assert_spans(text->str, "{[", "whole");
 	g_string_free(text, TRUE);
 }
 
-static void test_rest_names_the_objects(void)
+static void test_replaced_text_numbers_the_objects(void)
 {
 	const char *text = "{\"a\": [{\"b\": 1}, {}], \"c\": 2}";
 	GArray *spans = g_array_new(FALSE, FALSE, sizeof(struct json_span));
 	GString *rest;
 
-	g_assert_true(json_cut(text, strlen(text), "{[", spans));
-	rest = json_cut_rest(text, strlen(text), spans);
+	g_assert_true(json_spans_find(text, strlen(text), "{[", spans));
+	rest = json_spans_replace(text, strlen(text), spans);
 	g_assert_cmpstr(rest->str, ==, "{\"a\": [ -1 ,  -2 ], \"c\": 2}");
 	g_string_free(rest, TRUE);
 	g_array_unref(spans);
@@ -100,10 +101,11 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/json_cut/lists", test_objects_of_lists_are_found);
-	g_test_add_func("/json_cut/strings", test_brackets_in_strings_are_text);
-	g_test_add_func("/json_cut/whole", test_what_may_mean_more_is_left_whole);
-	g_test_add_func("/json_cut/deep", test_deep_text_is_left_whole);
-	g_test_add_func("/json_cut/rest", test_rest_names_the_objects);
+	g_test_add_func("/json_spans/lists", test_objects_of_lists_are_found);
+	g_test_add_func("/json_spans/strings", test_brackets_in_strings_are_text);
+	g_test_add_func("/json_spans/whole", test_extended_json_is_read_whole);
+	g_test_add_func("/json_spans/deep", test_deep_text_is_read_whole);
+	g_test_add_func("/json_spans/replaced",
+			test_replaced_text_numbers_the_objects);
 	return g_test_run();
 }
--- a/tests/test_latency.c
+++ b/tests/test_latency.c
@@ -17,10 +17,10 @@
 {
 	GString *text = g_string_new(NULL);
 
-	latency_note_us(&latencies.owner_waited, 100);
-	latency_note_us(&latencies.owner_waited, 101);
-	latency_note_us(&latencies.owner_waited, 500000);
-	latency_note_us(&latencies.owner_waited, 500001);
+	latency_record_us(&latencies.owner_waited, 100);
+	latency_record_us(&latencies.owner_waited, 101);
+	latency_record_us(&latencies.owner_waited, 500000);
+	latency_record_us(&latencies.owner_waited, 500001);
 	latencies_append_text(text);
 	assert_line(text, "# TYPE comfreydock_owner_waited_seconds histogram");
 	assert_line(text,
@@ -46,7 +46,7 @@
 {
 	GString *text = g_string_new(NULL);
 
-	latency_note_us(&latencies.call_added, -5);
+	latency_record_us(&latencies.call_added, -5);
 	latencies_append_text(text);
 	assert_line(text, "comfreydock_call_added_seconds_sum 0.000000");
 	assert_line(text, "comfreydock_call_added_seconds_count 1");
@@ -54,11 +54,11 @@
 }
 
 /* Beyond the last bound it counts in +Inf alone. */
-static void test_beyond(void)
+static void test_above_last_bound(void)
 {
 	GString *text = g_string_new(NULL);
 
-	latency_note_us(&latencies.call_unknown, 60 * 1000 * 1000);
+	latency_record_us(&latencies.call_unknown, 60 * 1000 * 1000);
 	latencies_append_text(text);
 	assert_line(text,
 		    "comfreydock_call_unknown_seconds_bucket{le=\"10\"} 0");
@@ -72,6 +72,6 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/latency/buckets", test_buckets);
 	g_test_add_func("/latency/below-zero", test_below_zero);
-	g_test_add_func("/latency/beyond", test_beyond);
+	g_test_add_func("/latency/above-last-bound", test_above_last_bound);
 	return g_test_run();
 }
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -33,7 +33,7 @@
 	g_assert_cmpint(pipe2(f->pipe, O_NONBLOCK), ==, 0);
 	dup2(f->pipe[1], STDOUT_FILENO);
 	log_init(LOG_FORMAT_JSON, "test");
-	log_collect();
+	log_enable_buffering();
 	/* A second of its own for each test. */
 	paused_clock_advance_us(3 * US_PER_S);
 	log_event(EV_DAEMON_STARTED);
@@ -86,7 +86,7 @@
  * lost, and take the daemon's time. The routine is cut first, failures next, and
  * what was left out is told.
  */
-static void test_budget_keeps_what_matters(struct fixture *f, gconstpointer data)
+static void test_budget_drops_routine_first(struct fixture *f, gconstpointer data)
 {
 	(void)data;
 	for (unsigned int i = 0; i < 500; i++)
@@ -113,7 +113,7 @@
  * its own choice, no request could be followed. Above the budget whole requests
  * are drawn, by their id.
  */
-static void test_requests_are_drawn_whole(struct fixture *f, gconstpointer data)
+static void test_requests_are_sampled_whole(struct fixture *f, gconstpointer data)
 {
 	unsigned int whole = 0;
 	unsigned int parts = 0;
@@ -146,8 +146,8 @@
  * Whatever reads the log has stopped. The daemon must go on as if nobody had
  * asked for it, with no line cut in half once the reader is back.
  */
-static void test_stalled_reader_blocks_nobody(struct fixture *f,
-					      gconstpointer data)
+static void test_stalled_reader_does_not_block(struct fixture *f,
+					       gconstpointer data)
 {
 	uint64_t dropped = counters.log_lines_dropped;
 	char **lines;
@@ -176,8 +176,8 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	ADD("/log/json", test_lines_are_json);
-	ADD("/log/budget", test_budget_keeps_what_matters);
-	ADD("/log/whole-requests", test_requests_are_drawn_whole);
-	ADD("/log/stalled", test_stalled_reader_blocks_nobody);
+	ADD("/log/budget", test_budget_drops_routine_first);
+	ADD("/log/whole-requests", test_requests_are_sampled_whole);
+	ADD("/log/stalled", test_stalled_reader_does_not_block);
 	return g_test_run();
 }
--- a/tests/test_manifest.c
+++ b/tests/test_manifest.c
@@ -97,7 +97,7 @@
 }
 
 /* The operator lists routes in any order; the longest prefix must count. */
-static void test_longest_prefix_counts(void)
+static void test_longest_prefix_wins(void)
 {
 	uint64_t version;
 	struct config_snapshot *snapshot = load(
@@ -164,7 +164,7 @@
 
 /* Whatever parts of it are of another type: it is read or refused, and the
  * check of a file stands behind it. */
-static void test_any_damage_ends_well(void)
+static void test_random_corruption_is_survived(void)
 {
 	static const char whole[] = MANIFEST(
 		"\"r7\"", ROUTE("list", "idempotent", "/l/", TO("desk")));
@@ -244,7 +244,7 @@
 }
 
 /* The retry budget is set anew without a change of the row. */
-static void test_another_budget_is_written(void)
+static void test_changed_retry_budget_is_written(void)
 {
 	static const char row[] = MANIFEST("\"r1\"", LIST);
 	struct platform_manifest_reader *reader =
@@ -263,11 +263,12 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/manifest/routes", test_routes_become_rules);
-	g_test_add_func("/manifest/prefixes", test_longest_prefix_counts);
+	g_test_add_func("/manifest/prefixes", test_longest_prefix_wins);
 	g_test_add_func("/manifest/splits", test_splits_keep_their_weights);
 	g_test_add_func("/manifest/unreadable", test_unreadable_rows_are_refused);
-	g_test_add_func("/manifest/damage", test_any_damage_ends_well);
-	g_test_add_func("/manifest/known", test_body_follows_from_the_row_alone);
-	g_test_add_func("/manifest/budget", test_another_budget_is_written);
+	g_test_add_func("/manifest/corruption",
+			test_random_corruption_is_survived);
+	g_test_add_func("/manifest/cached", test_body_follows_from_the_row_alone);
+	g_test_add_func("/manifest/budget", test_changed_retry_budget_is_written);
 	return g_test_run();
 }
--- a/tests/test_platform_client.c
+++ b/tests/test_platform_client.c
@@ -192,7 +192,7 @@
 }
 
 /* A change is told at once to whoever watches its table; a deleted row as such. */
-static void test_watch_tells_changes(struct fixture *f, gconstpointer data)
+static void test_watch_reports_changes(struct fixture *f, gconstpointer data)
 {
 	struct platform_op delete = {PLATFORM_DELETE, "t/a", AT(1), NULL};
 
@@ -226,7 +226,7 @@
 
 /* Guards against a watch that goes on from a version of before the store was set
  * back, which now stands for another change or for none. */
-static void test_watch_of_before_ends(struct fixture *f, gconstpointer data)
+static void test_watch_from_older_era_ends(struct fixture *f, gconstpointer data)
 {
 	unsigned int restored = 0;
 
@@ -246,7 +246,8 @@
 
 /* Guards against a write on the condition of a version that was given out anew: it
  * would replace what nobody here has read. */
-static void test_conditions_of_before_fail(struct fixture *f, gconstpointer data)
+static void test_conditions_from_older_era_fail(struct fixture *f,
+						gconstpointer data)
 {
 	int64_t before;
 
@@ -265,7 +266,8 @@
 
 /* The store has dropped what changed: a watch that went on from there would
  * miss it without a word. */
-static void test_dropped_history_is_told(struct fixture *f, gconstpointer data)
+static void test_compacted_history_is_reported(struct fixture *f,
+					       gconstpointer data)
 {
 	(void)data;
 	put(f, "t/a", PLATFORM_ABSENT, "1");
@@ -364,7 +366,7 @@
 		g_string_new("{\"rows\":[{\"table\":\"t\",\"part\":\"\","
 			     "\"key\":\"a\",\"ver\":3,\"value\":\"");
 	uint16_t port = 0;
-	int fd = socket_listen_both("127.0.0.1", 0, &port);
+	int fd = socket_listen_udp_free("127.0.0.1", 0, &port);
 	char *url = g_strdup_printf("http://127.0.0.1:%u", port);
 
 	memset(trickle, 0, sizeof(*trickle));
@@ -403,7 +405,7 @@
  * would never come: a host that starts would have no configuration, and one that is
  * behind could not read it.
  */
-static void test_large_row_takes_its_time(struct fixture *f, gconstpointer data)
+static void test_large_row_may_take_seconds(struct fixture *f, gconstpointer data)
 {
 	struct trickle trickle;
 
@@ -417,7 +419,7 @@
 
 /* The store falls silent in the middle of a row. Whoever waits for it is told in time
  * to ask again. */
-static void test_row_that_stops_is_given_up(struct fixture *f, gconstpointer data)
+static void test_stalled_row_times_out(struct fixture *f, gconstpointer data)
 {
 	struct trickle trickle;
 	gint64 began_us = g_get_monotonic_time();
@@ -444,12 +446,12 @@
 	ADD("lost-answer", test_lost_answer_is_unknown_and_not_resent);
 	ADD("outage", test_outage);
 	ADD("slow", test_slow_platform);
-	ADD("large-row", test_large_row_takes_its_time);
-	ADD("row-that-stops", test_row_that_stops_is_given_up);
-	ADD("watch", test_watch_tells_changes);
-	ADD("history", test_dropped_history_is_told);
-	ADD("restored", test_watch_of_before_ends);
-	ADD("restored-condition", test_conditions_of_before_fail);
+	ADD("large-row", test_large_row_may_take_seconds);
+	ADD("stalled-row", test_stalled_row_times_out);
+	ADD("watch", test_watch_reports_changes);
+	ADD("compacted-history", test_compacted_history_is_reported);
+	ADD("older-era-watch", test_watch_from_older_era_ends);
+	ADD("older-era-condition", test_conditions_from_older_era_fail);
 	ADD("refused", test_refused_writes_are_not_done);
 	ADD("late", test_late_write_keeps_its_condition);
 	ADD("destroy", test_destroy_drops_open_calls);
--- a/tests/test_run_tests.c
+++ b/tests/test_run_tests.c
@@ -114,7 +114,7 @@
 	assert_verdict(f, NULL, "OK", "FAIL", false, "1 passed, 1 failed");
 }
 
-static void test_red(struct fixture *f, gconstpointer data)
+static void test_known_red(struct fixture *f, gconstpointer data)
 {
 	const char *list = "two\tits fault\n";
 
@@ -147,8 +147,8 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add("/run-tests/without-list", struct fixture, NULL, set_up,
 		   test_without_list, tear_down);
-	g_test_add("/run-tests/red", struct fixture, NULL, set_up, test_red,
-		   tear_down);
+	g_test_add("/run-tests/known-red", struct fixture, NULL, set_up,
+		   test_known_red, tear_down);
 	g_test_add("/run-tests/open", struct fixture, NULL, set_up, test_open,
 		   tear_down);
 	return g_test_run();
--- a/tests/test_slice.c
+++ b/tests/test_slice.c
@@ -8,8 +8,8 @@
 #define STEP_US 1000 /* of work between two pauses */
 #define STEPS 100
 
-static struct slices *slices;
-static GString *told; /* what happened, in its order */
+static struct slice_queue *slice_queue;
+static GString *trace_text; /* what happened, in its order */
 static unsigned int ticks;
 static unsigned int freed;
 
@@ -25,12 +25,12 @@
 {
 	const char *name = data;
 
-	g_string_append_printf(told, "%s( ", name);
+	g_string_append_printf(trace_text, "%s( ", name);
 	for (int i = 0; i < STEPS; i++) {
 		paused_clock_advance_us(STEP_US);
-		slice_pause();
+		slice_yield();
 	}
-	g_string_append_printf(told, ")%s ", name);
+	g_string_append_printf(trace_text, ")%s ", name);
 }
 
 static void note_freed(void *data)
@@ -41,10 +41,10 @@
 
 static void begin(ev_timer *timer)
 {
-	told = g_string_new(NULL);
+	trace_text = g_string_new(NULL);
 	ticks = 0;
 	freed = 0;
-	slices = slices_create(EV_DEFAULT);
+	slice_queue = slice_queue_create(EV_DEFAULT);
 	ev_timer_init(timer, handle_tick, 0.0, 0.01);
 	ev_timer_again(EV_DEFAULT, timer);
 }
@@ -52,8 +52,8 @@
 static void finish(ev_timer *timer)
 {
 	ev_timer_stop(EV_DEFAULT, timer);
-	slices_destroy(slices);
-	g_string_free(told, TRUE);
+	slice_queue_destroy(slice_queue);
+	g_string_free(trace_text, TRUE);
 }
 
 static void run_loop(void)
@@ -69,15 +69,15 @@
  * core. It takes a second, in which each call that the host takes, and each one sent to
  * its upstream, would wait. The loop has its turns meanwhile.
  */
-static void test_loop_goes_on(void)
+static void test_loop_runs_during_job(void)
 {
 	ev_timer timer;
 
 	begin(&timer);
-	slices_add(slices, work, note_freed, (void *)"a");
-	g_assert_cmpstr(told->str, ==, "");
+	slice_queue_add(slice_queue, work, note_freed, (void *)"a");
+	g_assert_cmpstr(trace_text->str, ==, "");
 	run_loop();
-	g_assert_cmpstr(told->str, ==, "a( )a ");
+	g_assert_cmpstr(trace_text->str, ==, "a( )a ");
 	g_assert_cmpuint(freed, ==, 1);
 	g_assert_cmpuint(ticks, >=, STEPS * STEP_US / 10000 - 1);
 	finish(&timer);
@@ -85,34 +85,34 @@
 
 static void work_and_add(void *data)
 {
-	slices_add(slices, work, note_freed, (void *)"b");
+	slice_queue_add(slice_queue, work, note_freed, (void *)"b");
 	work(data);
 }
 
 /* News that come while one job runs wait for its end: both would change the same. */
-static void test_jobs_come_one_after_the_other(void)
+static void test_jobs_run_one_at_a_time_in_order(void)
 {
 	ev_timer timer;
 
 	begin(&timer);
-	slices_add(slices, work_and_add, note_freed, (void *)"a");
-	slices_add(slices, work, note_freed, (void *)"c");
+	slice_queue_add(slice_queue, work_and_add, note_freed, (void *)"a");
+	slice_queue_add(slice_queue, work, note_freed, (void *)"c");
 	run_loop();
-	g_assert_cmpstr(told->str, ==, "a( )a c( )c b( )b ");
+	g_assert_cmpstr(trace_text->str, ==, "a( )a c( )c b( )b ");
 	g_assert_cmpuint(freed, ==, 3);
 	finish(&timer);
 }
 
-static void test_outside_of_jobs_nothing_runs(void)
+static void test_yield_outside_jobs_does_nothing(void)
 {
 	ev_timer timer;
 
 	begin(&timer);
-	slices_add(NULL, work, note_freed, (void *)"a");
-	g_assert_cmpstr(told->str, ==, "a( )a ");
+	slice_queue_add(NULL, work, note_freed, (void *)"a");
+	g_assert_cmpstr(trace_text->str, ==, "a( )a ");
 	g_assert_cmpuint(freed, ==, 1);
 	g_assert_cmpuint(ticks, ==, 0);
-	slices_add(slices, work, note_freed, (void *)"b");
+	slice_queue_add(slice_queue, work, note_freed, (void *)"b");
 	finish(&timer);
 	g_assert_cmpuint(freed, ==, 2);
 }
@@ -120,8 +120,8 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/slice/goes-on", test_loop_goes_on);
-	g_test_add_func("/slice/order", test_jobs_come_one_after_the_other);
-	g_test_add_func("/slice/outside", test_outside_of_jobs_nothing_runs);
+	g_test_add_func("/slice/loop-runs", test_loop_runs_during_job);
+	g_test_add_func("/slice/order", test_jobs_run_one_at_a_time_in_order);
+	g_test_add_func("/slice/outside", test_yield_outside_jobs_does_nothing);
 	return g_test_run();
 }
--- a/tests/test_store_codec.c
+++ b/tests/test_store_codec.c
@@ -42,7 +42,7 @@
  * Rows that another program wrote stand between ours: without a value, with a
  * number for a key. They are left out, and ours are still read.
  */
-static void test_strange_rows_are_left_out(void)
+static void test_malformed_rows_are_skipped(void)
 {
 	uint64_t version;
 	bool good;
@@ -63,7 +63,7 @@
 	g_array_unref(rows);
 }
 
-static void test_no_answer_of_the_store(void)
+static void test_invalid_answers_are_refused(void)
 {
 	static const char *const bad[] = {"",
 					  "[]",
@@ -116,8 +116,9 @@
 	g_test_init(&argc, &argv, NULL);
 	log_init(LOG_FORMAT_NONE, "test");
 	g_test_add_func("/store-codec/rows", test_rows_are_read);
-	g_test_add_func("/store-codec/strange", test_strange_rows_are_left_out);
-	g_test_add_func("/store-codec/no-answer", test_no_answer_of_the_store);
+	g_test_add_func("/store-codec/malformed",
+			test_malformed_rows_are_skipped);
+	g_test_add_func("/store-codec/invalid", test_invalid_answers_are_refused);
 	g_test_add_func("/store-codec/transaction",
 			test_transaction_names_its_rows);
 	return g_test_run();
--- a/tests/test_store_era.c
+++ b/tests/test_store_era.c
@@ -14,12 +14,12 @@
 
 /* Guards against a version of before the store was set back that is sent as one of
  * now. */
-static void test_other_eras_match_nothing(void)
+static void test_versions_of_other_eras_never_match(void)
 {
 	struct store_era era = {0};
 
 	g_assert_cmpuint(store_era_strip(&era, 33), ==, 33);
-	store_era_note(&era, 2);
+	store_era_update(&era, 2);
 	g_assert_cmpuint(store_era_strip(&era, store_era_add(33, 2)), ==, 33);
 	g_assert_cmpuint(store_era_strip(&era, store_era_add(33, 1)), ==,
 			 PLATFORM_VERSION_MASK);
@@ -31,10 +31,10 @@
 {
 	struct store_era era = {0};
 
-	g_assert_false(store_era_note(&era, 5));
-	g_assert_false(store_era_note(&era, 5));
-	g_assert_true(store_era_note(&era, 6));
-	g_assert_false(store_era_note(&era, 5));
+	g_assert_false(store_era_update(&era, 5));
+	g_assert_false(store_era_update(&era, 5));
+	g_assert_true(store_era_update(&era, 6));
+	g_assert_false(store_era_update(&era, 5));
 	g_assert_cmpuint(era.current, ==, 6);
 }
 
@@ -45,12 +45,12 @@
 	uint64_t told = store_era_parse("1764700000");
 	uint64_t last = ((uint64_t)1 << STORE_ERA_BITS) - 1;
 
-	store_era_note(&era, told);
+	store_era_update(&era, told);
 	g_assert_cmpuint(store_era_of(store_era_add(33, told)), ==, told);
 	g_assert_cmpuint(store_era_strip(&era, store_era_add(33, told)), ==, 33);
-	g_assert_true(store_era_note(&era, store_era_parse("1764700001")));
+	g_assert_true(store_era_update(&era, store_era_parse("1764700001")));
 	era.current = last;
-	g_assert_true(store_era_note(&era, 0));
+	g_assert_true(store_era_update(&era, 0));
 	g_assert_cmpint((int64_t)store_era_add(33, last), >, 0);
 }
 
@@ -58,7 +58,8 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/store-era/carried", test_versions_carry_their_era);
-	g_test_add_func("/store-era/other", test_other_eras_match_nothing);
+	g_test_add_func("/store-era/other-era",
+			test_versions_of_other_eras_never_match);
 	g_test_add_func("/store-era/rises", test_an_era_only_rises);
 	g_test_add_func("/store-era/large", test_a_large_era);
 	return g_test_run();
--- a/tests/test_timeline.c
+++ b/tests/test_timeline.c
@@ -44,7 +44,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/timeline/never-back", test_time_never_runs_backwards);
+	g_test_add_func("/timeline/monotonic", test_time_never_runs_backwards);
 	g_test_add_func("/timeline/ring", test_ring_keeps_the_last);
 	return g_test_run();
 }
