--- a/common/freeze.c
+++ b/common/freeze.c
@@ -15,13 +15,13 @@
 #define SCHEDSTAT_PATH "/proc/self/schedstat"
 #define NS_PER_US 1000
 
-/* Held open for the life of the process: to open it anew costs more than the
- * reading. */
+/* Stays open for the life of the process, because opening the file costs more
+ * than reading it. */
 static int schedstat_fd = -1;
 static bool schedstat_failed;
 
-/* A platform may hide /proc, or a kernel keep no such figures. It is not tried
- * again: a line at each tick would fill the log. */
+/* The platform may hide /proc, or the kernel may not collect the statistics. No
+ * read is tried again, as a log line at each tick would flood the log. */
 static int64_t schedstat_disable(const char *why)
 {
 	schedstat_failed = true;
@@ -32,7 +32,7 @@
 	return -1;
 }
 
-/* RETURN VALUE: time spent ready to run without a processor, or -1. */
+/* RETURN VALUE: time spent runnable without a CPU, or -1. */
 static int64_t read_waited_us(void)
 {
 	char text[96];
@@ -51,10 +51,11 @@
 		return schedstat_disable(g_strerror(errno));
 	text[size] = '\0';
 	if (sscanf(text, "%*u %" SCNd64 " %" SCNd64, &waited_ns, &turns) != 2)
-		return schedstat_disable("not of the known form");
-	/* This thread runs: a kernel that counted would know a turn of it. */
+		return schedstat_disable("unexpected format");
+	/* The thread is running, so a kernel that collects the statistics
+	 * counts at least one time slice. */
 	if (turns <= 0)
-		return schedstat_disable("the kernel counts nothing");
+		return schedstat_disable("the kernel collects no statistics");
 	return waited_ns / NS_PER_US;
 }
 
--- a/common/http_client.c
+++ b/common/http_client.c
@@ -5,7 +5,7 @@
 
 #define DEFAULT_TIMEOUT_MS 5000
 #define DEFAULT_CONNECT_TIMEOUT_MS 1000
-/* More than an upstream takes in all. */
+/* More than an upstream accepts in total. */
 #define IDLE_CONNECTIONS_MAX 1024L
 
 struct http_pending {
@@ -23,7 +23,7 @@
 	struct ev_loop *loop;
 	CURLM *multi;
 	ev_timer timer;
-	bool has_unstarted; /* transfers that libcurl has not looked at */
+	bool has_unstarted; /* transfers that libcurl has not begun */
 	LIST_HEAD(, http_pending) pending;
 };
 
@@ -126,8 +126,9 @@
 	ev_init(&client->timer, handle_timeout);
 	client->timer.data = client;
 	LIST_INIT(&client->pending);
-	/* By default libcurl keeps four connections for each transfer that
-	 * runs at this moment: after each lull they would be made anew. */
+	/* By default libcurl caches four connections per running transfer. It
+	 * would close most of them when the load drops and would have to open
+	 * them again when it rises. */
 	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS,
 			  IDLE_CONNECTIONS_MAX);
 	curl_multi_setopt(client->multi, CURLMOPT_SOCKETFUNCTION,
@@ -152,7 +153,7 @@
 	g_free(client);
 }
 
-/* libcurl calls this before each time it sends the request. */
+/* libcurl calls this each time before it sends the request. */
 static int handle_prerequest(void *data, char *remote_ip, char *local_ip,
 			     int remote_port, int local_port)
 {
@@ -197,7 +198,7 @@
 	curl_multi_remove_handle(client->multi, transfer->easy);
 }
 
-/* The upper layer: whole requests. */
+/* The upper layer: buffered requests. */
 
 static size_t handle_body(char *data, size_t size, size_t count, void *user)
 {
@@ -245,7 +246,8 @@
 
 static void set_headers(struct http_pending *pending, const char *const *headers)
 {
-	/* No wait for "100 Continue": the peers are ours or the platform's. */
+	/* The servers are daemons or the platform. They need no "Expect:
+	 * 100-continue", which would delay the request body. */
 	pending->headers = curl_slist_append(NULL, "Expect:");
 	for (; headers && headers[0]; headers += 2) {
 		char *line = g_strdup_printf("%s: %s", headers[0], headers[1]);
--- a/common/http_server.c
+++ b/common/http_server.c
@@ -55,7 +55,7 @@
 	MHD_run(server->daemon);
 }
 
-/* libmicrohttpd tells before each wait when it must run next at the latest. */
+/* Asks libmicrohttpd before each wait of the loop by when it must run again. */
 static void handle_prepare(struct ev_loop *loop, ev_prepare *prepare, int events)
 {
 	struct http_server *server = prepare->data;
@@ -144,8 +144,8 @@
 	g_free(server);
 }
 
-/* Connections that the kernel has taken already; to close their queue would
- * reset them. */
+/* Accepts the connections that the kernel has queued. Closing the listening
+ * socket would reset them. */
 static void accept_queued(struct http_server *server, int listen_fd)
 {
 	struct sockaddr_storage address;
@@ -171,7 +171,7 @@
 	if (listen_fd == MHD_INVALID_SOCKET)
 		return;
 	accept_queued(server, listen_fd);
-	/* Open, it would take connections that nobody reads. */
+	/* An open socket would queue connections that nobody accepts. */
 	close(listen_fd);
 	http_server_wake(server);
 }
@@ -186,7 +186,7 @@
 	ev_feed_event(server->loop, &server->io, EV_READ);
 }
 
-/* The upper layer: whole requests. */
+/* The upper layer: buffered requests. */
 
 static void http_request_free(struct http_request *request)
 {
@@ -285,7 +285,8 @@
 				       const struct http_server_options *options,
 				       http_handler handler, void *data)
 {
-	/* The callbacks need the server, which exists only after them. */
+	/* The callbacks need the server, so it is allocated before the daemon
+	 * starts, and http_server_create_raw() can't be used. */
 	struct http_server *server = g_new0(struct http_server, 1);
 	struct http_server_callbacks callbacks = {
 		.handle_access = handle_access,
--- a/common/id.c
+++ b/common/id.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <sys/random.h>
 
-/* Up to 256 bytes are never cut short once the kernel's pool is ready. */
+/* getrandom(2) returns up to 256 bytes in full once the kernel's entropy pool is
+ * initialized. */
 #define POOL_SIZE 32
 
 uint64_t id_random_u64(void)
--- a/common/json_spans.c
+++ b/common/json_spans.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define DEPTH_MAX 32 /* of brackets, as json-c has it */
+#define DEPTH_MAX 32 /* of nested brackets, the limit of json-c */
 
 struct span_scanner {
 	const char *at;
@@ -12,11 +12,11 @@
 	size_t nesting_depth;
 	char open[DEPTH_MAX];
 	size_t depth;
-	const char *object; /* begins here; NULL: not in one of the lists */
+	const char *object; /* start of the current object; NULL: none */
 	GArray *spans;
 };
 
-/* Whether an odd number of backslashes ends what lies from start to end. */
+/* True if the text from start to end ends in an odd number of backslashes. */
 static bool is_escaped(const char *start, const char *end)
 {
 	const char *at = end;
@@ -26,7 +26,7 @@
 	return (end - at) % 2;
 }
 
-/* Stands on the first quote; steps past the last. */
+/* Moves from the opening quote of a string to behind the closing one. */
 static bool skip_string(struct span_scanner *scanner)
 {
 	const char *start = scanner->at + 1;
@@ -131,7 +131,7 @@
 		const struct json_span *span =
 			&g_array_index(spans, struct json_span, i);
 		char index[24];
-		/* With blanks: else digits of the text might lengthen it. */
+		/* The blanks keep digits beside the span out of the number. */
 		int written = g_snprintf(index, sizeof(index), " -%u ", i + 1);
 
 		g_string_append_len(rest, at, span->at - at);
--- a/common/jsonc.c
+++ b/common/jsonc.c
@@ -4,7 +4,7 @@
 
 #include "common/slice.h"
 
-#define FEED_STEP_BYTES ((size_t)(16 * 1024)) /* some 0.3 ms */
+#define FEED_STEP_BYTES ((size_t)(16 * 1024)) /* about 0.3 ms of work */
 
 struct scanner {
 	const char *at;
@@ -39,7 +39,7 @@
 	scanner->at++;
 }
 
-/* A text may also end with one slash. */
+/* Reads at[1] only after a slash, as a text may end with a single slash. */
 static bool is_comment(const char *at)
 {
 	return at[0] == '/' && (at[1] == '/' || at[1] == '*');
@@ -73,7 +73,7 @@
 	}
 }
 
-/* RETURN VALUE: the raw text between the quotes, escapes left as they are. */
+/* RETURN VALUE: the text between the quotes, with escapes not decoded. */
 static char *scan_string(struct scanner *scanner, const char *path)
 {
 	char quote = *scanner->at++;
@@ -81,7 +81,7 @@
 	char *text;
 
 	if (quote != '"')
-		scanner_error(scanner, path, "strings stand in double quotes");
+		scanner_error(scanner, path, "strings must be in double quotes");
 	while (*scanner->at && *scanner->at != quote) {
 		if (*scanner->at == '\\' && scanner->at[1])
 			scanner->at++;
@@ -93,7 +93,7 @@
 	return text;
 }
 
-/* json-c has taken the text already, so a key is followed by its value. */
+/* json-c has already accepted the text, so a key is followed by its value. */
 static void scan_member(struct scanner *scanner, const char *path,
 			GHashTable *keys)
 {
@@ -102,13 +102,13 @@
 	char *inner = jsonc_path_key(path, key);
 	int first = GPOINTER_TO_INT(g_hash_table_lookup(keys, key));
 
-	/* Written in two ways the same key would pass for two. */
+	/* With escapes, two spellings of a key would not count as duplicates. */
 	if (strchr(key, '\\'))
-		scanner_error(scanner, inner, "keys are written without escapes");
+		scanner_error(scanner, inner, "keys must not contain escapes");
 	if (first)
 		findings_add(scanner->findings, FINDING_ERROR,
 			     scanner->doc->file, line, inner,
-			     "duplicate key, first given in line %d", first);
+			     "duplicate key, first used in line %d", first);
 	g_hash_table_insert(keys, key, GINT_TO_POINTER(line));
 	skip_blank(scanner);
 	if (*scanner->at == ':')
@@ -118,7 +118,7 @@
 	g_hash_table_insert(scanner->doc->lines, inner, GINT_TO_POINTER(line));
 }
 
-/* Steps past a comma. RETURN VALUE: false at the closing bracket. */
+/* Skips a comma. RETURN VALUE: false at the closing bracket. */
 static bool scan_next(struct scanner *scanner, const char *path, char close)
 {
 	skip_blank(scanner);
@@ -220,7 +220,7 @@
 	json_object *root;
 	size_t end;
 
-	/* The final 0 is handed over too: it ends a number or a comment. */
+	/* The terminating NUL is passed too, as it ends a number or a comment. */
 	root = jsonc_feed(tokener, text, strlen(text) + 1, &end);
 	if (json_tokener_get_error(tokener) != json_tokener_success) {
 		findings_add(findings, FINDING_ERROR, file, line_at(text, end),
@@ -231,7 +231,7 @@
 		root = NULL;
 	} else if (!json_object_is_type(root, json_type_object)) {
 		findings_add(findings, FINDING_ERROR, file, 1, NULL,
-			     "an object is expected");
+			     "expected an object");
 		json_object_put(root);
 		root = NULL;
 	}
@@ -283,7 +283,8 @@
 
 	if (!doc->omitted || !json_object_is_type(item, json_type_int))
 		return NULL;
-	/* No other number below 0 is left where a text was cut. */
+	/* json_spans_find() refuses texts that hold negative numbers, so a
+	 * negative number is always a placeholder. */
 	number = json_object_get_int64(item);
 	if (number >= 0 || -(number + 1) >= (int64_t)doc->omitted->len)
 		return NULL;
--- a/common/log.c
+++ b/common/log.c
@@ -9,15 +9,15 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-/* Event numbers lie between 1000 and 1999. */
+/* Event numbers range from 1000 to 1999. */
 #define EVENT_NUMBERS 1000
-/* Of one event, where it is a belief: a host that flaps must not take the
- * lines of all others. */
+/* The limit for a single event of class BELIEF, so that a flapping host does not
+ * use up the lines of all other events. */
 #define BELIEF_LINES_PER_S 50
 
 struct log_rate {
 	unsigned int lines; /* in this second */
-	uint64_t dropped; /* since it was last told */
+	uint64_t dropped; /* since the last log.suppressed */
 };
 
 static struct {
@@ -28,11 +28,11 @@
 	int64_t second;
 	unsigned int lines; /* in this second */
 	unsigned int bytes;
-	unsigned int routine_requested; /* lines that wanted to be written */
-	double routine_share; /* of the requests, drawn by their trace */
+	unsigned int routine_requested; /* ROUTINE lines in this second */
+	double routine_share; /* of the requests, sampled by trace id */
 	bool has_dropped;
 	bool is_buffering;
-	bool is_reporting_dropped; /* what was left out: no line may lead to another */
+	bool is_reporting_dropped; /* prevents recursion */
 	GString *buffer;
 	struct log_rate rates[EVENT_NUMBERS];
 } state = {
@@ -102,7 +102,7 @@
 		g_string_append_printf(line, "%" G_GINT64_FORMAT, field->number);
 }
 
-/* The seconds are the same in some hundred lines: rendered once. */
+/* Some hundred lines share the same second, so that part is rendered once. */
 static void append_time(GString *line)
 {
 	static int64_t rendered = -1;
@@ -150,10 +150,10 @@
 	return g_string_free(line, FALSE);
 }
 
-/* Whole lines only: half of one would spoil the next. */
+/* Drops whole lines only. Half a line would corrupt the next one. */
 static void drop_unread_lines(void)
 {
-	/* The line that was begun is kept, to be ended later. */
+	/* The first line may be partly written and is kept. */
 	char *end = strchr(state.buffer->str, '\n');
 
 	if (!end)
@@ -173,7 +173,7 @@
 	if (written > 0)
 		g_string_erase(state.buffer, 0, written);
 	else if (written < 0 && errno != EAGAIN && errno != EINTR)
-		g_string_truncate(state.buffer, 0); /* nobody reads */
+		g_string_truncate(state.buffer, 0); /* no reader */
 	if (state.buffer->len > LOG_BUFFER_BYTES)
 		drop_unread_lines();
 }
@@ -183,7 +183,7 @@
 	state.is_buffering = true;
 }
 
-/* Lines reach the writer rendered; whatever GLib itself warns of does not. */
+/* Events arrive as rendered lines, warnings of GLib itself as plain text. */
 static GLogWriterOutput handle_log_line(GLogLevelFlags level,
 					const GLogField *fields, gsize count,
 					gpointer data)
@@ -225,7 +225,7 @@
 	state.bytes_per_s = bytes ? bytes : state.bytes_per_s;
 }
 
-/* One line for each event that was cut short. */
+/* Logs one log.suppressed for each event of which lines were dropped. */
 static void report_dropped(void)
 {
 	state.has_dropped = false;
@@ -244,8 +244,8 @@
 	state.is_reporting_dropped = false;
 }
 
-/* How many of the requests fit into the share of the routine, by what there was
- * to tell in the last second. */
+/* Sets the share of requests that is logged in this second, from the number of
+ * ROUTINE lines that the last second had. */
 static void adapt_routine_share(void)
 {
 	double allowed = state.lines_per_s * LOG_ROUTINE_SHARE;
@@ -276,8 +276,8 @@
 	return NULL;
 }
 
-/* The same at each daemon: whichever has the least share writes a part of what
- * the others write. */
+/* Every daemon samples by the same hash of the trace id. A daemon with a smaller
+ * share logs a subset of the requests that the others log. */
 static bool trace_is_sampled(const char *trace)
 {
 	return !trace || g_str_hash(trace) * 2654435761u <=
@@ -308,7 +308,7 @@
 	return true;
 }
 
-/* RETURN VALUE: false where this event has had its part of this second. */
+/* RETURN VALUE: false if the event has used up its share of this second. */
 static bool take_budget(enum event id, const struct log_field *fields)
 {
 	struct log_rate *rate = &state.rates[(unsigned int)id % EVENT_NUMBERS];
--- a/common/metric.c
+++ b/common/metric.c
@@ -1,6 +1,6 @@
 #include "common/metric.h"
 
-/* Enough for microseconds of years and for shares of a token. */
+/* Exact for several years in microseconds and for fractions of a token. */
 #define VALUE_FORMAT "%.15g"
 
 void metric_append_label(GString *text, const char *name, const char *value)
--- a/common/schema.c
+++ b/common/schema.c
@@ -2,8 +2,7 @@
 
 #include <string.h>
 
-#define SUGGESTION_MAX_EDITS \
-	3 /* edits up to which a name is worth suggesting */
+#define SUGGESTION_MAX_EDITS 3 /* largest edit distance of a suggested name */
 #define NAME_MAX_BYTES 63
 
 #define NO_INDEX (-1)
@@ -62,7 +61,7 @@
 	g_free(own);
 }
 
-/* Levenshtein's distance, over names of bounded length. */
+/* The Levenshtein distance. A b longer than NAME_MAX_BYTES counts as far away. */
 static size_t edit_distance(const char *a, const char *b)
 {
 	size_t row[NAME_MAX_BYTES + 2];
@@ -168,7 +167,7 @@
 	}
 	schema->present++;
 	if (!json_object_is_type(value, type)) {
-		schema_error(schema, key, "%s is expected", type_text(type));
+		schema_error(schema, key, "expected %s", type_text(type));
 		return NULL;
 	}
 	return value;
@@ -199,7 +198,7 @@
 	child->key = key;
 	child->index = (int)index;
 	if (!object && !jsonc_omitted_item(parent->doc, item))
-		schema_error(child, NULL, "an object is expected");
+		schema_error(child, NULL, "expected an object");
 	return object;
 }
 
@@ -219,7 +218,7 @@
 	text = json_object_get_string(value);
 	if (*text && strlen(text) == (size_t)json_object_get_string_len(value))
 		return g_strdup(text);
-	schema_error(schema, key, "may not be empty or hold a 0 byte");
+	schema_error(schema, key, "must not be empty or contain a NUL byte");
 	return NULL;
 }
 
@@ -237,9 +236,10 @@
 	char *name = schema_string(schema, key, need);
 
 	if (name && !schema_is_name(name, max_bytes))
-		schema_error(schema, key,
-			     "up to %zu letters, digits, '-', '_' and '.'",
-			     max_bytes);
+		schema_error(
+			schema, key,
+			"must be up to %zu letters, digits, '-', '_' and '.'",
+			max_bytes);
 	return name;
 }
 
@@ -252,7 +252,7 @@
 
 	if (!length) {
 		if (array && need == SCHEMA_REQUIRED)
-			schema_error(schema, key, "may not be empty");
+			schema_error(schema, key, "must not be empty");
 		return NULL;
 	}
 	strings = g_new0(char *, length + 1);
@@ -263,8 +263,8 @@
 		if (json_object_is_type(item, json_type_string) && *text)
 			strings[kept++] = g_strdup(text);
 		else
-			schema_error(schema, key,
-				     "item %zu: a string is expected", i);
+			schema_error(schema, key, "item %zu: expected a string",
+				     i);
 	}
 	return strings;
 }
@@ -290,7 +290,7 @@
 	if (number >= 0 && (uint64_t)number >= min && (uint64_t)number <= max)
 		return (uint64_t)number;
 	schema_error(schema, key,
-		     "must lie between %" G_GUINT64_FORMAT
+		     "must be between %" G_GUINT64_FORMAT
 		     " and %" G_GUINT64_FORMAT,
 		     min, max);
 	return fallback;
@@ -314,7 +314,7 @@
 	}
 	if (number >= 0 && number <= max)
 		return number;
-	schema_error(schema, key, "must lie between 0 and %g", max);
+	schema_error(schema, key, "must be between 0 and %g", max);
 	return fallback;
 }
 
--- a/common/slice.c
+++ b/common/slice.c
@@ -12,10 +12,10 @@
 	struct ev_loop *loop;
 	ev_timer timer;
 	GQueue jobs;
-	int64_t began_us; /* this slice of the job that runs */
+	int64_t began_us; /* start of the current slice */
 };
 
-/* Whose job runs; NULL: none does. */
+/* The queue whose job runs; NULL: none. */
 static struct slice_queue *running;
 
 static void job_free(struct job *job)
@@ -31,7 +31,7 @@
 
 	(void)events;
 	if (running)
-		return; /* it goes on with the queue */
+		return; /* the outer call continues with the queue */
 	running = slice_queue;
 	while ((job = g_queue_pop_head(&slice_queue->jobs))) {
 		slice_queue->began_us = clock_mono_us();
--- a/common/socket.c
+++ b/common/socket.c
@@ -8,7 +8,7 @@
 
 #define LISTEN_BACKLOG 1024
 #define PORT_TRIES 16
-/* How long a host may leave sent bytes unacknowledged. */
+/* How long sent bytes may stay unacknowledged before the connection is lost. */
 #define USER_TIMEOUT_MS 5000
 
 void socket_set_options(int fd)
@@ -20,8 +20,9 @@
 	unsigned int timeout_ms = USER_TIMEOUT_MS;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-	/* A host that lost its power sends no FIN: without these an entry
-	 * would hold the connection, and its calls, for many minutes. */
+	/* A host that loses power sends no FIN. Without keepalive and the user
+	 * timeout an entry would keep the connection, and the calls on it, for
+	 * many minutes. */
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &one, sizeof(one));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof(idle_s));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s,
@@ -31,7 +32,7 @@
 		   sizeof(timeout_ms));
 }
 
-/* RETURN VALUE: -1, with errno as it was. */
+/* RETURN VALUE: -1, with errno unchanged. */
 static int close_failed(int fd)
 {
 	int error = errno;
@@ -41,7 +42,7 @@
 	return -1;
 }
 
-/* RETURN VALUE: a socket for the address, which is filled in, or -1. */
+/* Parses the address. RETURN VALUE: a socket for it, or -1. */
 static int open_stream(const char *text, uint16_t port,
 		       union socket_address *address, socklen_t *size)
 {
@@ -58,10 +59,11 @@
 	char number[ADDRESS_TEXT_SIZE];
 	union socket_address address;
 	socklen_t size;
-	/* Two sockets with SO_REUSEADDR can be given the same free port; the
-	 * one that listens second then fails. So a socket for any port gets
-	 * the option only after bind(2): its connections then don't keep a
-	 * restarted process from the port. */
+	/* The kernel can choose the same free port for two sockets that have
+	 * SO_REUSEADDR, and listen(2) then fails for the second. A socket for
+	 * port 0 therefore gets the option only after bind(2). It still needs
+	 * the option, so that old connections don't keep a restarted process
+	 * from binding the port. */
 	int reuse = port != 0;
 	int one = 1;
 	int fd = open_stream(text, port, &address, &size);
--- a/common/tally.c
+++ b/common/tally.c
@@ -27,7 +27,7 @@
 			 {"call", "result"}},
 };
 
-/* Labels as they stand in the text -> uint64_t. */
+/* Maps the labels, as written in the output, to a uint64_t. */
 static GHashTable *series[TALLIES];
 
 static char *labels_to_text(const struct tally_kind *kind, const char *first,
--- a/include/common/clock.h
+++ b/include/common/clock.h
@@ -1,17 +1,17 @@
 /*
  * NAME
- *	clock - the runtime's clock
+ *	clock - monotonic, boot and wall time
  *
  * DESCRIPTION
  *	All times in the program come from clock_gettime(2), which libev uses
  *	as well. A test that links tests/paused_clock.c replaces that symbol,
- *	and thereby pauses and advances both.
+ *	which pauses and advances the clock of both.
  *
  *	Monotonic times are microseconds since an arbitrary start and never
- *	leave a process; wall times are microseconds since the epoch and are
- *	shown to people only: no decision depends on them. Boot times are as
- *	monotonic ones, but go on while the machine is suspended: for the age
- *	of what others may have changed meanwhile.
+ *	leave a process. Wall times are microseconds since the epoch. They are
+ *	only displayed; no decision depends on them. Boot times are monotonic
+ *	and also advance while the machine is suspended. They measure the age
+ *	of data that other hosts may have changed in the meantime.
  */
 #ifndef COMMON_CLOCK_H
 #define COMMON_CLOCK_H
--- a/include/common/counters.h
+++ b/include/common/counters.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	counters - the process's own counters
+ *	counters - counters of this process
  *
  * DESCRIPTION
- *	One plain struct of 64-bit counts, by name, listed in counters.def.
- *	A module counts with counters.<field>++. There is one loop on one
- *	thread, so no locking is needed.
+ *	One struct of 64-bit counters, whose fields are listed in counters.def.
+ *	A module increments one with counters.<field>++. The process has one
+ *	event loop on one thread, so no locking is needed.
  */
 #ifndef COMMON_COUNTERS_H
 #define COMMON_COUNTERS_H
@@ -21,7 +21,7 @@
 
 extern struct counters counters;
 
-/* Appends all counters as Prometheus text. */
+/* Appends all counters in the Prometheus text format. */
 void counters_append_text(GString *text);
 
 #endif
--- a/include/common/findings.h
+++ b/include/common/findings.h
@@ -1,12 +1,12 @@
 /*
  * NAME
- *	findings - errors and warnings collected with their place
+ *	findings - a list of errors and warnings with their location
  *
  * DESCRIPTION
- *	A check does not stop at its first error: it adds a finding for each
- *	and its caller reports them together, sorted by file and line.
- *	Findings own copies of all strings. Line 0 means "no line known";
- *	path is the place inside the document, such as
+ *	A check does not stop at its first error. It adds a finding for each
+ *	error, and its caller reports all of them, sorted by file and line.
+ *	Findings own copies of all strings. Line 0 means that the line is not
+ *	known. path is the location inside the document, such as
  *	"services.lookup-desk.rules[2].deadline_ms", and may be NULL.
  */
 #ifndef COMMON_FINDINGS_H
@@ -42,15 +42,16 @@
 void findings_init(struct findings *findings);
 void findings_finish(struct findings *findings);
 
-/* Adds one finding, kept in order of file, then line. */
+/* Inserts a finding in the order of file, then line. */
 void findings_add(struct findings *findings, enum finding_severity severity,
 		  const char *file, int line, const char *path,
 		  const char *format, ...) G_GNUC_PRINTF(6, 7);
 
-/* Writes one line for each: "FILE:LINE: error: PATH: TEXT". */
+/* Writes one line per finding: "FILE:LINE: error: PATH: TEXT". */
 void findings_print(const struct findings *findings, FILE *out);
 
-/* The same as a newly allocated string; the caller frees it with g_free(). */
+/* RETURN VALUE: the lines of findings_print() as a string; the caller frees it
+ * with g_free(). */
 char *findings_to_text(const struct findings *findings);
 
 bool findings_has_errors(const struct findings *findings);
--- a/include/common/freeze.h
+++ b/include/common/freeze.h
@@ -1,29 +1,33 @@
 /*
  * NAME
- *	freeze - where the time went while the loop stood still
+ *	freeze - accounts for the time in which the event loop was blocked
  *
  * DESCRIPTION
  *	freeze_mark(&mark);			at each tick of a timer
  *	freeze_log(EV_OWNER_FROZEN, gap_us, &mark);	when one came too late
  *
- *	The line has the gap in ms and, of the calling thread since the mark:
+ *	The log line holds the gap in ms and these figures of the calling
+ *	thread since the mark:
  *
- *	cpu_ms		it ran, in user and system mode
- *	waited_ms	it was ready to run and got no processor; -1: not known
- *	major_faults	pages that had to be read from a disk
- *	voluntary	times that it gave its processor up: to wait, or stopped
- *	involuntary	times that the processor was taken from it
+ *	cpu_ms		time that it ran, in user and system mode
+ *	waited_ms	time that it was runnable and had no CPU; -1: unknown
+ *	major_faults	page faults that needed a read from disk
+ *	voluntary	voluntary context switches: it blocked or was stopped
+ *	involuntary	involuntary context switches: it was preempted
  *
- *	What is in neither of the first two it slept, was stopped, waited for
- *	a disk, or its virtual machine did not run. docs/OPERATIONS.md tells
- *	them apart. To be called by the process's first thread: the time spent
- *	waiting is read from /proc/self/schedstat, which is about that one.
+ *	In the rest of the gap, beyond cpu_ms and waited_ms, the thread slept,
+ *	was stopped, waited for a disk, or its virtual machine did not run.
+ *	docs/OPERATIONS.md explains how to tell these cases apart. Only the
+ *	main thread may call these functions, because /proc/self/schedstat,
+ *	the source of waited_ms, describes that thread.
  *
- *	Where this file can't be read, or the kernel counts nothing, waited_ms
- *	stays -1 and daemon.schedstat-unreadable says so once.
+ *	If /proc/self/schedstat can't be read, or the kernel does not collect
+ *	these statistics, waited_ms is always -1 and the event
+ *	daemon.schedstat-unreadable is logged once.
  *
- *	GROUNDS: both are read at each mark, as a figure from long before the
- *	gap would count earlier waits into it. bench-freeze measures the cost.
+ *	GROUNDS: getrusage(2) and schedstat are both read at each mark. An
+ *	older reading would attribute earlier waits to the gap. bench-freeze
+ *	measures the cost.
  */
 #ifndef COMMON_FREEZE_H
 #define COMMON_FREEZE_H
@@ -34,18 +38,19 @@
 
 struct freeze_mark {
 	int64_t cpu_us;
-	int64_t waited_us; /* -1: not known */
+	int64_t waited_us; /* -1: unknown */
 	int64_t major_faults;
 	int64_t voluntary;
 	int64_t involuntary;
 };
 
-/* What the thread has used up to now. */
+/* Records what the thread has used up to now. */
 void freeze_mark(struct freeze_mark *mark);
 
-/* What it has used since the mark. */
+/* Computes what the thread has used since the mark. */
 void freeze_since(const struct freeze_mark *mark, struct freeze_mark *used);
 
+/* Logs the event with the gap and what the thread has used since the mark. */
 void freeze_log(enum event id, int64_t gap_us, const struct freeze_mark *mark);
 
 #endif
--- a/include/common/json_spans.h
+++ b/include/common/json_spans.h
@@ -1,15 +1,17 @@
 /*
  * NAME
- *	json_spans_find - finds the objects of a JSON text's lists without reading them
+ *	json_spans - finds the objects in the arrays of a JSON text without
+ *	parsing them
  *
  * DESCRIPTION
- *	Reading a large text anew takes milliseconds, in which a daemon serves
- *	nothing, although most of its objects stood in the text before. With
- *	their places known, those can be told by their text alone.
+ *	Parsing a large text again takes milliseconds, in which a daemon serves
+ *	nothing, although most of its objects are unchanged since the version
+ *	before. Once the position of each object is known, an unchanged object
+ *	is recognised by its text alone.
  *
- *	nesting names the lists by the brackets around their objects: "{{{[" are
- *	the lists three objects deep. Only brackets, double quotes and escapes
- *	are looked at.
+ *	nesting selects the arrays by the open brackets around their objects:
+ *	"{{{[" selects the arrays inside three nested objects. The scan
+ *	interprets only brackets, double quotes and escapes.
  */
 #ifndef COMMON_JSON_SPANS_H
 #define COMMON_JSON_SPANS_H
@@ -24,21 +26,23 @@
 };
 
 /*
- * Appends to spans, of struct json_span, the objects in the order of the text.
+ * Appends the objects in the order of the text to spans, an array of struct
+ * json_span.
  *
  * RETURN VALUE
- *	false where the text is to be read as a whole: it isn't one object, its
- *	brackets don't match, or it has what a parser may take for more than
- *	JSON, such as comments or single quotes, or a number below 0, which
- *	is kept for what stands in place of an object.
+ *	false if the text must be parsed as a whole: it is not a single object,
+ *	its brackets don't match, or it holds extensions of JSON that some
+ *	parsers accept, such as comments or single quotes, or a negative
+ *	number, as json_spans_replace() reserves these for its placeholders.
  */
 bool json_spans_find(const char *text, size_t size, const char *nesting,
 		     GArray *spans);
 
-/* RETURN VALUE: the text with " -1 ", " -2 " and so on in place of the spans. */
+/* RETURN VALUE: a copy of the text with the spans replaced by the placeholders
+ * " -1 ", " -2 " and so on. */
 GString *json_spans_replace(const char *text, size_t size, const GArray *spans);
 
-/* For hash tables: by the text. */
+/* Hash and compare the text of spans, for hash tables. */
 guint json_span_hash(gconstpointer span);
 gboolean json_span_equal(gconstpointer a, gconstpointer b);
 
--- a/include/common/key_text.h
+++ b/include/common/key_text.h
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	key_text - a 64-bit key as logs, the admin API and operators write it
+ *	key_text - text form of 64-bit keys in logs and the admin API
  */
 #ifndef COMMON_KEY_TEXT_H
 #define COMMON_KEY_TEXT_H
@@ -8,12 +8,12 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define KEY_TEXT_SIZE 17 /* bytes, with the 0 */
+#define KEY_TEXT_SIZE 17 /* bytes, with the terminating NUL */
 
 /* Writes 16 hexadecimal digits. RETURN VALUE: the text. */
 const char *key_text(uint64_t key, char text[KEY_TEXT_SIZE]);
 
-/* RETURN VALUE: false if it is not such a text. */
+/* RETURN VALUE: false if text is not 16 lower-case hexadecimal digits. */
 bool key_text_parse(const char *text, uint64_t *key);
 
 #endif
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -1,32 +1,34 @@
 /*
  * NAME
- *	log - numbered, structured events
+ *	log - structured log events
  *
  * DESCRIPTION
  *	log_event(EV_PEER_LOST, LOG_STR("host", id), LOG_INT("port", port));
  *
- *	Each event has a number, a fixed name and typed fields; the list is in
- *	events.def and the catalogue in docs/EVENTS.md. Events go through
- *	GLib's structured logging and leave it as one line on standard output,
- *	as JSON or as text. GLib's own warnings take the same way.
+ *	Each event has a number, a fixed name and typed fields. events.def lists
+ *	all events and docs/EVENTS.md documents them. Each event passes through
+ *	GLib's structured logging and becomes one line on standard output, as
+ *	JSON or as text. Warnings of GLib itself are written the same way.
  *
- *	Lines are collected and written by log_flush(), or when LOG_BUFFER_BYTES
- *	have come together. A reader that stalls blocks nobody: what it does
- *	not take is dropped and counted.
+ *	Lines are buffered and written by log_flush(), or when the buffer
+ *	exceeds LOG_BUFFER_BYTES. A stalled reader never blocks the process:
+ *	lines that it does not read are dropped and counted.
  *
- *	There is a budget of lines and bytes for each second. Beliefs (what the
- *	daemon holds of others, its start, stop and dependencies) may use all
- *	of it, failures LOG_FAILURE_SHARE and the routine of each request
- *	LOG_ROUTINE_SHARE. Where the routine has more to tell than its share,
- *	requests are drawn by their trace: all lines of one that is drawn are
- *	written, at each daemon that it passes, and none of the others. What
- *	was left out is told each second, by event.
+ *	Lines and bytes have a budget per second. The class BELIEF (the state of
+ *	other hosts as this daemon sees it, its own start and stop, its
+ *	dependencies) may use all of the budget, FAILURE up to LOG_FAILURE_SHARE
+ *	and ROUTINE, the normal course of requests, up to LOG_ROUTINE_SHARE. If
+ *	ROUTINE would exceed its share, requests are sampled by trace id: every
+ *	daemon logs all lines of a sampled request and none of the others. Each
+ *	second a log.suppressed event reports, for each event, how many lines
+ *	were left out.
  *
- *	GROUNDS: a line costs 1.5 to 2.0 us of processor time, one that is left
- *	out 0.1 us (bench-log), so 200 lines a second are 0.04 % of a core. On
- *	the day with the most calls of the larger installation a daemon used
- *	0.96 and 0.78 % of a core with the log and 0.99 and 0.74 % without (two
- *	seeds). An on-call engineer's tools take 200 lines from a thousand hosts.
+ *	GROUNDS: a line costs 1.5 to 2.0 us of CPU time, and a line left out
+ *	0.1 us (bench-log), so 200 lines a second are 0.04 % of a core. On the
+ *	day with the most calls of the larger installation, a daemon used 0.96
+ *	and 0.78 % of a core with the log, and 0.99 and 0.74 % without it (two
+ *	seeds). An on-call engineer's tools can process 200 lines a second from
+ *	each of a thousand hosts.
  */
 #ifndef COMMON_LOG_H
 #define COMMON_LOG_H
@@ -65,7 +67,7 @@
 	int64_t number;
 };
 
-/* A missing text is an empty one. */
+/* Treats NULL as an empty string. */
 static inline const char *log_text(const char *text)
 {
 	return text ? text : "";
@@ -74,7 +76,7 @@
 #define LOG_STR(k, s) ((struct log_field){.key = (k), .text = log_text(s)})
 #define LOG_INT(k, n) ((struct log_field){.key = (k), .number = (int64_t)(n)})
 
-/* The field by which the lines of one request are found. */
+/* The field that identifies the lines of one request. */
 #define LOG_TRACE_KEY "trace"
 #define LOG_TRACE(s) LOG_STR(LOG_TRACE_KEY, s)
 
@@ -82,23 +84,23 @@
 	log_event_fields((id), (const struct log_field[]){ \
 				       __VA_ARGS__ __VA_OPT__(, ){0}})
 
-/* Sets the format and the process's name, shown in every line. */
+/* Sets the format and the process name, which every line shows. */
 void log_init(enum log_format format, const char *process);
 
-/* Lines and bytes a second; 0 keeps what is set. */
+/* Sets the lines and bytes per second; 0 keeps the current value. */
 void log_set_budget(unsigned int lines, unsigned int bytes);
 
-/* Writes one event; fields end with a key of NULL. */
+/* Logs one event. The fields end with a key of NULL. */
 void log_event_fields(enum event id, const struct log_field *fields);
 
-/* Writes what was collected, as far as the reader takes it. Lines that come
- * outside of a loop which calls this are written at once. */
+/* Writes the buffered lines, as far as the reader accepts them. */
 void log_flush(void);
 
-/* From now on lines are collected until log_flush(). */
+/* Buffers lines until log_flush(). Before this call each line is written
+ * immediately. */
 void log_enable_buffering(void);
 
-/* The fixed name of an event, or "unknown". */
+/* RETURN VALUE: the fixed name of the event, or "unknown". */
 const char *log_event_name(enum event id);
 
 enum log_class log_event_class(enum event id);
--- a/include/common/metric.h
+++ b/include/common/metric.h
@@ -1,13 +1,13 @@
 /*
  * NAME
- *	metric - lines of Prometheus text
+ *	metric - writes the Prometheus text format
  *
  * DESCRIPTION
  *	metric_begin_gauge(text, "members", "hosts by state");
  *	metric_append_line(text, "members", "state", "alive", 7);
  *
- *	Names are shown as comfreydock_<name>; times are in the unit that the
- *	name ends with.
+ *	A metric is exported as comfreydock_<name>. Times are in the unit that
+ *	the name ends with.
  *
  * SOURCE
  *	Prometheus, "Exposition formats", text format 0.0.4.
@@ -20,16 +20,16 @@
 
 void metric_begin_gauge(GString *text, const char *name, const char *help);
 
-/* label NULL: a line without labels. */
+/* A label of NULL gives a line without labels. */
 void metric_append_line(GString *text, const char *name, const char *label,
 			const char *label_value, double value);
 
-/* A gauge of one line. */
+/* Appends a gauge that has a single line. */
 void metric_append_gauge(GString *text, const char *name, const char *help,
 			 double value);
 
-/* name="value" with what the format can't hold escaped; a comma before it
- * where the text has something already. */
+/* Appends name="value" with special characters escaped or replaced, after a
+ * comma if text is not empty. */
 void metric_append_label(GString *text, const char *name, const char *value);
 
 #endif
--- a/include/common/schema.h
+++ b/include/common/schema.h
@@ -1,14 +1,15 @@
 /*
  * NAME
- *	schema - checked reading of one object of a JSON document
+ *	schema - reads and validates one object of a JSON document
  *
  * DESCRIPTION
- *	Each getter names a key, its type and its range, and adds a finding
- *	with the place if the document differs. schema_finish() then reports
- *	every key that no getter asked for, with "did you mean" for near
- *	names. Keys that are given live as long as the schema, and a parent
- *	longer than its children. All getters return a usable default after a finding, so that
- *	reading goes on and all findings come out together.
+ *	Each getter takes a key, its type and its range, and adds a finding
+ *	with the location if the document does not match. schema_finish() then
+ *	reports every key that no getter asked for, and suggests a similar known
+ *	key. Keys passed to getters must live as long as the schema, and a
+ *	parent must outlive its children. After a finding a getter returns a
+ *	usable default, so that reading continues and all findings are reported
+ *	together.
  */
 #ifndef COMMON_SCHEMA_H
 #define COMMON_SCHEMA_H
@@ -26,42 +27,43 @@
 struct schema {
 	const struct jsonc_doc *doc;
 	struct findings *findings;
-	json_object *object; /* NULL: absent, all keys optional */
-	/* Where it stands; its path is made only for a finding. */
+	json_object *object; /* NULL: absent, and no key is required */
+	/* The location. The path is built only for a finding. */
 	const struct schema *parent; /* NULL: the root */
-	const char *key; /* in the parent */
-	int index; /* in the parent's array of that key; -1: no array */
-	GPtrArray *known; /* keys that were asked for; not owned */
-	int present; /* of them */
+	const char *key; /* in parent */
+	int index; /* in the array under key; -1: not an array */
+	GPtrArray *known; /* keys that getters asked for; not owned */
+	int present; /* number of known keys that the object has */
 };
 
 void schema_init(struct schema *schema, const struct jsonc_doc *doc,
 		 struct findings *findings);
 
-/* Opens the object under key; an absent optional one reads as empty.
- * RETURN VALUE: whether the object is there. */
+/* Opens the object under key. An absent optional object reads as empty.
+ * RETURN VALUE: true if the object is present. */
 bool schema_init_child(struct schema *child, struct schema *parent,
 		       const char *key, enum schema_need need);
 
-/* The same for an array's object; one that was cut out reads as empty. */
+/* Opens an object in the array under key. One that was left unparsed reads as
+ * empty. */
 bool schema_init_item(struct schema *child, struct schema *parent,
 		      const char *key, size_t index);
 void schema_finish(struct schema *schema);
 
-/* RETURN VALUE: the key's array, or NULL; the document's. */
+/* RETURN VALUE: the array under key, owned by the document, or NULL. */
 json_object *schema_array(struct schema *schema, const char *key,
 			  enum schema_need need);
 
-/* RETURN VALUE: a copy, NULL where absent or wrong. */
+/* RETURN VALUE: a copy, or NULL if absent or invalid. */
 char *schema_string(struct schema *schema, const char *key,
 		    enum schema_need need);
 
-/* A string of up to max_bytes letters, digits, '-', '_' and '.'. */
+/* Reads a string of up to max_bytes letters, digits, '-', '_' and '.'. */
 char *schema_name(struct schema *schema, const char *key, enum schema_need need,
 		  size_t max_bytes);
 bool schema_is_name(const char *text, size_t max_bytes);
 
-/* RETURN VALUE: a NULL-terminated copy, NULL where absent, empty or wrong. */
+/* RETURN VALUE: a NULL-terminated copy, or NULL if absent, empty or invalid. */
 char **schema_strings(struct schema *schema, const char *key,
 		      enum schema_need need);
 bool schema_bool(struct schema *schema, const char *key, bool fallback);
@@ -69,19 +71,19 @@
 		     enum schema_need need, uint64_t fallback, uint64_t min,
 		     uint64_t max);
 
-/* A number with or without a fraction, up to max. */
+/* Reads a number from 0 to max, with or without a fraction. */
 double schema_double(struct schema *schema, const char *key, double fallback,
 		     double max);
 
-/* RETURN VALUE: the index in names, which ends with NULL. */
+/* RETURN VALUE: the index in the NULL-terminated names. */
 int schema_enum(struct schema *schema, const char *key,
 		const char *const *names, int fallback);
 
-/* Adds an error at a key of this object; key may be NULL. */
+/* Adds an error at a key of this object, or at the object if key is NULL. */
 void schema_error(struct schema *schema, const char *key, const char *format,
 		  ...) G_GNUC_PRINTF(3, 4);
 
-/* RETURN VALUE: the nearest of the names, or NULL if none is near. */
+/* RETURN VALUE: the name most similar to word, or NULL if none is similar. */
 const char *schema_nearest(const char *word, const GPtrArray *names);
 
 #endif
--- a/include/common/socket.h
+++ b/include/common/socket.h
@@ -1,10 +1,10 @@
 /*
  * NAME
- *	socket - listening and connecting TCP sockets
+ *	socket - opens listening and connecting TCP sockets
  *
  * DESCRIPTION
- *	Non-blocking, closed on exec, without delay of small writes, and with
- *	limits on how long a silent peer is believed to be there.
+ *	All sockets are non-blocking and closed on exec. Connections disable
+ *	Nagle's algorithm and bound the time until a silent peer counts as lost.
  *
  * RETURN VALUE
  *	A descriptor, or -1 with errno set.
@@ -14,16 +14,17 @@
 
 #include <stdint.h>
 
-/* *bound gets the port, also where the kernel chose it (port 0). */
+/* *bound gets the port, which the kernel chooses if port is 0. */
 int socket_listen(const char *text, uint16_t port, uint16_t *bound);
 
-/* The same, but a port that the kernel chooses is free for UDP as well. */
+/* Like socket_listen(), but a port that the kernel chooses is free for UDP as
+ * well. */
 int socket_listen_udp_free(const char *text, uint16_t port, uint16_t *bound);
 
-/* Begins to connect. */
+/* Starts a non-blocking connect. */
 int socket_connect(const char *text, uint16_t port);
 
-/* For an accepted socket. */
+/* Sets the options of a connection; to be called for accepted sockets. */
 void socket_set_options(int fd);
 
 #endif
--- a/include/common/timeline.h
+++ b/include/common/timeline.h
@@ -1,13 +1,14 @@
 /*
  * NAME
- *	timeline - events of one request over all processes
+ *	timeline - records the events of requests, to be merged over all processes
  *
  * DESCRIPTION
- *	A ring of the last events that carry a trace id, with hybrid time: a
- *	count that never runs backwards, follows the wall clock and moves past
- *	every time seen in a frame. Merged over all processes and sorted by
- *	that time, a request's events read from top to bottom even where the
- *	hosts' clocks differ.
+ *	A timeline is a ring buffer of the last events that have a trace id. A
+ *	hybrid logical clock gives each event its time: the time never runs
+ *	backwards, follows the wall clock and is later than the time in any
+ *	frame received before. Merged over all processes and sorted by this
+ *	time, the events of a request appear in causal order even if the clocks
+ *	of the hosts differ.
  *
  * SOURCE
  *	Kulkarni, Demirbas et al., "Logical Physical Clocks", OPODIS 2014.
@@ -25,7 +26,7 @@
 #define TIMELINE_NOTE_MAX 96
 
 struct timeline_entry {
-	uint64_t time; /* microseconds of wall clock, or later */
+	uint64_t time; /* hybrid time: wall clock microseconds, or later */
 	enum event event;
 	char trace[TIMELINE_TRACE_MAX];
 	char note[TIMELINE_NOTE_MAX];
@@ -41,13 +42,13 @@
 void timeline_init(struct timeline *timeline, size_t capacity);
 void timeline_finish(struct timeline *timeline);
 
-/* Records an event under a trace id; an empty trace records nothing. */
+/* Records an event under a trace id. Does nothing if the trace id is empty. */
 void timeline_add(struct timeline *timeline, const char *trace, enum event id,
 		  const char *format, ...) G_GNUC_PRINTF(4, 5);
 
 /*
- * The same, and a line in the log: the fields become the note, "key=value".
- * They end with a key of NULL.
+ * Records an event and logs it. The log fields become the note, written as
+ * "key=value".
  */
 #define timeline_log(timeline, trace, id, ...)               \
 	timeline_log_fields(                                 \
@@ -55,19 +56,19 @@
 		(const struct log_field[]){LOG_TRACE(trace), \
 					   __VA_ARGS__ __VA_OPT__(, ){0}})
 
-/* The first field is the trace. */
+/* The first field is the trace. The fields end with a key of NULL. */
 void timeline_log_fields(struct timeline *timeline, const char *trace,
 			 enum event id, const struct log_field *fields);
 
-/* The time to put on a frame that leaves. */
+/* RETURN VALUE: the hybrid time to send in a frame. */
 uint64_t timeline_now(struct timeline *timeline);
 
-/* Takes note of the time on a frame that came in. */
+/* Advances the hybrid clock to the time of a received frame. */
 void timeline_observe(struct timeline *timeline, uint64_t time);
 
 /*
- * Appends the entries of a trace, or of all where trace is NULL, oldest first,
- * as a JSON array of {time, event, name, trace, note, process}.
+ * Appends the entries of a trace, oldest first, as a JSON array of {time, event,
+ * name, trace, note, process}. If trace is NULL, appends all entries.
  */
 void timeline_append_json(const struct timeline *timeline, const char *trace,
 			  const char *process, GString *out);
--- a/include/common/timer.h
+++ b/include/common/timer.h
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	timer - libev's timers in the units of clock
+ *	timer - sets libev timers in microseconds
  */
 #ifndef COMMON_TIMER_H
 #define COMMON_TIMER_H
@@ -8,8 +8,8 @@
 #include <ev.h>
 #include <stdint.h>
 
-/* Lets the timer fire once, so long from now, whether it was running or not; less
- * than 0 counts as 0. */
+/* Makes the timer fire once after us microseconds, whether or not it was active.
+ * A negative value counts as 0. */
 void timer_restart_us(struct ev_loop *loop, ev_timer *timer, int64_t us);
 
 #endif
--- a/include/common/trace.h
+++ b/include/common/trace.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	trace - ids that follow a request through all processes
+ *	trace - trace ids, which identify a request in all processes
  *
  * DESCRIPTION
- *	"HHHHHHHH-RRRRRRRRRRRRRRRR": a hash of the host whose daemon gave the
- *	id, and a random number. An id that a caller chose is kept as it is, if
- *	it is sound.
+ *	A generated id has the form "HHHHHHHH-RRRRRRRRRRRRRRRR": a hash of the
+ *	host whose daemon generated it, and a random number. An id chosen by the
+ *	caller is used unchanged if it is valid.
  */
 #ifndef COMMON_TRACE_H
 #define COMMON_TRACE_H
@@ -16,13 +16,14 @@
 
 void trace_create(const char *host, char trace[TIMELINE_TRACE_MAX]);
 
-/* True if the id was given by this host's daemon. */
+/* True if the daemon of this host generated the id. */
 bool trace_is_from(const char *trace, const char *host);
 
-/* True if the id may be used: it ends up in logs and in queries. */
+/* True if the id is not empty, not too long and has only characters that are safe
+ * in logs and in queries. */
 bool trace_is_valid(const char *trace);
 
-/* True if the id has the form that trace_create() gives. */
+/* True if the id has the form that trace_create() generates. */
 bool trace_has_host_form(const char *trace);
 
 #endif
--- a/tests/test_config_check.c
+++ b/tests/test_config_check.c
@@ -164,7 +164,7 @@
 	assert_refused("\"idempotent\"", "\"idempotant\"",
 		       "idempotant: unknown key, did you mean \"idempotent\"?");
 	assert_refused("\"archive-feed\": {", "\"lookup-desk\": {",
-		       "duplicate key, first given in line 7");
+		       "duplicate key, first used in line 7");
 	assert_refused(
 		"[\"/archive\"]", "[\"/lookup\"]",
 		"f:40: error: services.archive-feed.path_prefixes: "
--- a/tests/test_jsonc.c
+++ b/tests/test_jsonc.c
@@ -20,21 +20,20 @@
 }
 
 /*
- * An operator copies a service, forgets to rename it, and json-c keeps only
- * the second one. Callers of the first would get answers from the wrong group.
+ * Guards against silently lost duplicates. If an operator copies a service and
+ * forgets to rename it, json-c keeps only the second one, and the callers of the
+ * first would get answers from the wrong group.
  */
 static void test_duplicate_keys_are_found(void)
 {
-	assert_findings(
-		"{\n\"a\": {\"x\": 1},\n// again\n\"a\": 2\n}",
-		"f:4: error: a: duplicate key, first given in line 2\n");
+	assert_findings("{\n\"a\": {\"x\": 1},\n// again\n\"a\": 2\n}",
+			"f:4: error: a: duplicate key, first used in line 2\n");
 	assert_findings(
 		"{\"a\": [{\"x\": 1,\n\"x\": 2}]}",
-		"f:2: error: a[0].x: duplicate key, first given in line 1\n");
+		"f:2: error: a[0].x: duplicate key, first used in line 1\n");
 	assert_findings("{\"a\": {\"x\": 1}, \"b\": {\"x\": 1}}", "");
-	assert_findings(
-		"{\"a\": 1, \"\\u0061\": 2}",
-		"f:1: error: \\u0061: keys are written without escapes\n");
+	assert_findings("{\"a\": 1, \"\\u0061\": 2}",
+			"f:1: error: \\u0061: keys must not contain escapes\n");
 }
 
 static void test_syntax_is_strict_but_for_comments(void)
@@ -46,12 +45,12 @@
 	assert_findings("{\"a\": 1, // last\n}",
 			"f:2: error: trailing comma\n");
 	assert_findings("{'a': 1}",
-			"f:1: error: strings stand in double quotes\n");
+			"f:1: error: strings must be in double quotes\n");
 	assert_findings("{} {}",
 			"f:1: error: text after the end of the object\n");
 	assert_findings("{}/*}/**//",
 			"f:1: error: text after the end of the object\n");
-	assert_findings("[]", "f:1: error: an object is expected\n");
+	assert_findings("[]", "f:1: error: expected an object\n");
 	assert_findings("{\n\"a\": }", "f:2: error: unexpected character\n");
 	assert_findings("{\"a\": 1", "f:1: error: unexpected end of data\n");
 }
@@ -73,7 +72,7 @@
 	findings_finish(&findings);
 }
 
-/* Any text, however broken, gives findings or a document and nothing else. */
+/* Any text gives either findings or a document, without a crash. */
 static void test_random_text_is_survived(void)
 {
 	static const char alphabet[] = "{}[]\",:'/*\n1at\\ -";
@@ -109,7 +108,7 @@
 	g_assert_cmpstr(
 		text, ==,
 		"f:1: error: deadline_ms: is missing\n"
-		"f:1: error: n: must lie between 0 and 18446744073709551615\n"
+		"f:1: error: n: must be between 0 and 18446744073709551615\n"
 		"f:1: error: deadline: unknown key, did you mean "
 		"\"deadline_ms\"?\n"
 		"f:1: error: zzzz: unknown key\n");
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -116,9 +116,9 @@
 		       "platform.url: \"http://IP:PORT\" is expected");
 	assert_refused("peer.key", "no.key", "peer.key_file: Failed to open");
 	assert_refused("\"lines_per_s\": 200", "\"lines_per_s\": 0",
-		       "log_budget.lines_per_s: must lie between 10 and");
+		       "log_budget.lines_per_s: must be between 10 and");
 	assert_refused("8080", "80800",
-		       "caller.port: must lie between 0 and 65535");
+		       "caller.port: must be between 0 and 65535");
 }
 
 static char *read_source(const char *folder, const char *name)
