--- a/include/platform/control.h
+++ b/include/platform/control.h
@@ -1,11 +1,12 @@
 /*
  * NAME
- *	platform_control - what the platform and the upstream ask a daemon
+ *	platform_control - HTTP listeners for the platform and the upstream
  *
  * DESCRIPTION
- *	Two small HTTP listeners: one tells the platform whether callers may
- *	be sent here, one takes the heartbeats of the upstream on this host.
- *	What is said and what follows is decided by the functions given.
+ *	One listener answers the readiness check of the platform, which sends
+ *	callers only to a host that is ready. The other receives the heartbeats
+ *	of the upstream on this host. The functions in struct control_ops decide
+ *	the answers and the effects.
  */
 #ifndef PLATFORM_CONTROL_H
 #define PLATFORM_CONTROL_H
@@ -26,7 +27,7 @@
 	void *data;
 };
 
-/* An address of NULL is not listened on. ops must outlive it.
+/* Does not listen on an address that is NULL. ops must outlive the control.
  * RETURN VALUE: NULL with errno set if an address can't be bound. */
 struct control *control_create(struct ev_loop *loop,
 			       const struct settings_address *ready,
@@ -34,13 +35,13 @@
 			       const struct control_ops *ops);
 void control_destroy(struct control *control);
 
-/* As bound; 0 where it is not listened on. */
+/* RETURN VALUE: the port that is bound, or 0 without a listener. */
 uint16_t control_ready_port(const struct control *control);
 uint16_t control_reports_port(const struct control *control);
 
-/* Reads a heartbeat's body. The texts live as long as *root, which the caller
- * gives back with json_object_put().
- * RETURN VALUE: NULL, or what is wrong with it, a constant. */
+/* Parses the body of a heartbeat. The strings in report belong to *root, which
+ * the caller releases with json_object_put().
+ * RETURN VALUE: NULL on success, else the error as a constant string. */
 struct json_object;
 const char *control_read_report(const char *body, const char *instance,
 				struct report *report, struct json_object **root);
--- a/include/platform/headers.h
+++ b/include/platform/headers.h
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	platform_headers - the header names of the users' callers and upstreams
+ *	platform_headers - HTTP header names that the callers and upstreams use
  */
 #ifndef PLATFORM_HEADERS_H
 #define PLATFORM_HEADERS_H
--- a/include/platform/manifest.h
+++ b/include/platform/manifest.h
@@ -1,16 +1,18 @@
 /*
  * NAME
- *	platform_manifest - the operator's configuration, in comfreydock's form
+ *	platform_manifest - converts the configuration row of the platform
  *
  * DESCRIPTION
- *	The platform's operator writes one row with everything in it. It is
- *	rewritten as a namespace file, as docs/operators/configuration.md tells,
- *	which config_check reads like any other: each host becomes a service,
- *	its routes the rules, the longest prefix first, as the first rule that
- *	matches counts.
+ *	The operator of the platform writes the whole configuration into one
+ *	row. The reader converts it to a namespace file, as described in
+ *	docs/operators/configuration.md, which config_check reads like any
+ *	other. Each host becomes a service and its routes become the rules of
+ *	that service. The rules are sorted by descending length of their prefix,
+ *	because the first rule that matches is used.
  *
- *	A reader keeps the rules of the last row by the text of their routes: a
- *	new version mostly repeats them, and what it repeats isn't read again.
+ *	A reader caches the rules of the last row by the text of their routes. A
+ *	new version of the row repeats most routes, and the reader does not
+ *	parse these again.
  */
 #ifndef PLATFORM_MANIFEST_H
 #define PLATFORM_MANIFEST_H
@@ -19,7 +21,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The row, as platform.h names it. */
+/* The key of the row, in the form of platform.h. */
 #define PLATFORM_MANIFEST_TABLE "op"
 #define PLATFORM_MANIFEST_KEY PLATFORM_MANIFEST_TABLE "/config"
 #define PLATFORM_MANIFEST_NAMESPACE "operator"
@@ -30,10 +32,12 @@
 void platform_manifest_reader_destroy(struct platform_manifest_reader *reader);
 
 /*
- * Rewrites a row's value. retry_percent is the budget that its rules get. *body is to be freed with g_free().
+ * Converts the value of a row to the text of a namespace file in *body, which the
+ * caller frees with g_free(). All rules get the retry budget retry_percent.
  *
  * RETURN VALUE
- *	false where it can't be read; *error, a constant, says why.
+ *	false if the row can't be read; *error is then the reason, a constant
+ *	string.
  */
 bool platform_manifest_read(struct platform_manifest_reader *reader,
 			    const char *value, size_t size,
--- a/include/platform/store_era.h
+++ b/include/platform/store_era.h
@@ -1,11 +1,12 @@
 /*
  * NAME
- *	store_era - versions of a store that gives them out anew
+ *	store_era - keeps versions unique when the store is restored
  *
  * DESCRIPTION
- *	The store's era rises each time that it was set back to a copy. A
- *	version that leaves the client carries the last STORE_ERA_BITS of it
- *	above the store's own; see comfreydockd/platform/platform.h.
+ *	The era of the store increases each time the store is restored from a
+ *	backup, after which it assigns the same versions again. Versions that
+ *	the client returns hold the low STORE_ERA_BITS of the era above the
+ *	version of the store; see comfreydockd/platform/platform.h.
  */
 #ifndef PLATFORM_STORE_ERA_H
 #define PLATFORM_STORE_ERA_H
@@ -15,32 +16,34 @@
 
 #include "comfreydockd/platform/platform.h"
 
-/* The bit above stays free, as versions are signed in conditions. */
+/* The top bit stays 0, because conditions hold versions as signed integers. */
 #define STORE_ERA_BITS (63 - PLATFORM_VERSION_BITS)
 
-/* All zero at the start. */
+/* Starts as all zero. */
 struct store_era {
 	bool is_known;
-	uint64_t current; /* the latest heard of */
+	uint64_t current; /* the latest one received */
 };
 
-/* RETURN VALUE: of the header's text; 0 where that is NULL. */
+/* RETURN VALUE: the era in the text of the header, or 0 if text is NULL. */
 uint64_t store_era_parse(const char *text);
 
 /*
- * An answer tells its era; one that was long on its way, perhaps an old one.
+ * Updates the era with that of an answer. A delayed answer may hold an old era,
+ * which is ignored.
  *
- * RETURN VALUE: true where a later one has begun.
+ * RETURN VALUE: true if the answer began a later era.
  */
 bool store_era_update(struct store_era *era, uint64_t told);
 
+/* RETURN VALUE: the era of a version. */
 uint64_t store_era_of(uint64_t version);
 
-/* RETURN VALUE: a version of the store's, with its era. */
+/* RETURN VALUE: a version of the store combined with its era. */
 uint64_t store_era_add(uint64_t version, uint64_t era);
 
-/* RETURN VALUE: as the store knows it; one that it never gives out where the
- * version is of another era. */
+/* RETURN VALUE: the version of the store. If the version is of another era, a
+ * version that the store never assigns. */
 uint64_t store_era_strip(const struct store_era *era, uint64_t version);
 
 #endif
--- a/include/platform/wire.h
+++ b/include/platform/wire.h
@@ -1,10 +1,10 @@
 /*
  * NAME
- *	wire - the names that the users' platform uses in its messages
+ *	wire - names in the messages of the platform
  *
  * DESCRIPTION
- *	Nothing outside platform/ and its stand-in includes this. What a name
- *	holds, where it says little, stands beside it.
+ *	Only platform/ and the stand-in of the platform include this header. A
+ *	comment explains each name that does not explain itself.
  */
 #ifndef PLATFORM_WIRE_H
 #define PLATFORM_WIRE_H
@@ -17,24 +17,24 @@
 #define WIRE_BLOB_GET "/comfreydock/blob-get/"
 
 #define WIRE_TABLE "table"
-#define WIRE_PART "part" /* of a table; all of ours is in the part "" */
+#define WIRE_PART "part" /* of a table; comfreydock uses only the part "" */
 #define WIRE_KEY "key"
 #define WIRE_VALUE "value" /* base64 */
-#define WIRE_VER "ver" /* a row's version, or the newest of the store */
+#define WIRE_VER "ver" /* version of a row, or the latest of the store */
 #define WIRE_ROWS "rows"
 #define WIRE_EXPECT "expect" /* conditions of a transaction */
-#define WIRE_SET_KEYS "setKeys" /* its writes */
-#define WIRE_REMOVE "remove" /* its deletes, or whether a row is one */
+#define WIRE_SET_KEYS "setKeys" /* writes of a transaction */
+#define WIRE_REMOVE "remove" /* deletes of a transaction; flag of a row */
 #define WIRE_TOMBSTONE "tombstone" /* the row was deleted */
 #define WIRE_FROM "from" /* first key of a range */
-#define WIRE_TO "target" /* first key behind a range */
+#define WIRE_TO "target" /* first key after a range */
 #define WIRE_LIMIT "limit"
-#define WIRE_AFTER "after" /* of a feed: the version that is known */
+#define WIRE_AFTER "after" /* last known version, in a feed request */
 #define WIRE_WAIT_MS "waitMs"
 #define WIRE_HAS_MORE "hasMore"
 #define WIRE_NOW_MS "nowMs"
 
-/* A header of all answers: rises each time that the store was set back. */
+/* Header of all answers; increases each time the store is restored. */
 #define WIRE_ERA "Store-Era"
 
 #endif
