--- a/comfreydockctl/apply.c
+++ b/comfreydockctl/apply.c
@@ -5,7 +5,7 @@
 #include "common/clock.h"
 #include "common/jsonc.h"
 
-#define APPLY_TIMEOUT_MS 15000 /* above the daemon's own */
+#define APPLY_TIMEOUT_MS 15000 /* above the timeout of the daemon */
 #define ASK_TIMEOUT_MS 1000
 #define DEFAULT_WAIT_S 30
 #define POLL_S 0.2
@@ -20,11 +20,11 @@
 	{"wait", 0, 0, G_OPTION_ARG_NONE, &wait_for_all,
 	 "Wait until every daemon holds the version", NULL},
 	{"timeout", 0, 0, G_OPTION_ARG_INT, &wait_s,
-	 "How long --wait waits at most (30)", "SECONDS"},
+	 "Longest time that --wait waits (30)", "SECONDS"},
 	{NULL},
 };
 
-/* RETURN VALUE: whether a daemon's answer shows the version or a higher one. */
+/* RETURN VALUE: true if the answer of a daemon has the version or a later one. */
 static bool has_version(const struct ctl_call *call, const char *name,
 			uint64_t version)
 {
@@ -50,7 +50,8 @@
 	g_hash_table_add(holders, g_strndup(url, (gsize)(path - url)));
 }
 
-/* Asks those that were not seen to hold it; holders is the set of the URLs. */
+/* Asks the daemons that are not yet in holders, the set of URLs of daemons that
+ * have the version. RETURN VALUE: the number of daemons that have it. */
 static size_t count_holders(struct ctl *ctl, const GPtrArray *urls,
 			    GHashTable *holders, const char *name,
 			    uint64_t version)
@@ -99,7 +100,7 @@
 	ev_run(ctl->loop, 0);
 }
 
-/* The list of hosts is read anew each time: daemons come and go meanwhile. */
+/* Fetches the list of daemons at each poll, because daemons can join and leave. */
 static int wait_for_daemons(struct ctl *ctl, json_object *outcome)
 {
 	int64_t end_us = clock_mono_us() + wait_s * US_PER_S;
@@ -135,7 +136,7 @@
 	if (json_object_get_boolean(
 		    json_object_object_get(outcome, "was_in_force")))
 		printf("the file was in force as version %" G_GUINT64_FORMAT
-		       " and was replaced since\n",
+		       " and has been replaced since\n",
 		       jsonc_get_uint(outcome, "base") + 1);
 	printf("conflict: %s is at version %" G_GUINT64_FORMAT " by %s; see "
 	       "\"comfreydockctl show --body %s\", then apply with --base "
@@ -203,7 +204,7 @@
 	return path;
 }
 
-/* A daemon that broke off after it got the file may have applied it. */
+/* A daemon that received the file may have applied it even if its answer is lost. */
 static json_object *outcome_without_answer(const struct ctl_call *call)
 {
 	json_object *outcome = json_object_new_object();
@@ -262,7 +263,7 @@
 const struct ctl_command ctl_apply = {
 	.name = "apply",
 	.arguments = "FILE",
-	.summary = "put a file in force as a whole, or not at all",
+	.summary = "apply a file, either completely or not at all",
 	.min_arguments = 1,
 	.max_arguments = 1,
 	.options = options,
--- a/comfreydockctl/check.c
+++ b/comfreydockctl/check.c
@@ -8,7 +8,7 @@
 
 static const GOptionEntry options[] = {
 	{"offline", 0, 0, G_OPTION_ARG_NONE, &offline,
-	 "Ask no daemon: overlaps with other namespaces go unseen", NULL},
+	 "Ask no daemon; overlaps with other namespaces are not detected", NULL},
 	{NULL},
 };
 
@@ -62,7 +62,8 @@
 		status = report(ctl, file, json_object_get(findings),
 				call.status == 200);
 	else
-		ctl_print_error("no answer from %s; --offline asks no daemon",
+		ctl_print_error("no answer from %s; use --offline to check "
+				"without a daemon",
 				call.url);
 	json_object_put(root);
 	ctl_call_finish(&call);
@@ -87,7 +88,7 @@
 const struct ctl_command ctl_check = {
 	.name = "check",
 	.arguments = "FILE",
-	.summary = "tell whether a file could be applied",
+	.summary = "check whether a file can be applied",
 	.min_arguments = 1,
 	.max_arguments = 1,
 	.options = options,
--- a/comfreydockctl/ctl.c
+++ b/comfreydockctl/ctl.c
@@ -87,7 +87,7 @@
 	g_string_free(call->text, TRUE);
 }
 
-/* Calls of one run; the next one starts when one ends. */
+/* The calls of one ctl_run_calls(). When a call ends, the next one starts. */
 struct run {
 	struct ctl *ctl;
 	struct ctl_call *calls;
--- a/comfreydockctl/drain.c
+++ b/comfreydockctl/drain.c
@@ -10,9 +10,9 @@
 
 static const GOptionEntry options[] = {
 	{"wait", 0, 0, G_OPTION_ARG_NONE, &wait_until_idle,
-	 "Wait until nothing runs any more", NULL},
+	 "Wait until no request is running", NULL},
 	{"timeout", 0, 0, G_OPTION_ARG_INT, &wait_s,
-	 "How long --wait waits at most (600)", "SECONDS"},
+	 "Longest time that --wait waits (600)", "SECONDS"},
 	{NULL},
 };
 
@@ -32,12 +32,12 @@
 		if (ctl->json)
 			ctl_print_json(json_object_get(root));
 		else
-			puts("may stop: nothing runs any more");
+			puts("may stop: no request is running");
 	} else if (call.timed_out) {
 		status = CTL_WAIT_TIMED_OUT;
 		ctl_print_error(
-			"requests still run after %d s; the upstream goes "
-			"on draining",
+			"requests are still running after %d s; the upstream "
+			"continues to drain",
 			wait_s);
 	} else {
 		ctl_print_error("%s: %s%s", call.url,
@@ -68,7 +68,7 @@
 const struct ctl_command ctl_drain = {
 	.name = "drain",
 	.arguments = "",
-	.summary = "give a daemon's upstream no new work",
+	.summary = "stop sending new requests to the upstream of a daemon",
 	.options = options,
 	.run = run,
 };
--- a/comfreydockctl/failures.c
+++ b/comfreydockctl/failures.c
@@ -7,11 +7,11 @@
 
 #define FAILED_EVENT "entry.failed"
 
-/* Calls that failed in the same way. */
+/* Calls that failed with the same outcome, reason, rule and last attempt. */
 struct failure {
 	char *key;
 	uint64_t count;
-	char *example; /* the trace of the first */
+	char *example; /* trace id of the first such call */
 };
 
 struct summary {
@@ -33,7 +33,7 @@
 	g_free(failure);
 }
 
-/* "HOST:END" of the attempt that decided, as the last one did. */
+/* RETURN VALUE: "HOST:END" of the last attempt, which decided the outcome. */
 static const char *last_attempt(json_object *line)
 {
 	const char *attempts = jsonc_get_text(line, "attempts");
@@ -110,7 +110,7 @@
 {
 	*out = text ? logs_parse_time_us(text) : default_us;
 	if (text && !*out)
-		ctl_print_error("--%s: \"%s\" is no time such as "
+		ctl_print_error("--%s: \"%s\" is not a time such as "
 				"2026-01-31T12:00:00Z",
 				name, text);
 	return !text || *out;
@@ -130,7 +130,7 @@
 						 failure_free);
 	ok = logs_read(arguments, handle_line, &summary, &unreadable);
 	if (ok && unreadable)
-		ctl_print_error("%zu lines are no JSON and were passed over",
+		ctl_print_error("skipped %zu lines that are not JSON objects",
 				unreadable);
 	if (ok)
 		print_failures(&summary);
@@ -149,7 +149,7 @@
 const struct ctl_command ctl_failures = {
 	.name = "failures",
 	.arguments = "FILE...",
-	.summary = "sum up from logs why calls failed",
+	.summary = "summarize from logs why calls failed",
 	.min_arguments = 1,
 	.max_arguments = 4096,
 	.options = options,
--- a/comfreydockctl/hosts.c
+++ b/comfreydockctl/hosts.c
@@ -37,6 +37,6 @@
 const struct ctl_command ctl_hosts = {
 	.name = "hosts",
 	.arguments = "",
-	.summary = "list what a daemon knows of every host",
+	.summary = "list all hosts as one daemon sees them",
 	.run = run,
 };
--- a/comfreydockctl/main.c
+++ b/comfreydockctl/main.c
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	comfreydockctl - the operator's tool; see comfreydockctl(1)
+ *	comfreydockctl - command-line tool for operators; see comfreydockctl(1)
  */
 #include <stdio.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 
 #define DEFAULT_ADMIN "http://127.0.0.1:8082"
 
-/* Sorted by name, as --help shows them. */
+/* Sorted by name; --help prints them in this order. */
 static const struct ctl_command *const commands[] = {
 	&ctl_apply, &ctl_check,	  &ctl_drain,	   &ctl_failures,
 	&ctl_hosts, &ctl_metrics, &ctl_quarantine, &ctl_resume,
@@ -36,7 +36,9 @@
 		fprintf(out, "  %-22s %s\n", left, commands[i]->summary);
 		g_free(left);
 	}
-	fputs("\n\"comfreydockctl COMMAND --help\" shows its options.\n", out);
+	fputs("\nRun \"comfreydockctl COMMAND --help\" for the options of a "
+	      "command.\n",
+	      out);
 }
 
 static bool read_token(struct ctl *ctl, const char *file)
@@ -50,7 +52,7 @@
 	return true;
 }
 
-/* RETURN VALUE: false after telling what is wrong. */
+/* RETURN VALUE: false after printing the error. */
 static bool parse_options(struct ctl *ctl, const struct ctl_command *command,
 			  int *argc, char ***argv)
 {
@@ -59,7 +61,7 @@
 	GOptionEntry shared[] = {
 		{"json", 0, 0, G_OPTION_ARG_NONE, &json, "Print JSON", NULL},
 		{"admin", 0, 0, G_OPTION_ARG_STRING, &ctl->admin,
-		 "The daemon's admin API; or in $COMFREYDOCK_ADMIN", "URL"},
+		 "Admin API of the daemon; default: $COMFREYDOCK_ADMIN", "URL"},
 		{"token-file", 0, 0, G_OPTION_ARG_FILENAME, &token_file,
 		 "File that holds the admin token", "FILE"},
 		{NULL},
@@ -132,7 +134,7 @@
 	}
 	command = find_command(argv[1]);
 	if (!command) {
-		ctl_print_error("no command \"%s\"; see --help", argv[1]);
+		ctl_print_error("unknown command \"%s\"; see --help", argv[1]);
 		return CTL_USAGE;
 	}
 	status = run(&ctl, command, argc - 1, argv + 1);
--- a/comfreydockctl/metrics.c
+++ b/comfreydockctl/metrics.c
@@ -3,7 +3,7 @@
 #include "comfreydockctl/ctl.h"
 #include "common/jsonc.h"
 
-/* The counters' lines, "NAME VALUE", as one object. */
+/* Converts the lines "NAME VALUE" to one object. */
 static json_object *metrics_to_json(const char *text)
 {
 	json_object *root = json_object_new_object();
@@ -44,6 +44,6 @@
 const struct ctl_command ctl_metrics = {
 	.name = "metrics",
 	.arguments = "",
-	.summary = "print a daemon's counters",
+	.summary = "print the metrics of a daemon",
 	.run = run,
 };
--- a/comfreydockctl/quarantine.c
+++ b/comfreydockctl/quarantine.c
@@ -7,7 +7,7 @@
 
 static const GOptionEntry options[] = {
 	{"clear", 0, 0, G_OPTION_ARG_STRING, &cleared,
-	 "Clear the request with this content, at all daemons", "CONTENT"},
+	 "Clear the request with this content on all daemons", "CONTENT"},
 	{NULL},
 };
 
--- a/comfreydockctl/resume.c
+++ b/comfreydockctl/resume.c
@@ -18,6 +18,6 @@
 const struct ctl_command ctl_resume = {
 	.name = "resume",
 	.arguments = "",
-	.summary = "give a drained upstream new work again",
+	.summary = "send requests to a drained upstream again",
 	.run = run,
 };
--- a/comfreydockctl/show.c
+++ b/comfreydockctl/show.c
@@ -6,7 +6,7 @@
 static gboolean body;
 
 static const GOptionEntry options[] = {
-	{"body", 0, 0, G_OPTION_ARG_NONE, &body, "Print the files too", NULL},
+	{"body", 0, 0, G_OPTION_ARG_NONE, &body, "Also print the files", NULL},
 	{NULL},
 };
 
@@ -67,7 +67,7 @@
 const struct ctl_command ctl_show = {
 	.name = "show",
 	.arguments = "[NAMESPACE]",
-	.summary = "show which versions are in force, and who applied them",
+	.summary = "show the versions in force and who applied them",
 	.max_arguments = 1,
 	.options = options,
 	.run = run,
--- a/comfreydockctl/status.c
+++ b/comfreydockctl/status.c
@@ -36,6 +36,6 @@
 const struct ctl_command ctl_status = {
 	.name = "status",
 	.arguments = "",
-	.summary = "show one daemon and its upstream",
+	.summary = "show the status of a daemon and its upstream",
 	.run = run,
 };
--- a/comfreydockctl/timeline.c
+++ b/comfreydockctl/timeline.c
@@ -15,11 +15,12 @@
 	return (left_time > right_time) - (left_time < right_time);
 }
 
-/* A part that is missing would mislead, so it is named. */
+/* Names the daemons that gave no events, because an incomplete timeline would
+ * mislead its reader. */
 static void print_missing_daemons(json_object *missing)
 {
 	for (size_t i = 0; missing && i < json_object_array_length(missing); i++)
-		ctl_print_error("no time line from %s",
+		ctl_print_error("no timeline from %s",
 				json_object_get_string(
 					json_object_array_get_idx(missing, i)));
 }
@@ -48,7 +49,7 @@
 
 static char **files;
 
-/* What an event says of itself, beside what each line has. */
+/* RETURN VALUE: the fields of an event except for those that every line has. */
 static char *fields_to_note(json_object *line)
 {
 	static const char *const known[] = {"time", "event", "name", "process",
@@ -87,7 +88,8 @@
 	g_free(note);
 }
 
-/* RETURN VALUE: as a daemon would answer, or NULL after telling why not. */
+/* RETURN VALUE: events in the form of a daemon's answer, or NULL after printing
+ * the error. */
 static json_object *search_logs(const char *trace)
 {
 	json_object *root = json_object_new_object();
@@ -135,7 +137,7 @@
 	}
 	print_missing_daemons(jsonc_get_array(root, "missing"));
 	if (status != CTL_OK)
-		ctl_print_error("no events of %s are kept", arguments[0]);
+		ctl_print_error("no events found for %s", arguments[0]);
 	print_lines(events);
 	json_object_put(root);
 	return status;
@@ -143,8 +145,9 @@
 
 static const GOptionEntry options[] = {
 	{"log", 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &files,
-	 "Read this log in place of asking daemons, - for standard input; may "
-	 "come several times",
+	 "Read this log instead of asking the daemons, - for standard input; "
+	 "may "
+	 "be given several times",
 	 "FILE"},
 	{NULL},
 };
@@ -152,7 +155,7 @@
 const struct ctl_command ctl_timeline = {
 	.name = "timeline",
 	.arguments = "TRACE",
-	.summary = "show one request's events over all daemons",
+	.summary = "show the events of one request on all daemons",
 	.min_arguments = 1,
 	.max_arguments = 1,
 	.options = options,
--- a/include/comfreydockctl/ctl.h
+++ b/include/comfreydockctl/ctl.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	ctl - what the commands of comfreydockctl share
+ *	ctl - functions shared by the commands of comfreydockctl
  *
  * DESCRIPTION
- *	Each command is one file and one line in the sorted table of main.c.
- *	It speaks to the admin API of one daemon, and through its list of hosts
- *	to the others.
+ *	Each command has its own file and an entry in the sorted table in
+ *	main.c. It calls the admin API of one daemon, and finds the other
+ *	daemons in the host list of that one.
  */
 #ifndef COMFREYDOCKCTL_CTL_H
 #define COMFREYDOCKCTL_CTL_H
@@ -17,15 +17,15 @@
 
 struct http_client;
 
-/* The exit statuses; documented in comfreydockctl(1). */
+/* Exit statuses, documented in comfreydockctl(1). */
 enum ctl_exit {
 	CTL_OK = 0,
-	CTL_REFUSED = 1, /* the file has errors; nothing was changed */
+	CTL_REFUSED = 1, /* the file has errors; nothing changed */
 	CTL_USAGE = 2,
-	CTL_CONFLICT = 3, /* somebody else's version is in force */
-	CTL_UNKNOWN = 4, /* whether it took effect isn't known yet */
-	CTL_FAILED = 5, /* no daemon answered, or it answered with an error */
-	CTL_WAIT_TIMED_OUT = 6, /* --wait ended before all daemons followed */
+	CTL_CONFLICT = 3, /* another version is in force */
+	CTL_UNKNOWN = 4, /* the change may or may not have taken effect */
+	CTL_FAILED = 5, /* no answer, or an error, from the daemon */
+	CTL_WAIT_TIMED_OUT = 6, /* --wait reached its timeout */
 };
 
 struct ctl {
@@ -42,7 +42,7 @@
 	const char *summary;
 	int min_arguments;
 	int max_arguments;
-	const GOptionEntry *options; /* the command's own; or NULL */
+	const GOptionEntry *options; /* of this command; or NULL */
 	int (*run)(struct ctl *ctl, char **arguments);
 };
 
@@ -58,7 +58,7 @@
 extern const struct ctl_command ctl_status;
 extern const struct ctl_command ctl_timeline;
 
-/* One request and what became of it. */
+/* One request and its result. */
 struct ctl_call {
 	const char *method;
 	char *url;
@@ -71,48 +71,49 @@
 	GString *text;
 };
 
-/* path is appended to the base URL; the call is finished by the caller. */
+/* Appends path to the base URL. The caller must call ctl_call_finish(). */
 void ctl_call_init(struct ctl_call *call, const char *method, const char *base,
 		   const char *path);
 void ctl_call_finish(struct ctl_call *call);
 
-/* Runs all calls, many at a time, and returns once each has ended. */
+/* Runs all calls, many at a time, and returns when all have ended. */
 void ctl_run_calls(struct ctl *ctl, struct ctl_call *calls, size_t count);
 
 /*
- * GETs or POSTs one path of the daemon and prints why on failure.
+ * Sends a GET or POST request to the daemon. Prints the error on failure.
  * RETURN VALUE: the answer as JSON, or NULL.
  */
 json_object *ctl_request(struct ctl *ctl, const char *method, const char *path);
 
 /*
- * Prints an answer as JSON, or by print where that was not asked for, and puts
- * it. RETURN VALUE: the exit status; root NULL is a failure told already.
+ * Prints an answer and releases it. Uses print(), or prints JSON if --json was
+ * given. A root of NULL stands for a failure that has been printed already.
+ * RETURN VALUE: the exit status.
  */
 int ctl_print(const struct ctl *ctl, json_object *root,
 	      void (*print)(json_object *root));
 
-/* All pages of the daemon's list of hosts, as one object with "hosts".
- * RETURN VALUE: NULL after a complaint; else the caller puts it. */
+/* Fetches all pages of the daemon's host list as one object with "hosts".
+ * RETURN VALUE: NULL after printing the error; else the caller releases it. */
 json_object *ctl_fetch_hosts(struct ctl *ctl);
 
 /*
- * The base URLs of the admin APIs of this daemon and of all others that are
- * not known dead, this one first.
- * RETURN VALUE: an array of strings, or NULL after printing why.
+ * Lists the base URLs of the admin APIs of this daemon, which comes first, and of
+ * all other daemons that are alive or suspect.
+ * RETURN VALUE: an array of strings, or NULL after printing the error.
  */
 GPtrArray *ctl_list_daemon_urls(struct ctl *ctl);
 
 /* Prints "comfreydockctl: TEXT" on standard error. */
 void ctl_print_error(const char *format, ...) G_GNUC_PRINTF(1, 2);
 
-/* Prints the object as JSON and gives it up. */
+/* Prints the object as JSON and releases it. */
 void ctl_print_json(json_object *root);
 
 /* Prints findings as "FILE:LINE: error: PATH: TEXT" on standard error. */
 void ctl_print_findings(json_object *findings);
 
-/* RETURN VALUE: the file's text, or NULL after printing why. */
+/* RETURN VALUE: the content of the file, or NULL after printing the error. */
 char *ctl_read_file(const char *file);
 
 #endif
--- a/tests/test_ctl.c
+++ b/tests/test_ctl.c
@@ -8,16 +8,16 @@
 #include "common/http_server.h"
 #include "common/jsonc.h"
 
-/* A daemon that gives prepared answers, and the tool run against it. */
+/* A fake daemon with canned answers, and the tool that runs against it. */
 struct fixture {
 	struct ev_loop *loop;
 	struct http_server *server;
-	const char *apply; /* the answer; NULL breaks the connection off */
+	const char *apply; /* the answer; NULL: close the connection */
 	unsigned int apply_status;
-	const char *version; /* that /v1/config shows */
-	bool stops; /* at once; else the stop call is left waiting */
+	const char *version; /* answer of /v1/config */
+	bool stops; /* immediately; else the stop call is not answered */
 	struct http_request *held;
-	char *target; /* of the last apply */
+	char *target; /* base of the last apply */
 	GString *output;
 	int exit_status;
 	ev_child child;
@@ -29,7 +29,7 @@
 	http_request_reply_text(request, status, "application/json", text);
 }
 
-/* In two pages, as a daemon lists hundreds of hosts. */
+/* Answers in two pages, as a daemon does for hundreds of hosts. */
 static void reply_hosts(struct fixture *f, struct http_request *request)
 {
 	const char *after = http_request_argument(request, "after");
@@ -111,7 +111,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
-/* Runs the tool; both its outputs end up in f->output. */
+/* Runs the tool; f->output gets its standard output and standard error. */
 static void run(struct fixture *f, const char *command, const char *options,
 		const char *argument, int expected)
 {
@@ -162,8 +162,8 @@
 }
 
 /*
- * Scripts that roll out a file go by the exit status. "unknown" that looks
- * like "refused" would make them apply the next file on a wrong base.
+ * Guards the exit statuses, which rollout scripts depend on. If "unknown" looked
+ * like "refused", a script would apply the next file with a wrong base.
  */
 static void test_each_outcome_has_its_status(struct fixture *f,
 					     gconstpointer unused)
@@ -195,7 +195,8 @@
 	g_free(file);
 }
 
-/* The daemon is replaced in the middle of the apply. */
+/* The connection to the daemon breaks during the apply, as when the daemon is
+ * replaced. */
 static void test_lost_daemon_is_unknown(struct fixture *f, gconstpointer unused)
 {
 	char *file = sample();
@@ -207,7 +208,7 @@
 	g_free(file);
 }
 
-/* One daemon lags; the operator must not be told that all hold the version. */
+/* Guards against a report that all daemons hold the version while one lags. */
 static void test_wait_counts_daemons(struct fixture *f, gconstpointer unused)
 {
 	char *file = sample();
@@ -225,20 +226,21 @@
 	g_free(file);
 }
 
-/* A long download goes on; the upstream must not be ended under it. */
+/* Guards against an upstream that is stopped while a long download runs. */
 static void test_drain_waits(struct fixture *f, gconstpointer unused)
 {
 	(void)unused;
 	run(f, "drain", "--wait", "--timeout=1", 6);
-	assert_output(f, "requests still run after 1 s");
+	assert_output(f, "requests are still running after 1 s");
 	reply(f->held, 503, "{}");
 	f->stops = true;
 	run(f, "drain", "--wait", "--timeout=1", 0);
 	assert_output(f, "may stop");
 }
 
-/* The parts of daemons whose clocks differ come in any order, and one daemon
- * gave none: a reader who isn't told would look for the fault elsewhere. */
+/* Events of several daemons arrive in any order and must be sorted. A daemon that
+ * gave no events must be named, else the reader would look for the fault
+ * elsewhere. */
 static void test_timeline_is_sorted_and_names_missing_daemons(struct fixture *f,
 							      gconstpointer unused)
 {
@@ -257,7 +259,7 @@
 				==, names[i]);
 	json_object_put(root);
 	run(f, "timeline", "--", "t1", 0);
-	assert_output(f, "no time line from esja-07");
+	assert_output(f, "no timeline from esja-07");
 }
 
 static const char entry_log[] =
@@ -288,9 +290,9 @@
 }
 
 /*
- * A customer complains a day later: the daemons' own memory of the request is
- * long gone, and only the logs of several hosts are left. The entry's last word
- * must come after the owner's, whichever file is read first.
+ * A day after a request the daemons no longer hold its events, and only the logs
+ * of several hosts are left. The events must be sorted by time, so that the last
+ * event of the entry follows that of the owner, whichever file is read first.
  */
 static void test_timeline_from_logs(struct fixture *f, gconstpointer unused)
 {
@@ -320,9 +322,9 @@
 }
 
 /*
- * After an incident nobody has one request's id but a span of time. Calls that
- * failed alike must stand in one line with what they met, and a span must leave
- * out what lies beyond it.
+ * After an incident an engineer knows a span of time but no trace id. Calls that
+ * failed in the same way must be counted in one line with their last attempt, and
+ * calls outside of the span must be left out.
  */
 static void test_failures_are_summed_up(struct fixture *f, gconstpointer unused)
 {
@@ -332,11 +334,11 @@
 	run(f, "failures", "--", entry, 0);
 	assert_output(f, "      2  unknown  lost");
 	assert_output(f, "b-2:lost");
-	assert_output(f, "1 lines are no JSON");
+	assert_output(f, "skipped 1 lines that are not JSON objects");
 	run(f, "failures", "--until=2026-01-31T12:00:05Z", entry, 0);
 	assert_output(f, "      1  unknown  lost");
 	run(f, "failures", "--since=yesterday", entry, 2);
-	assert_output(f, "--since: \"yesterday\" is no time");
+	assert_output(f, "--since: \"yesterday\" is not a time");
 	g_unlink(entry);
 	g_free(entry);
 }
