--- a/tests/paused_clock.h
+++ b/tests/paused_clock.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	paused_clock - a clock that only the test moves
+ *	paused_clock - a clock that only the test advances
  *
  * DESCRIPTION
  *	Linking paused_clock.c replaces clock_gettime(2) in the whole program,
- *	libev's included. Both the monotonic and the wall clock stand still
- *	until paused_clock_advance_us() moves them.
+ *	including libev. The monotonic and the wall clock are paused until
+ *	paused_clock_advance_us() advances both.
  */
 #ifndef TESTS_PAUSED_CLOCK_H
 #define TESTS_PAUSED_CLOCK_H
@@ -14,7 +14,7 @@
 
 void paused_clock_advance_us(int64_t us);
 
-/* Moves the wall clock alone, as an operator or a time server would. */
+/* Steps only the wall clock, as an operator or a time server would. */
 void paused_clock_step_wall_us(int64_t us);
 
 #endif
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -4,8 +4,8 @@
 #include <string.h>
 #include <sys/wait.h>
 
-/* RETURN VALUE: whether tools/check-capacity accepts the page. *out is its
- * output, freed by the caller. */
+/* RETURN VALUE: true if tools/check-capacity accepts the page. *out is its output,
+ * which the caller frees. */
 static bool check(const char *page, char **out)
 {
 	char *tool = g_build_filename(g_getenv("COMFREYDOCK_SOURCE"), "tools",
@@ -20,8 +20,9 @@
 }
 
 /*
- * Somebody writes a figure from memory, or measures anew and forgets the page.
- * Operators would buy hosts by a figure that no run has given.
+ * Guards against a figure that was written from memory, or not updated after a
+ * new measurement. Operators would buy hosts based on a figure that no run has
+ * given.
  */
 static void assert_checked(const char *text, const char *finding)
 {
@@ -61,7 +62,7 @@
 		       "30 is not in");
 	assert_checked("`0.3` us ([x](measurements/swim.txt))\n",
 		       "0.3 is not in");
-	/* The command itself is no measurement. */
+	/* A number in the command line is not a measurement. */
 	assert_checked("`7` us ([x](measurements/swim.txt))\n", "7 is not in");
 	assert_checked("`0.30` us\n", "no measurement is named after 0.30");
 	assert_checked("fast ([x](measurements/swim.txt))\n",
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -34,9 +34,8 @@
 }
 
 /*
- * What comes may be of another writer: fields missing or of another type, a
- * state that nobody knows, bytes that are no JSON. None of it may name an
- * upstream to use.
+ * Guards against an upstream that is used because of an invalid report: missing
+ * fields, fields of another type, an unknown state, or bytes that are not JSON.
  */
 static void test_invalid_reports_are_refused(void)
 {
@@ -71,7 +70,7 @@
 		struct report report;
 
 		if (!control_read_report(bad[i], "i-1", &report, &root))
-			g_error("taken: %s", bad[i]);
+			g_error("accepted: %s", bad[i]);
 		json_object_put(root);
 	}
 }
@@ -181,8 +180,8 @@
 	g_assert_cmpint(ask(f, port, "GET", "/", NULL), ==, 404);
 }
 
-/* A late report is acknowledged like any other: asked again it would only come
- * later still. One of a stranger is not. */
+/* A late report is acknowledged like any other, because the upstream would only
+ * send it again even later. A report from a foreign instance is refused. */
 static void test_reports_and_deregistration(struct fixture *f, gconstpointer data)
 {
 	static const char path[] = "/comfreydock/instances/i-1/heartbeat";
--- a/tests/test_events.c
+++ b/tests/test_events.c
@@ -27,7 +27,7 @@
 	return text;
 }
 
-/* Two events under one number could not be told apart in a log search. */
+/* A log search could not distinguish two events with the same number. */
 static void test_events_are_unique(void)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(events); i++) {
@@ -38,7 +38,7 @@
 	}
 }
 
-/* An operator who sees a number in a log finds it in the catalogue. */
+/* docs/EVENTS.md must document the number and name of each event. */
 static void test_events_are_catalogued(void)
 {
 	char *text = read_catalogue();
@@ -55,7 +55,7 @@
 	g_free(text);
 }
 
-/* A row for an event that the code no longer has would mislead. */
+/* docs/EVENTS.md must have no row for an event that no longer exists. */
 static void test_catalogue_has_no_stale_rows(void)
 {
 	char *text = read_catalogue();
--- a/tests/test_findings.c
+++ b/tests/test_findings.c
@@ -2,7 +2,7 @@
 
 #include "common/findings.h"
 
-/* An operator gets every error of a file at once, in the order of its lines. */
+/* An operator must get all errors of a file together, in the order of lines. */
 static void test_findings_are_sorted_by_place(void)
 {
 	struct findings findings;
--- a/tests/test_freeze.c
+++ b/tests/test_freeze.c
@@ -9,7 +9,7 @@
 #include "common/freeze.h"
 
 #define PAUSE_US (300 * US_PER_MS)
-/* The kernel's account of a thread's time and the clock differ by less. */
+/* The CPU time counted by the kernel and the clock differ by less than this. */
 #define ACCOUNT_US US_PER_MS
 
 static void compute_us(int64_t us)
@@ -21,8 +21,9 @@
 }
 
 /*
- * A loop that computes for long stands still as one that is stopped does. The
- * on-call engineer who can't tell them apart looks at the host in place of us.
+ * A loop that computes for long is blocked like one that is stopped. cpu_ms must
+ * distinguish them, else the on-call engineer would suspect the host instead of
+ * the daemon.
  */
 static void test_busy_loop(void)
 {
@@ -33,7 +34,8 @@
 	freeze_mark(&mark);
 	compute_us(PAUSE_US);
 	freeze_since(&mark, &used);
-	/* What it neither ran nor waited for is small, also on a busy host. */
+	/* Even on a busy host the thread runs or waits for a CPU nearly all of
+	 * the time. */
 	g_assert_cmpint(used.cpu_us, >, 0);
 	g_assert_cmpint(used.cpu_us, <=, clock_mono_us() - began + ACCOUNT_US);
 	if (used.waited_us >= 0)
@@ -61,7 +63,7 @@
 	return NULL;
 }
 
-/* Others have the only processor half of the time. */
+/* Another thread uses the only CPU for half of the time. */
 static void test_starved(void)
 {
 	struct freeze_mark mark;
@@ -88,7 +90,7 @@
 	g_assert_cmpint(used.involuntary, >, 0);
 }
 
-/* RETURN VALUE: what two lines and their marks wrote. */
+/* RETURN VALUE: the output of two freeze_mark() and freeze_log() calls. */
 static char *written_lines(void)
 {
 	struct freeze_mark mark;
@@ -133,8 +135,9 @@
 }
 
 /*
- * A platform may hide /proc, and here no file can be opened. The daemon must
- * not take the missing figure for "never waited", nor tell of it each tick.
+ * A platform may hide /proc, which a limit of 0 open files simulates. The missing
+ * figure must be logged as -1 instead of 0, and the error only once instead of at
+ * each tick.
  */
 static void test_unreadable(void)
 {
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -113,11 +113,11 @@
 }
 
 /*
- * A daemon that stops closes its port. A caller who connected a moment before
- * waits in the kernel's queue, and gets its answer; one who comes after must be
- * told by the kernel that nobody listens. Left in a queue that nobody reads, it
- * would wait until the daemon's end and then see its connection break, without
- * knowing whether its request ran.
+ * When a daemon stops, it closes its port. A caller that is still in the accept
+ * queue must get its answer, and the kernel must refuse a caller that connects
+ * later. If later callers were queued but never accepted, they would wait until
+ * the daemon exits and then lose the connection, without knowing whether their
+ * requests ran.
  */
 static void test_quiesced_port(void)
 {
--- a/tests/test_json_spans.c
+++ b/tests/test_json_spans.c
@@ -39,8 +39,9 @@
 }
 
 /*
- * A path prefix or a name may hold brackets and quotes. Taken for brackets of
- * the text, they would shift where a rule ends, and it would get another's text.
+ * A path prefix or a name may hold brackets and quotes. If these counted as
+ * brackets of the text, the span of a rule would end in the wrong place, and the
+ * rule would get the text of another one.
  */
 static void test_brackets_in_strings_are_text(void)
 {
@@ -48,7 +49,8 @@
 		     "{\"b\":\"}]\\\"{\"};{\"]\":\"\\\\\"};");
 }
 
-/* A parser that takes more than JSON sees other objects than the cut does. */
+/* A parser that accepts extensions of JSON could find other objects than the
+ * scan does, so such a text must be parsed as a whole. */
 static void test_extended_json_is_read_whole(void)
 {
 	static const char *const texts[] = {
--- a/tests/test_latency.c
+++ b/tests/test_latency.c
@@ -12,7 +12,7 @@
 	g_free(whole);
 }
 
-/* A bound belongs to its own bucket, and each bucket holds all below it. */
+/* Buckets include their upper bound and are cumulative. */
 static void test_buckets(void)
 {
 	GString *text = g_string_new(NULL);
@@ -38,9 +38,10 @@
 }
 
 /*
- * Two hosts' clocks or a pause can make a part of a call look longer than the
- * whole. A time below zero would wrap the sum to half an eternity, and each
- * mean on a dashboard with it.
+ * Guards against a negative latency that wraps the unsigned sum and falsifies
+ * every mean on a dashboard. A latency can be negative if clocks of two hosts
+ * differ or a process pauses, so that a part of a call seems longer than the
+ * whole.
  */
 static void test_below_zero(void)
 {
@@ -53,7 +54,7 @@
 	g_string_free(text, TRUE);
 }
 
-/* Beyond the last bound it counts in +Inf alone. */
+/* A value above the last bound counts only in the +Inf bucket. */
 static void test_above_last_bound(void)
 {
 	GString *text = g_string_new(NULL);
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -8,7 +8,7 @@
 #include "common/log.h"
 #include "paused_clock.h"
 
-/* Standard output becomes a pipe that this test reads. */
+/* Redirects standard output to a pipe that the test reads. */
 struct fixture {
 	int pipe[2];
 	int kept_stdout;
@@ -34,7 +34,7 @@
 	dup2(f->pipe[1], STDOUT_FILENO);
 	log_init(LOG_FORMAT_JSON, "test");
 	log_enable_buffering();
-	/* A second of its own for each test. */
+	/* Each test starts in a new second with an unused budget. */
 	paused_clock_advance_us(3 * US_PER_S);
 	log_event(EV_DAEMON_STARTED);
 	paused_clock_advance_us(2 * US_PER_S);
@@ -82,9 +82,9 @@
 }
 
 /*
- * Thousands of calls a second would bury the one line that says that a host was
- * lost, and take the daemon's time. The routine is cut first, failures next, and
- * what was left out is told.
+ * Thousands of calls a second must not hide the one line that says that a host is
+ * lost, nor use up the CPU time of the daemon. ROUTINE lines are dropped first,
+ * then FAILURE lines, and log.suppressed reports the dropped lines.
  */
 static void test_budget_drops_routine_first(struct fixture *f, gconstpointer data)
 {
@@ -109,9 +109,9 @@
 }
 
 /*
- * An engineer follows one request over three daemons. If each left out lines of
- * its own choice, no request could be followed. Above the budget whole requests
- * are drawn, by their id.
+ * An engineer traces one request over three daemons. That is impossible if each
+ * daemon drops different lines. Above the budget daemons must therefore sample
+ * whole requests by trace id.
  */
 static void test_requests_are_sampled_whole(struct fixture *f, gconstpointer data)
 {
@@ -143,8 +143,8 @@
 }
 
 /*
- * Whatever reads the log has stopped. The daemon must go on as if nobody had
- * asked for it, with no line cut in half once the reader is back.
+ * The reader of the log stalls. The daemon must not block, and when the reader
+ * continues it must get only whole lines.
  */
 static void test_stalled_reader_does_not_block(struct fixture *f,
 					       gconstpointer data)
--- a/tests/test_manifest.c
+++ b/tests/test_manifest.c
@@ -55,7 +55,7 @@
 	return rule;
 }
 
-/* All that the route says of itself. */
+/* Checks every attribute of the route "list". */
 static void assert_is_list(const struct config_rule *rule)
 {
 	g_assert_cmpstr(rule->name, ==, "list");
@@ -88,7 +88,7 @@
 
 	g_assert_cmpuint(version, ==, 7);
 	assert_is_list(rule);
-	/* A large answer may be fetched again; a booking may not. */
+	/* A download is idempotent, a booking is not. */
 	g_assert_true(match(snapshot, "/p/1")->idempotent);
 	g_assert_false(match(snapshot, "/b/1")->idempotent);
 	g_assert_null(match(snapshot, "/x/1"));
@@ -96,7 +96,7 @@
 	config_snapshot_unref(snapshot);
 }
 
-/* The operator lists routes in any order; the longest prefix must count. */
+/* The longest matching prefix must win, whatever the order of the routes. */
 static void test_longest_prefix_wins(void)
 {
 	uint64_t version;
@@ -133,7 +133,7 @@
 	config_snapshot_unref(snapshot);
 }
 
-/* A row cut off on its way, or written by something else, names no version. */
+/* Truncated rows, and rows of another writer without a valid version. */
 static void test_unreadable_rows_are_refused(void)
 {
 	static const char *const bad[] = {
@@ -162,8 +162,8 @@
 	platform_manifest_reader_destroy(reader);
 }
 
-/* Whatever parts of it are of another type: it is read or refused, and the
- * check of a file stands behind it. */
+/* A corrupt row must be either refused or converted without a crash. A converted
+ * row must also pass through the checks of a namespace file without a crash. */
 static void test_random_corruption_is_survived(void)
 {
 	static const char whole[] = MANIFEST(
@@ -206,9 +206,9 @@
 	return body;
 }
 
-/* What a reader makes of a row must not depend on the rows that it read before:
- * daemons that watch the row for different times would hold different bodies
- * under one version, and refuse each other's. */
+/* The result for a row must not depend on rows that the reader read before. Else
+ * daemons that have watched the row for different times would have different
+ * bodies for the same version, and would refuse those of each other. */
 static void test_body_follows_from_the_row_alone(void)
 {
 #define LIST ROUTE("list", "idempotent", "/l/", TO("desk"))
@@ -243,7 +243,7 @@
 	platform_manifest_reader_destroy(reader);
 }
 
-/* The retry budget is set anew without a change of the row. */
+/* The retry budget can change while the row does not. */
 static void test_changed_retry_budget_is_written(void)
 {
 	static const char row[] = MANIFEST("\"r1\"", LIST);
--- a/tests/test_platform_client.c
+++ b/tests/test_platform_client.c
@@ -12,7 +12,7 @@
 #include "common/socket.h"
 #include "rig.h"
 
-/* A version of the store, before it was ever set back. */
+/* A version of the store in its first era, before any restore. */
 #define AT(n) ((uint64_t)1 << PLATFORM_VERSION_BITS | (uint64_t)(n))
 
 struct fixture {
@@ -131,10 +131,10 @@
 }
 
 /*
- * The table service applies a write and loses the answer, on a connection that
- * served a call before. An HTTP library that finds such a connection closed
- * may send the request anew: an operator's change would then be applied twice,
- * and the second time as a conflict with itself.
+ * Guards against a write that is applied twice. The table service applies a write
+ * and loses the answer on a reused connection. An HTTP library may resend the
+ * request when such a connection closes, and an operator's change would then
+ * conflict with itself.
  */
 static void test_lost_answer_is_unknown_and_not_resent(struct fixture *f,
 						       gconstpointer data)
@@ -159,9 +159,9 @@
 }
 
 /*
- * The table service is down: first it breaks connections off, then its process
- * is gone. A read fails either way; a write certainly took no effect only in
- * the second case, where there was nothing to connect to.
+ * The table service first closes connections, then its process is gone. A read
+ * fails in both cases. A write certainly took no effect only in the second case,
+ * where the connection is refused.
  */
 static void test_outage(struct fixture *f, gconstpointer data)
 {
@@ -180,7 +180,7 @@
 	g_assert_cmpstr(platform_status_message(f->platform), !=, "");
 }
 
-/* A service that hangs holds up its caller for a bounded time only. */
+/* A service that hangs must delay its caller only for a bounded time. */
 static void test_slow_platform(struct fixture *f, gconstpointer data)
 {
 	(void)data;
@@ -191,7 +191,7 @@
 	g_assert_cmpint(rig_wait_end(f->standin, 1000), ==, 0);
 }
 
-/* A change is told at once to whoever watches its table; a deleted row as such. */
+/* A watch must report a change immediately, and a deleted row without a value. */
 static void test_watch_reports_changes(struct fixture *f, gconstpointer data)
 {
 	struct platform_op delete = {PLATFORM_DELETE, "t/a", AT(1), NULL};
@@ -224,8 +224,8 @@
 	(*count)++;
 }
 
-/* Guards against a watch that goes on from a version of before the store was set
- * back, which now stands for another change or for none. */
+/* Guards against a watch that continues from a version of before a restore. That
+ * version now stands for another change or for none. */
 static void test_watch_from_older_era_ends(struct fixture *f, gconstpointer data)
 {
 	unsigned int restored = 0;
@@ -244,8 +244,8 @@
 	g_assert_cmpuint(restored, ==, 1);
 }
 
-/* Guards against a write on the condition of a version that was given out anew: it
- * would replace what nobody here has read. */
+/* Guards against a conditional write with a version that the store has assigned
+ * again after a restore. It would overwrite a value that the writer never read. */
 static void test_conditions_from_older_era_fail(struct fixture *f,
 						gconstpointer data)
 {
@@ -264,8 +264,8 @@
 	g_assert_cmpint(put(f, "t/a", (int64_t)f->version, "4"), ==, PLATFORM_OK);
 }
 
-/* The store has dropped what changed: a watch that went on from there would
- * miss it without a word. */
+/* The store has compacted its history. A watch that continued from an older
+ * version would silently miss changes. */
 static void test_compacted_history_is_reported(struct fixture *f,
 					       gconstpointer data)
 {
@@ -279,7 +279,8 @@
 	g_assert_cmpuint(f->store_version, ==, AT(2));
 }
 
-/* Refused for want of room or because it is away: certainly not done. */
+/* A write that is refused because the store is full or unavailable must certainly
+ * have no effect. */
 static void test_refused_writes_are_not_done(struct fixture *f, gconstpointer data)
 {
 	(void)data;
@@ -296,9 +297,8 @@
 }
 
 /*
- * A write is given up as lost and takes effect later all the same. Whoever took
- * it for failed and wrote something else must find that it did not overwrite
- * that: its condition no longer holds.
+ * A write whose answer was lost takes effect later. It must not overwrite a value
+ * that was written in the meantime, because its condition no longer holds.
  */
 static void test_late_write_keeps_its_condition(struct fixture *f,
 						gconstpointer data)
@@ -324,7 +324,7 @@
 	g_assert_cmpuint(f->answers, ==, 0);
 }
 
-/* A store that answers with one row, in so many parts. */
+/* A fake store that sends an answer of one row in small parts. */
 struct trickle {
 	struct ev_loop *loop;
 	ev_io accepting;
@@ -333,7 +333,7 @@
 	GString *answer;
 	size_t sent;
 	size_t part;
-	size_t stops_at; /* says nothing more from there on */
+	size_t stops_at; /* sends nothing from this offset on */
 };
 
 static void trickle_some(struct ev_loop *loop, ev_timer *timer, int events)
@@ -401,9 +401,9 @@
 }
 
 /*
- * A row of some MB needs seconds on the link of a small host. Given up after two, it
- * would never come: a host that starts would have no configuration, and one that is
- * behind could not read it.
+ * A row of several MB takes seconds on a slow link. With a timeout of two seconds
+ * it would never arrive: a starting host would have no configuration, and a host
+ * that is behind could not catch up.
  */
 static void test_large_row_may_take_seconds(struct fixture *f, gconstpointer data)
 {
@@ -417,8 +417,8 @@
 	trickle_stop(&trickle);
 }
 
-/* The store falls silent in the middle of a row. Whoever waits for it is told in time
- * to ask again. */
+/* The store stalls in the middle of a row. The read must fail soon enough that the
+ * caller can try again. */
 static void test_stalled_row_times_out(struct fixture *f, gconstpointer data)
 {
 	struct trickle trickle;
--- a/tests/test_run_tests.c
+++ b/tests/test_run_tests.c
@@ -4,7 +4,8 @@
 #include <string.h>
 #include <sys/wait.h>
 
-/* In place of meson: two tests, one of them with the name that marks a line. */
+/* A fake meson with two tests. One has the name "open", which in KNOWN-RED.txt
+ * marks an entry that excuses no failure. */
 static const char meson_text[] =
 	"#!/bin/sh\n"
 	"case \"$*\" in *--list*) echo open; echo two; exit ;; esac\n"
@@ -83,7 +84,8 @@
 	g_free(f->folder);
 }
 
-/* With this list, and these results of both tests, the verdict is as given. */
+/* Runs tools/run-tests with a KNOWN-RED.txt and given results of both tests, and
+ * checks its verdict and a line of its output. */
 static void assert_verdict(struct fixture *f, const char *list, const char *open,
 			   const char *two, bool passes, const char *line)
 {
@@ -126,8 +128,8 @@
 }
 
 /*
- * A fault that shows now and then is listed. Were a failure passed over for it,
- * nobody would see the fault again, nor any other that those tests find.
+ * An "open" entry lists an intermittent fault. If it excused failures, nobody
+ * would notice the fault again, nor any other fault that those tests find.
  */
 static void test_open(struct fixture *f, gconstpointer data)
 {
--- a/tests/test_slice.c
+++ b/tests/test_slice.c
@@ -9,7 +9,7 @@
 #define STEPS 100
 
 static struct slice_queue *slice_queue;
-static GString *trace_text; /* what happened, in its order */
+static GString *trace_text; /* start and end of each job, in order */
 static unsigned int ticks;
 static unsigned int freed;
 
@@ -65,9 +65,9 @@
 }
 
 /*
- * A configuration of thousands of routes is put in force on a host with a tenth of a
- * core. It takes a second, in which each call that the host takes, and each one sent to
- * its upstream, would wait. The loop has its turns meanwhile.
+ * A host with a tenth of a core needs a second to adopt a configuration of
+ * thousands of routes. The loop must run during that time, because otherwise all
+ * calls that the host accepts, and those sent to its upstream, would wait.
  */
 static void test_loop_runs_during_job(void)
 {
@@ -89,7 +89,8 @@
 	work(data);
 }
 
-/* News that come while one job runs wait for its end: both would change the same. */
+/* A job that is added while another one runs must wait for its end, because both
+ * may change the same data. */
 static void test_jobs_run_one_at_a_time_in_order(void)
 {
 	ev_timer timer;
--- a/tests/test_store_codec.c
+++ b/tests/test_store_codec.c
@@ -39,8 +39,9 @@
 }
 
 /*
- * Rows that another program wrote stand between ours: without a value, with a
- * number for a key. They are left out, and ours are still read.
+ * Another program may write malformed rows into the same table, such as rows
+ * without a value or with a number as the key. They must be skipped, and the
+ * other rows must still be read.
  */
 static void test_malformed_rows_are_skipped(void)
 {
--- a/tests/test_store_era.c
+++ b/tests/test_store_era.c
@@ -12,8 +12,7 @@
 	g_assert_cmpuint(store_era_add(33, 0), ==, 33);
 }
 
-/* Guards against a version of before the store was set back that is sent as one of
- * now. */
+/* Guards against a version of before a restore that is sent as a current one. */
 static void test_versions_of_other_eras_never_match(void)
 {
 	struct store_era era = {0};
@@ -26,7 +25,7 @@
 	g_assert_cmpuint(store_era_strip(&era, 0), ==, 0);
 }
 
-/* Guards against an answer that was long on its way and brings an era back. */
+/* Guards against a delayed answer that sets the era back to an older one. */
 static void test_an_era_only_rises(void)
 {
 	struct store_era era = {0};
@@ -38,7 +37,7 @@
 	g_assert_cmpuint(era.current, ==, 6);
 }
 
-/* Guards against a store whose eras begin with a large number, such as a time. */
+/* Guards against a store whose eras start with a large number, such as a time. */
 static void test_a_large_era(void)
 {
 	struct store_era era = {0};
--- a/tests/test_tally.c
+++ b/tests/test_tally.c
@@ -28,8 +28,8 @@
 }
 
 /*
- * Names of rules come from operators' files. One with a quote in it would end
- * its label early, and the collector would refuse the whole answer.
+ * Rule names come from configuration files. Without escaping, a quote in a name
+ * would end its label, and the metrics collector would refuse the whole response.
  */
 static void test_quotes(void)
 {
@@ -40,8 +40,8 @@
 }
 
 /*
- * A file with thousands of rules, or one that changes its rules' names with
- * each apply, would make the daemon and its metrics grow without end.
+ * Guards against metrics and memory that grow without bound because of a file with
+ * thousands of rules, or one whose rule names change with each apply.
  */
 static void test_bounded(void)
 {
--- a/tests/test_timeline.c
+++ b/tests/test_timeline.c
@@ -5,9 +5,9 @@
 #include "paused_clock.h"
 
 /*
- * A time server sets the host's clock back by an hour while a request is
- * under way. Read by wall clock alone, the request's answer would stand before
- * its start in the operator's time line.
+ * A time server sets the clock of the host back by an hour during a request. With
+ * the wall clock alone, the answer would appear before the start of the request
+ * in the timeline.
  */
 static void test_time_never_runs_backwards(void)
 {
