--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -98,7 +98,7 @@
 	bool ready;
 	enum report_verdict verdict;
 	unsigned int reports;
-	GString *left;
+	GString *deregistered;
 	long status;
 };
 
@@ -118,7 +118,7 @@
 
 static void take_deregistration(const char *instance, void *data)
 {
-	g_string_append(((struct fixture *)data)->left, instance);
+	g_string_append(((struct fixture *)data)->deregistered, instance);
 }
 
 static void handle_answer(const struct http_answer *answer, void *data)
@@ -153,7 +153,7 @@
 	(void)data;
 	f->loop = ev_loop_new(0);
 	f->http = http_client_create(f->loop);
-	f->left = g_string_new(NULL);
+	f->deregistered = g_string_new(NULL);
 	f->ops = (struct control_ops){is_ready, take_report,
 				      take_deregistration, f};
 	f->control = control_create(f->loop, &any, &any, &f->ops);
@@ -165,7 +165,7 @@
 	(void)data;
 	http_client_destroy(f->http);
 	control_destroy(f->control);
-	g_string_free(f->left, TRUE);
+	g_string_free(f->deregistered, TRUE);
 	ev_loop_destroy(f->loop);
 }
 
@@ -199,7 +199,7 @@
 	g_assert_cmpint(ask(f, port, "POST",
 			    "/comfreydock/instances/i-1/deregister", ""),
 			==, 200);
-	g_assert_cmpstr(f->left->str, ==, "i-1");
+	g_assert_cmpstr(f->deregistered->str, ==, "i-1");
 	g_assert_cmpint(
 		ask(f, port, "POST", "/comfreydock/instances//heartbeat", GOOD),
 		==, 404);
--- a/tests/test_platform_client.c
+++ b/tests/test_platform_client.c
@@ -13,7 +13,8 @@
 #include "rig.h"
 
 /* A version of the store in its first era, before any restore. */
-#define AT(n) ((uint64_t)1 << PLATFORM_VERSION_BITS | (uint64_t)(n))
+#define FIRST_ERA_VERSION(n) \
+	((uint64_t)1 << PLATFORM_VERSION_BITS | (uint64_t)(n))
 
 struct fixture {
 	struct rig *rig;
@@ -95,7 +96,7 @@
 	return wait_answer(f);
 }
 
-static void command(struct fixture *f, const char *body)
+static void inject_fault(struct fixture *f, const char *body)
 {
 	g_free(rig_http_ok("POST", f->standin->port, "/standin/fault", body));
 }
@@ -108,10 +109,10 @@
 	g_assert_cmpint(get(f, "ns/a b"), ==, PLATFORM_NOT_FOUND);
 	g_assert_cmpint(put(f, "ns/a b", PLATFORM_ABSENT, "{\"x\":1}"), ==,
 			PLATFORM_OK);
-	g_assert_cmpuint(f->store_version, ==, AT(1));
+	g_assert_cmpuint(f->store_version, ==, FIRST_ERA_VERSION(1));
 	g_assert_cmpint(put(f, "ns/a b", PLATFORM_ABSENT, "2"), ==,
 			PLATFORM_CONFLICT);
-	g_assert_cmpuint(f->version, ==, AT(1));
+	g_assert_cmpuint(f->version, ==, FIRST_ERA_VERSION(1));
 	g_assert_cmpint(get(f, "ns/a b"), ==, PLATFORM_OK);
 	g_assert_cmpstr(f->text, ==, "{\"x\":1}");
 	put(f, "ns/c", PLATFORM_ANY_VERSION, "3");
@@ -144,11 +145,11 @@
 
 	(void)data;
 	put(f, "t/a", PLATFORM_ABSENT, "1");
-	command(f, "{\"lose_next\":1}");
+	inject_fault(f, "{\"lose_next\":1}");
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ANY_VERSION, "2"), ==,
 			PLATFORM_UNKNOWN);
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_OK);
-	g_assert_cmpuint(f->version, ==, AT(2));
+	g_assert_cmpuint(f->version, ==, FIRST_ERA_VERSION(2));
 	g_assert_cmpuint(counters.platform_writes - before.platform_writes, ==,
 			 2);
 	g_assert_cmpuint(counters.platform_unknown - before.platform_unknown,
@@ -166,12 +167,12 @@
 static void test_outage(struct fixture *f, gconstpointer data)
 {
 	(void)data;
-	command(f, "{\"down\":true}");
+	inject_fault(f, "{\"down\":true}");
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_UNAVAILABLE);
 	g_assert_false(platform_is_up(f->platform));
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_UNKNOWN);
-	command(f, "{\"down\":false}");
+	inject_fault(f, "{\"down\":false}");
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_NOT_FOUND);
 	g_assert_true(platform_is_up(f->platform));
 	rig_kill(f->standin);
@@ -184,7 +185,7 @@
 static void test_slow_platform(struct fixture *f, gconstpointer data)
 {
 	(void)data;
-	command(f, "{\"slow_ms\":3000}");
+	inject_fault(f, "{\"slow_ms\":3000}");
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_UNKNOWN);
 	rig_signal(f->standin, SIGTERM);
@@ -194,7 +195,8 @@
 /* A watch must report a change immediately, and a deleted row without a value. */
 static void test_watch_reports_changes(struct fixture *f, gconstpointer data)
 {
-	struct platform_op delete = {PLATFORM_DELETE, "t/a", AT(1), NULL};
+	struct platform_op delete = {PLATFORM_DELETE, "t/a",
+				     FIRST_ERA_VERSION(1), NULL};
 
 	(void)data;
 	put(f, "t/a", PLATFORM_ABSENT, "1");
@@ -206,13 +208,14 @@
 	g_assert_cmpuint(f->rows, ==, 0);
 	platform_transact(f->platform, &delete, 1, handle_answer, f);
 	g_assert_cmpint(wait_answer(f), ==, PLATFORM_OK);
-	platform_watch(f->platform, "t", AT(1), 5000, handle_answer, f);
+	platform_watch(f->platform, "t", FIRST_ERA_VERSION(1), 5000,
+		       handle_answer, f);
 	g_assert_cmpint(wait_answer(f), ==, PLATFORM_OK);
 	g_assert_cmpuint(f->rows, ==, 1);
 	g_assert_null(f->text);
 }
 
-static void set_back(struct fixture *f, const char *body)
+static void restore_store(struct fixture *f, const char *body)
 {
 	g_free(rig_http_ok("POST", f->standin->port, "/standin/restore", body));
 }
@@ -234,8 +237,9 @@
 	platform_when_restored(f->platform, count_restored, &restored);
 	for (int i = 0; i < 3; i++)
 		put(f, "t/a", PLATFORM_ANY_VERSION, "1");
-	set_back(f, "{\"transactions\": 2}");
-	platform_watch(f->platform, "t", AT(1), 100, handle_answer, f);
+	restore_store(f, "{\"transactions\": 2}");
+	platform_watch(f->platform, "t", FIRST_ERA_VERSION(1), 100,
+		       handle_answer, f);
 	g_assert_cmpint(wait_answer(f), ==, PLATFORM_HISTORY_GONE);
 	g_assert_cmpuint(restored, ==, 1);
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_OK);
@@ -256,7 +260,7 @@
 	put(f, "t/a", PLATFORM_ANY_VERSION, "2");
 	get(f, "t/a");
 	before = (int64_t)f->version;
-	set_back(f, "{\"transactions\": 1}");
+	restore_store(f, "{\"transactions\": 1}");
 	put(f, "t/a", PLATFORM_ANY_VERSION, "3");
 	g_assert_cmpint(put(f, "t/a", before, "4"), ==, PLATFORM_CONFLICT);
 	get(f, "t/a");
@@ -273,10 +277,11 @@
 	put(f, "t/a", PLATFORM_ABSENT, "1");
 	put(f, "t/a", PLATFORM_ANY_VERSION, "2");
 	g_free(rig_http_ok("POST", f->standin->port, "/standin/compact", ""));
-	platform_watch(f->platform, "t", AT(1), 100, handle_answer, f);
+	platform_watch(f->platform, "t", FIRST_ERA_VERSION(1), 100,
+		       handle_answer, f);
 	g_assert_cmpint(wait_answer(f), ==, PLATFORM_HISTORY_GONE);
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_OK);
-	g_assert_cmpuint(f->store_version, ==, AT(2));
+	g_assert_cmpuint(f->store_version, ==, FIRST_ERA_VERSION(2));
 }
 
 /* A write that is refused because the store is full or unavailable must certainly
@@ -284,13 +289,13 @@
 static void test_refused_writes_are_not_done(struct fixture *f, gconstpointer data)
 {
 	(void)data;
-	command(f, "{\"status\":503}");
+	inject_fault(f, "{\"status\":503}");
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_UNAVAILABLE);
-	command(f, "{\"status\":429}");
+	inject_fault(f, "{\"status\":429}");
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_UNAVAILABLE);
-	command(f, "{\"status\":0}");
+	inject_fault(f, "{\"status\":0}");
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_NOT_FOUND);
 	g_assert_cmpint(put(f, "op/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_REJECTED);
@@ -304,11 +309,12 @@
 						gconstpointer data)
 {
 	(void)data;
-	command(f, "{\"lose_next\":1,\"late_ms\":100}");
+	inject_fault(f, "{\"lose_next\":1,\"late_ms\":100}");
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "late"), ==,
 			PLATFORM_UNKNOWN);
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "mine"), ==, PLATFORM_OK);
-	platform_watch(f->platform, "t", AT(1), 300, handle_answer, f);
+	platform_watch(f->platform, "t", FIRST_ERA_VERSION(1), 300,
+		       handle_answer, f);
 	wait_answer(f);
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_OK);
 	g_assert_cmpstr(f->text, ==, "mine");
@@ -336,7 +342,7 @@
 	size_t stops_at; /* sends nothing from this offset on */
 };
 
-static void trickle_some(struct ev_loop *loop, ev_timer *timer, int events)
+static void trickle_send(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct trickle *trickle = timer->data;
 	size_t left =
@@ -381,7 +387,7 @@
 	trickle->part = trickle->answer->len / parts + 1;
 	trickle->stops_at = SIZE_MAX;
 	ev_io_init(&trickle->accepting, trickle_accept, fd, EV_READ);
-	ev_timer_init(&trickle->tick, trickle_some, 0.0, 0.1);
+	ev_timer_init(&trickle->tick, trickle_send, 0.0, 0.1);
 	trickle->accepting.data = trickle->tick.data = trickle;
 	trickle->loop = f->loop;
 	ev_io_start(f->loop, &trickle->accepting);
