--- a/comfreydockctl/apply.c
+++ b/comfreydockctl/apply.c
@@ -204,7 +204,7 @@
 	return path;
 }
 
-/* A daemon that received the file may have applied it even if its answer is lost. */
+/* A daemon that received the file may have applied it without answering. */
 static json_object *outcome_without_answer(const struct ctl_call *call)
 {
 	json_object *outcome = json_object_new_object();
--- a/comfreydockctl/main.c
+++ b/comfreydockctl/main.c
@@ -36,9 +36,7 @@
 		fprintf(out, "  %-22s %s\n", left, commands[i]->summary);
 		g_free(left);
 	}
-	fputs("\nRun \"comfreydockctl COMMAND --help\" for the options of a "
-	      "command.\n",
-	      out);
+	fputs("\n\"comfreydockctl COMMAND --help\" shows its options.\n", out);
 }
 
 static bool read_token(struct ctl *ctl, const char *file)
