--- a/common/json_spans.c
+++ b/common/json_spans.c
@@ -26,7 +26,7 @@
 	return (end - at) % 2;
 }
 
-/* Moves from the opening quote of a string to behind the closing one. */
+/* Moves from the opening quote of a string past the closing one. */
 static bool skip_string(struct span_scanner *scanner)
 {
 	const char *start = scanner->at + 1;
--- a/include/platform/store_era.h
+++ b/include/platform/store_era.h
@@ -34,7 +34,7 @@
  *
  * RETURN VALUE: true if the answer began a later era.
  */
-bool store_era_update(struct store_era *era, uint64_t told);
+bool store_era_update(struct store_era *era, uint64_t received);
 
 /* RETURN VALUE: the era of a version. */
 uint64_t store_era_of(uint64_t version);
--- a/tests/test_manifest.c
+++ b/tests/test_manifest.c
@@ -133,7 +133,8 @@
 	config_snapshot_unref(snapshot);
 }
 
-/* Truncated rows, and rows of another writer without a valid version. */
+/* Truncated rows, and rows of another writer that have no valid version, must be
+ * refused. */
 static void test_unreadable_rows_are_refused(void)
 {
 	static const char *const bad[] = {
--- a/tests/test_platform_client.c
+++ b/tests/test_platform_client.c
@@ -227,7 +227,7 @@
 	(*count)++;
 }
 
-/* Guards against a watch that continues from a version of before a restore. That
+/* Guards against a watch that continues from a version before a restore. That
  * version now stands for another change or for none. */
 static void test_watch_from_older_era_ends(struct fixture *f, gconstpointer data)
 {
--- a/tests/test_slice.c
+++ b/tests/test_slice.c
@@ -5,7 +5,7 @@
 #include "common/slice.h"
 #include "paused_clock.h"
 
-#define STEP_US 1000 /* of work between two pauses */
+#define STEP_US 1000 /* of work between two calls of slice_yield() */
 #define STEPS 100
 
 static struct slice_queue *slice_queue;
--- a/tests/test_store_era.c
+++ b/tests/test_store_era.c
@@ -12,7 +12,7 @@
 	g_assert_cmpuint(store_era_add(33, 0), ==, 33);
 }
 
-/* Guards against a version of before a restore that is sent as a current one. */
+/* Guards against a version from before a restore that is sent as a current one. */
 static void test_versions_of_other_eras_never_match(void)
 {
 	struct store_era era = {0};
