--- a/comfreydockctl/apply.c
+++ b/comfreydockctl/apply.c
@@ -5,7 +5,7 @@
 #include "common/clock.h"
 #include "common/jsonc.h"
 
-#define APPLY_TIMEOUT_MS 15000 /* above the daemon's own */
+#define APPLY_TIMEOUT_MS 15000 /* above the timeout of the daemon */
 #define ASK_TIMEOUT_MS 1000
 #define DEFAULT_WAIT_S 30
 #define POLL_S 0.2
@@ -20,12 +20,13 @@
 	{"wait", 0, 0, G_OPTION_ARG_NONE, &wait_for_all,
 	 "Wait until every daemon holds the version", NULL},
 	{"timeout", 0, 0, G_OPTION_ARG_INT, &wait_s,
-	 "How long --wait waits at most (30)", "SECONDS"},
+	 "Longest time that --wait waits (30)", "SECONDS"},
 	{NULL},
 };
 
-/* RETURN VALUE: whether a daemon's answer shows the version or a higher one. */
-static bool holds(const struct ctl_call *call, const char *name, uint64_t version)
+/* RETURN VALUE: true if the answer of a daemon has the version or a later one. */
+static bool has_version(const struct ctl_call *call, const char *name,
+			uint64_t version)
 {
 	json_object *root = json_tokener_parse(call->text->str);
 	json_object *array = jsonc_get_array(root, "namespaces");
@@ -42,14 +43,15 @@
 	return found;
 }
 
-static void note_holder(GHashTable *holders, const char *url)
+static void add_holder(GHashTable *holders, const char *url)
 {
 	const char *path = strstr(url, "/v1/");
 
 	g_hash_table_add(holders, g_strndup(url, (gsize)(path - url)));
 }
 
-/* Asks those that were not seen to hold it; holders is the set of the URLs. */
+/* Asks the daemons that are not yet in holders, the set of URLs of daemons that
+ * have the version. RETURN VALUE: the number of daemons that have it. */
 static size_t count_holders(struct ctl *ctl, const GPtrArray *urls,
 			    GHashTable *holders, const char *name,
 			    uint64_t version)
@@ -70,8 +72,8 @@
 	}
 	ctl_run_calls(ctl, calls, asked);
 	for (size_t i = 0; i < asked; i++) {
-		if (holds(&calls[i], name, version)) {
-			note_holder(holders, calls[i].url);
+		if (has_version(&calls[i], name, version)) {
+			add_holder(holders, calls[i].url);
 			known++;
 		}
 		ctl_call_finish(&calls[i]);
@@ -89,7 +91,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
-static void pause_a_little(struct ctl *ctl)
+static void pause_between_polls(struct ctl *ctl)
 {
 	ev_timer timer;
 
@@ -98,8 +100,8 @@
 	ev_run(ctl->loop, 0);
 }
 
-/* The list of hosts is read anew each time: daemons come and go meanwhile. */
-static int wait_everywhere(struct ctl *ctl, json_object *outcome)
+/* Fetches the list of daemons at each poll, because daemons can join and leave. */
+static int wait_for_daemons(struct ctl *ctl, json_object *outcome)
 {
 	int64_t end_us = clock_mono_us() + wait_s * US_PER_S;
 	const char *name = jsonc_get_text(outcome, "namespace");
@@ -110,7 +112,7 @@
 	size_t all = 1;
 
 	do {
-		GPtrArray *urls = ctl_find_daemons(ctl);
+		GPtrArray *urls = ctl_list_daemon_urls(ctl);
 
 		if (!urls)
 			break;
@@ -118,12 +120,12 @@
 		holders = count_holders(ctl, urls, known, name, version);
 		g_ptr_array_free(urls, TRUE);
 		if (holders < all)
-			pause_a_little(ctl);
+			pause_between_polls(ctl);
 	} while (holders < all && clock_mono_us() < end_us);
 	g_hash_table_unref(known);
 	jsonc_add_uint(outcome, "daemons", all);
 	jsonc_add_uint(outcome, "daemons_holding", holders);
-	return holders == all ? CTL_OK : CTL_NOT_EVERYWHERE;
+	return holders == all ? CTL_OK : CTL_WAIT_TIMED_OUT;
 }
 
 static void print_conflict(json_object *outcome)
@@ -134,7 +136,7 @@
 	if (json_object_get_boolean(
 		    json_object_object_get(outcome, "was_in_force")))
 		printf("the file was in force as version %" G_GUINT64_FORMAT
-		       " and was replaced since\n",
+		       " and has been replaced since\n",
 		       jsonc_get_uint(outcome, "base") + 1);
 	printf("conflict: %s is at version %" G_GUINT64_FORMAT " by %s; see "
 	       "\"comfreydockctl show --body %s\", then apply with --base "
@@ -202,12 +204,12 @@
 	return path;
 }
 
-/* A daemon that broke off after it got the file may have applied it. */
-static json_object *unanswered(const struct ctl_call *call)
+/* A daemon that received the file may have applied it without answering. */
+static json_object *outcome_without_answer(const struct ctl_call *call)
 {
 	json_object *outcome = json_object_new_object();
 
-	ctl_complain("no answer from %s", call->url);
+	ctl_print_error("no answer from %s", call->url);
 	jsonc_add_text(outcome, "result",
 		       call->never_sent ? "failed" : "unknown");
 	return outcome;
@@ -226,10 +228,10 @@
 	if (call.answered)
 		outcome = json_tokener_parse(call.text->str);
 	if (!outcome)
-		outcome = unanswered(&call);
+		outcome = outcome_without_answer(&call);
 	else if (!*jsonc_get_text(outcome, "result"))
-		ctl_complain("%s answered %ld %s", ctl->admin, call.status,
-			     jsonc_get_text(outcome, "error"));
+		ctl_print_error("%s answered %ld %s", ctl->admin, call.status,
+				jsonc_get_text(outcome, "error"));
 	ctl_call_finish(&call);
 	g_free(path);
 	return outcome;
@@ -247,7 +249,7 @@
 	g_free(text);
 	status = status_of(jsonc_get_text(outcome, "result"));
 	if (status == CTL_OK && wait_for_all)
-		status = wait_everywhere(ctl, outcome);
+		status = wait_for_daemons(ctl, outcome);
 	if (ctl->json) {
 		ctl_print_json(outcome);
 		return status;
@@ -261,7 +263,7 @@
 const struct ctl_command ctl_apply = {
 	.name = "apply",
 	.arguments = "FILE",
-	.summary = "put a file in force as a whole, or not at all",
+	.summary = "apply a file, either completely or not at all",
 	.min_arguments = 1,
 	.max_arguments = 1,
 	.options = options,
--- a/comfreydockctl/drain.c
+++ b/comfreydockctl/drain.c
@@ -10,9 +10,9 @@
 
 static const GOptionEntry options[] = {
 	{"wait", 0, 0, G_OPTION_ARG_NONE, &wait_until_idle,
-	 "Wait until nothing runs any more", NULL},
+	 "Wait until no request is running", NULL},
 	{"timeout", 0, 0, G_OPTION_ARG_INT, &wait_s,
-	 "How long --wait waits at most (600)", "SECONDS"},
+	 "Longest time that --wait waits (600)", "SECONDS"},
 	{NULL},
 };
 
@@ -32,17 +32,18 @@
 		if (ctl->json)
 			ctl_print_json(json_object_get(root));
 		else
-			puts("may stop: nothing runs any more");
+			puts("may stop: no request is running");
 	} else if (call.timed_out) {
-		status = CTL_NOT_EVERYWHERE;
-		ctl_complain("requests still run after %d s; the upstream goes "
-			     "on draining",
-			     wait_s);
+		status = CTL_WAIT_TIMED_OUT;
+		ctl_print_error(
+			"requests are still running after %d s; the upstream "
+			"continues to drain",
+			wait_s);
 	} else {
-		ctl_complain("%s: %s%s", call.url,
-			     call.answered ? jsonc_get_text(root, "state") :
-					     "no answer",
-			     jsonc_get_text(root, "error"));
+		ctl_print_error("%s: %s%s", call.url,
+				call.answered ? jsonc_get_text(root, "state") :
+						"no answer",
+				jsonc_get_text(root, "error"));
 	}
 	json_object_put(root);
 	ctl_call_finish(&call);
@@ -60,14 +61,14 @@
 	(void)arguments;
 	if (wait_until_idle)
 		return wait_for_stop(ctl);
-	return ctl_print(ctl, ctl_ask(ctl, "POST", "/v1/upstream/drain"),
+	return ctl_print(ctl, ctl_request(ctl, "POST", "/v1/upstream/drain"),
 			 print_running);
 }
 
 const struct ctl_command ctl_drain = {
 	.name = "drain",
 	.arguments = "",
-	.summary = "give a daemon's upstream no new work",
+	.summary = "stop sending new requests to the upstream of a daemon",
 	.options = options,
 	.run = run,
 };
--- a/comfreydockctl/failures.c
+++ b/comfreydockctl/failures.c
@@ -5,13 +5,13 @@
 #include "comfreydockctl/logs.h"
 #include "common/jsonc.h"
 
-#define FAILED "entry.failed"
+#define FAILED_EVENT "entry.failed"
 
-/* Calls that failed in the same way. */
+/* Calls that failed with the same outcome, reason, rule and last attempt. */
 struct failure {
 	char *key;
 	uint64_t count;
-	char *example; /* the trace of the first */
+	char *example; /* trace id of the first such call */
 };
 
 struct summary {
@@ -33,7 +33,7 @@
 	g_free(failure);
 }
 
-/* "HOST:END" of the attempt that decided, as the last one did. */
+/* RETURN VALUE: "HOST:END" of the last attempt, which decided the outcome. */
 static const char *last_attempt(json_object *line)
 {
 	const char *attempts = jsonc_get_text(line, "attempts");
@@ -51,7 +51,7 @@
 	uint64_t time_us;
 	char *key;
 
-	if (strcmp(jsonc_get_text(line, "name"), FAILED) != 0)
+	if (strcmp(jsonc_get_text(line, "name"), FAILED_EVENT) != 0)
 		return;
 	time_us = logs_time_us(line);
 	if (time_us < summary->since_us || time_us >= summary->until_us)
@@ -105,14 +105,14 @@
 	g_ptr_array_unref(sorted);
 }
 
-static bool read_bound(const char *name, const char *text, uint64_t missing,
+static bool read_bound(const char *name, const char *text, uint64_t default_us,
 		       uint64_t *out)
 {
-	*out = text ? logs_parse_time_us(text) : missing;
+	*out = text ? logs_parse_time_us(text) : default_us;
 	if (text && !*out)
-		ctl_complain("--%s: \"%s\" is no time such as "
-			     "2026-01-31T12:00:00Z",
-			     name, text);
+		ctl_print_error("--%s: \"%s\" is not a time such as "
+				"2026-01-31T12:00:00Z",
+				name, text);
 	return !text || *out;
 }
 
@@ -130,8 +130,8 @@
 						 failure_free);
 	ok = logs_read(arguments, handle_line, &summary, &unreadable);
 	if (ok && unreadable)
-		ctl_complain("%zu lines are no JSON and were passed over",
-			     unreadable);
+		ctl_print_error("skipped %zu lines that are not JSON objects",
+				unreadable);
 	if (ok)
 		print_failures(&summary);
 	g_hash_table_unref(summary.failures);
@@ -149,7 +149,7 @@
 const struct ctl_command ctl_failures = {
 	.name = "failures",
 	.arguments = "FILE...",
-	.summary = "sum up from logs why calls failed",
+	.summary = "summarize from logs why calls failed",
 	.min_arguments = 1,
 	.max_arguments = 4096,
 	.options = options,
--- a/comfreydockctl/hosts.c
+++ b/comfreydockctl/hosts.c
@@ -31,12 +31,12 @@
 static int run(struct ctl *ctl, char **arguments)
 {
 	(void)arguments;
-	return ctl_print(ctl, ctl_ask_hosts(ctl), print_hosts);
+	return ctl_print(ctl, ctl_fetch_hosts(ctl), print_hosts);
 }
 
 const struct ctl_command ctl_hosts = {
 	.name = "hosts",
 	.arguments = "",
-	.summary = "list what a daemon knows of every host",
+	.summary = "list all hosts as one daemon sees them",
 	.run = run,
 };
--- a/comfreydockctl/metrics.c
+++ b/comfreydockctl/metrics.c
@@ -3,7 +3,7 @@
 #include "comfreydockctl/ctl.h"
 #include "common/jsonc.h"
 
-/* The counters' lines, "NAME VALUE", as one object. */
+/* Converts the lines "NAME VALUE" to one object. */
 static json_object *metrics_to_json(const char *text)
 {
 	json_object *root = json_object_new_object();
@@ -30,7 +30,7 @@
 	ctl_call_init(&call, "GET", ctl->admin, "/metrics");
 	ctl_run_calls(ctl, &call, 1);
 	if (!call.answered || call.status != 200) {
-		ctl_complain("no metrics from %s", call.url);
+		ctl_print_error("no metrics from %s", call.url);
 		status = CTL_FAILED;
 	} else if (ctl->json) {
 		ctl_print_json(metrics_to_json(call.text->str));
@@ -44,6 +44,6 @@
 const struct ctl_command ctl_metrics = {
 	.name = "metrics",
 	.arguments = "",
-	.summary = "print a daemon's counters",
+	.summary = "print the metrics of a daemon",
 	.run = run,
 };
--- a/comfreydockctl/resume.c
+++ b/comfreydockctl/resume.c
@@ -11,13 +11,13 @@
 static int run(struct ctl *ctl, char **arguments)
 {
 	(void)arguments;
-	return ctl_print(ctl, ctl_ask(ctl, "POST", "/v1/upstream/resume"),
+	return ctl_print(ctl, ctl_request(ctl, "POST", "/v1/upstream/resume"),
 			 print_state);
 }
 
 const struct ctl_command ctl_resume = {
 	.name = "resume",
 	.arguments = "",
-	.summary = "give a drained upstream new work again",
+	.summary = "send requests to a drained upstream again",
 	.run = run,
 };
--- a/comfreydockctl/status.c
+++ b/comfreydockctl/status.c
@@ -29,12 +29,13 @@
 static int run(struct ctl *ctl, char **arguments)
 {
 	(void)arguments;
-	return ctl_print(ctl, ctl_ask(ctl, "GET", "/v1/status"), print_status);
+	return ctl_print(ctl, ctl_request(ctl, "GET", "/v1/status"),
+			 print_status);
 }
 
 const struct ctl_command ctl_status = {
 	.name = "status",
 	.arguments = "",
-	.summary = "show one daemon and its upstream",
+	.summary = "show the status of a daemon and its upstream",
 	.run = run,
 };
--- a/comfreydockd/assembly.c
+++ b/comfreydockd/assembly.c
@@ -186,7 +186,7 @@
 	struct daemon *daemon = &assembly->daemon;
 	const struct settings *settings = daemon->settings;
 
-	daemon->slices = slices_create(daemon->loop);
+	daemon->slice_queue = slice_queue_create(daemon->loop);
 	daemon->http = http_client_create(daemon->loop);
 	daemon->members = member_table_create();
 	daemon->quarantine =
@@ -306,7 +306,7 @@
 {
 	ev_prepare_init(&assembly->log_flush_prepare, handle_log_flush);
 	ev_prepare_start(assembly->daemon.loop, &assembly->log_flush_prepare);
-	log_collect();
+	log_enable_buffering();
 	ev_signal_init(&assembly->terminate, handle_signal, SIGTERM);
 	ev_signal_init(&assembly->interrupt, handle_signal, SIGINT);
 	assembly->terminate.data = assembly;
@@ -368,7 +368,7 @@
 		rows_destroy(assembly->rows);
 	gossip_destroy(daemon->gossip);
 	platform_destroy(daemon->platform);
-	slices_destroy(daemon->slices);
+	slice_queue_destroy(daemon->slice_queue);
 	platform_integration_destroy(assembly->platform_integration);
 	reload_destroy(assembly->reload);
 	stop_destroy(assembly->stop);
--- a/comfreydockd/config/check_rules.c
+++ b/comfreydockd/config/check_rules.c
@@ -242,7 +242,7 @@
 static struct config_rule *load_rule(struct schema *item, json_object *value,
 				     const char *group)
 {
-	const struct json_span *span = jsonc_cut_item(item->doc, value);
+	const struct json_span *span = jsonc_omitted_item(item->doc, value);
 	struct config_rule *rule;
 
 	if (!span)
@@ -273,7 +273,7 @@
 			rule_index_add(&index, rule);
 		}
 		schema_finish(&item);
-		slice_pause();
+		slice_yield();
 	}
 	rule_index_finish(&index);
 }
--- a/comfreydockd/config/follow.c
+++ b/comfreydockd/config/follow.c
@@ -63,7 +63,7 @@
 	config_store_offer_trusted(follow->options.store, &version, body);
 }
 
-/* A row that is being parsed and adopted in time slices. */
+/* A row that is being parsed and adopted in time slice_queue. */
 struct row_adoption {
 	struct config_follow *follow;
 	char *value; /* NULL: the row was deleted */
@@ -141,8 +141,8 @@
 	adoption->as_of_us = as_of_us;
 	adoption->was_read = was_read;
 	config_store_begin_adoption(follow->options.store);
-	slices_add(follow->options.slices, adopt_row, free_row_adoption,
-		   adoption);
+	slice_queue_add(follow->options.slice_queue, adopt_row,
+			free_row_adoption, adoption);
 }
 
 /* RETURN VALUE: false if the store did not answer. */
--- a/comfreydockd/config/spread_fetch.c
+++ b/comfreydockd/config/spread_fetch.c
@@ -343,7 +343,7 @@
 }
 
 /* A body that arrived in pieces and is being parsed and adopted in time
- * slices. */
+ * slice_queue. */
 struct complete_body {
 	struct config_spread *spread;
 	struct config_pieces pieces;
@@ -380,8 +380,8 @@
 	complete->pieces = spread->pieces;
 	config_pieces_init(&spread->pieces);
 	config_store_begin_adoption(spread->store);
-	slices_add(spread->slices, adopt_complete_body, free_complete_body,
-		   complete);
+	slice_queue_add(spread->slice_queue, adopt_complete_body,
+			free_complete_body, complete);
 }
 
 /* RETURN VALUE: whether the piece extended the body. */
--- a/comfreydockd/member/rows_codec.c
+++ b/comfreydockd/member/rows_codec.c
@@ -75,7 +75,7 @@
 		read_string(object, "host", member->host, sizeof(member->host)) &&
 		read_string(object, "address", member->address,
 			    sizeof(member->address)) &&
-		address_is_ip_number(member->address) &&
+		address_is_ip(member->address) &&
 		read_uint(object, "incarnation", UINT64_MAX - 1,
 			  &member->incarnation) &&
 		read_uint(object, "peer_port", UINT16_MAX, &port) && port > 0;
--- a/comfreydockd/platform_integration.c
+++ b/comfreydockd/platform_integration.c
@@ -38,7 +38,7 @@
 	return owner_handle_report(integration->daemon->owner, report);
 }
 
-static void take_leave(const char *instance, void *data)
+static void take_deregistration(const char *instance, void *data)
 {
 	const struct platform_integration *integration = data;
 
@@ -70,7 +70,7 @@
 		.key = PLATFORM_MANIFEST_KEY,
 		.namespace = PLATFORM_MANIFEST_NAMESPACE,
 		.ops = &integration->follow_ops,
-		.slices = integration->daemon->slices,
+		.slice_queue = integration->daemon->slice_queue,
 		.seed = id_random_u64(),
 	};
 
@@ -92,7 +92,7 @@
 	integration->control_ops = (struct control_ops){
 		.is_ready = is_ready,
 		.take_report = take_report,
-		.take_leave = take_leave,
+		.take_deregistration = take_deregistration,
 		.data = integration,
 	};
 	integration->control =
--- a/comfreydockd/settings.c
+++ b/comfreydockd/settings.c
@@ -61,7 +61,7 @@
 
 	if (!at)
 		return false;
-	if (!address_has_port(at) || *at == '[') {
+	if (!address_is_ip_port(at) || *at == '[') {
 		schema_error(schema, "at", "must be IP:PORT");
 		colon = NULL;
 	}
@@ -81,7 +81,7 @@
 	out->address = schema_string(schema, "address", SCHEMA_REQUIRED);
 	out->port = (uint16_t)schema_uint(schema, "port", SCHEMA_REQUIRED, 0, 0,
 					  UINT16_MAX);
-	if (out->address && !address_is_ip_number(out->address))
+	if (out->address && !address_is_ip(out->address))
 		schema_error(schema, "address",
 			     "must be an IP address, not a name");
 }
@@ -160,7 +160,7 @@
 		schema_string(&advertise, "address", SCHEMA_OPTIONAL);
 	advertised->port = (uint16_t)schema_uint(
 		&advertise, "port", SCHEMA_OPTIONAL, 0, 1, UINT16_MAX);
-	if (advertised->address && !address_is_ip_number(advertised->address))
+	if (advertised->address && !address_is_ip(advertised->address))
 		schema_error(&advertise, "address",
 			     "must be an IP address, not a name");
 	if (!advertised->address && settings->peer.address &&
@@ -204,7 +204,7 @@
 	if (!settings->join)
 		settings->join = g_new0(char *, 1);
 	for (char **join = settings->join; *join; join++) {
-		if (!address_has_port(*join))
+		if (!address_is_ip_port(*join))
 			schema_error(&peer, "join", "\"%s\" is not IP:PORT",
 				     *join);
 	}
@@ -239,7 +239,7 @@
 	if (settings->platform_url) {
 		rest = settings->platform_url;
 		if (!g_str_has_prefix(rest, "http://") ||
-		    !address_has_port(rest + strlen("http://")))
+		    !address_is_ip_port(rest + strlen("http://")))
 			schema_error(&platform, "url",
 				     "must be \"http://IP:PORT\"");
 	}
--- a/common/http_client.c
+++ b/common/http_client.c
@@ -5,8 +5,8 @@
 
 #define DEFAULT_TIMEOUT_MS 5000
 #define DEFAULT_CONNECT_TIMEOUT_MS 1000
-/* More than an upstream takes in all. */
-#define KEPT_CONNECTIONS 1024L
+/* More than an upstream accepts in total. */
+#define IDLE_CONNECTIONS_MAX 1024L
 
 struct http_pending {
 	LIST_ENTRY(http_pending) link;
@@ -23,7 +23,7 @@
 	struct ev_loop *loop;
 	CURLM *multi;
 	ev_timer timer;
-	bool has_new; /* transfers that libcurl has not looked at */
+	bool has_unstarted; /* transfers that libcurl has not begun */
 	LIST_HEAD(, http_pending) pending;
 };
 
@@ -126,9 +126,11 @@
 	ev_init(&client->timer, handle_timeout);
 	client->timer.data = client;
 	LIST_INIT(&client->pending);
-	/* By default libcurl keeps four connections for each transfer that
-	 * runs at this moment: after each lull they would be made anew. */
-	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS, KEPT_CONNECTIONS);
+	/* By default libcurl caches four connections per running transfer. It
+	 * would close most of them when the load drops and would have to open
+	 * them again when it rises. */
+	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS,
+			  IDLE_CONNECTIONS_MAX);
 	curl_multi_setopt(client->multi, CURLMOPT_SOCKETFUNCTION,
 			  handle_set_socket);
 	curl_multi_setopt(client->multi, CURLMOPT_SOCKETDATA, client);
@@ -151,7 +153,7 @@
 	g_free(client);
 }
 
-/* libcurl calls this before each time it sends the request. */
+/* libcurl calls this each time before it sends the request. */
 static int handle_prerequest(void *data, char *remote_ip, char *local_ip,
 			     int remote_port, int local_port)
 {
@@ -177,16 +179,16 @@
 	}
 	curl_easy_setopt(transfer->easy, CURLOPT_PRIVATE, transfer);
 	curl_multi_add_handle(client->multi, transfer->easy);
-	client->has_new = true;
+	client->has_unstarted = true;
 }
 
-void http_client_begin(struct http_client *client)
+void http_client_flush(struct http_client *client)
 {
 	int running;
 
-	if (!client->has_new)
+	if (!client->has_unstarted)
 		return;
-	client->has_new = false;
+	client->has_unstarted = false;
 	curl_multi_socket_action(client->multi, CURL_SOCKET_TIMEOUT, 0, &running);
 	report_done(client);
 }
@@ -196,7 +198,7 @@
 	curl_multi_remove_handle(client->multi, transfer->easy);
 }
 
-/* The upper layer: whole requests. */
+/* The upper layer: buffered requests. */
 
 static size_t handle_body(char *data, size_t size, size_t count, void *user)
 {
@@ -244,7 +246,8 @@
 
 static void set_headers(struct http_pending *pending, const char *const *headers)
 {
-	/* No wait for "100 Continue": the peers are ours or the platform's. */
+	/* The servers are daemons or the platform. They need no "Expect:
+	 * 100-continue", which would delay the request body. */
 	pending->headers = curl_slist_append(NULL, "Expect:");
 	for (; headers && headers[0]; headers += 2) {
 		char *line = g_strdup_printf("%s: %s", headers[0], headers[1]);
@@ -286,7 +289,7 @@
 			 call->connect_timeout_ms ? call->connect_timeout_ms :
 						    DEFAULT_CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_LOW_SPEED_LIMIT, 1L);
-	curl_easy_setopt(easy, CURLOPT_LOW_SPEED_TIME, call->quiet_s);
+	curl_easy_setopt(easy, CURLOPT_LOW_SPEED_TIME, call->stall_timeout_s);
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, handle_body);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, pending);
 	set_headers(pending, call->headers);
--- a/common/id.c
+++ b/common/id.c
@@ -5,20 +5,21 @@
 #include <stdlib.h>
 #include <sys/random.h>
 
-/* Up to 256 bytes are never cut short once the kernel's pool is ready. */
-#define STOCK 32
+/* getrandom(2) returns up to 256 bytes in full once the kernel's entropy pool is
+ * initialized. */
+#define POOL_SIZE 32
 
 uint64_t id_random_u64(void)
 {
-	static uint64_t stock[STOCK];
+	static uint64_t pool[POOL_SIZE];
 	static unsigned int left;
 
 	if (left == 0) {
-		if (getrandom(stock, sizeof(stock), 0) != sizeof(stock))
+		if (getrandom(pool, sizeof(pool), 0) != sizeof(pool))
 			abort();
-		left = STOCK;
+		left = POOL_SIZE;
 	}
-	return stock[--left];
+	return pool[--left];
 }
 
 void id_random(char text[ID_TEXT_SIZE])
--- a/include/comfreydockd/caller/call.h
+++ b/include/comfreydockd/caller/call.h
@@ -171,9 +171,9 @@
 void call_note_body_window(struct entry_attempt *attempt, uint32_t bytes);
 
 /* Adds an event to the time line and to the log. */
-#define call_log_event(call, event, ...)                                      \
-	timeline_note(&(call)->entry->daemon->timeline, (call)->trace, event, \
-		      __VA_ARGS__)
+#define call_log_event(call, event, ...)                                     \
+	timeline_log(&(call)->entry->daemon->timeline, (call)->trace, event, \
+		     __VA_ARGS__)
 
 const char *outcome_reason_name(Cfd__Reason reason);
 
--- a/include/comfreydockd/config/follow.h
+++ b/include/comfreydockd/config/follow.h
@@ -57,7 +57,7 @@
 #define CONFIG_FOLLOW_COALESCE_US (200 * 1000)
 
 struct config_follow;
-struct slices;
+struct slice_queue;
 
 struct config_follow_ops {
 	/* Converts the value of a row to a namespace file; see
@@ -79,7 +79,7 @@
 	const char *key; /* "TABLE/REST" */
 	const char *namespace; /* of the file that ops->read returns */
 	const struct config_follow_ops *ops;
-	struct slices *slices; /* parse rows in time slices; NULL: at once */
+	struct slice_queue *slice_queue; /* parse rows in time slice_queue; NULL: at once */
 	uint64_t seed;
 };
 
--- a/include/comfreydockd/config/spread_internal.h
+++ b/include/comfreydockd/config/spread_internal.h
@@ -81,7 +81,7 @@
 	char object_sha256[65];
 
 	struct config_pieces pieces;
-	struct slices *slices;
+	struct slice_queue *slice_queue;
 
 	/* token bucket for answers to peers */
 	double answer_tokens;
--- a/tests/test_config_check.c
+++ b/tests/test_config_check.c
@@ -166,7 +166,7 @@
 	assert_refused("\"idempotent\"", "\"idempotant\"",
 		       "idempotant: unknown key, did you mean \"idempotent\"?");
 	assert_refused("\"archive-feed\": {", "\"lookup-desk\": {",
-		       "duplicate key, first given in line 7");
+		       "duplicate key, first used in line 7");
 	assert_refused(
 		"[\"/archive\"]", "[\"/lookup\"]",
 		"f:40: error: services.archive-feed.path_prefixes: "
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -34,11 +34,10 @@
 }
 
 /*
- * What comes may be of another writer: fields missing or of another type, a
- * state that nobody knows, bytes that are no JSON. None of it may name an
- * upstream to use.
+ * Guards against an upstream that is used because of an invalid report: missing
+ * fields, fields of another type, an unknown state, or bytes that are not JSON.
  */
-static void test_strange_reports_are_refused(void)
+static void test_invalid_reports_are_refused(void)
 {
 	static const char *const bad[] = {
 		"",
@@ -71,12 +70,12 @@
 		struct report report;
 
 		if (!control_read_report(bad[i], "i-1", &report, &root))
-			g_error("taken: %s", bad[i]);
+			g_error("accepted: %s", bad[i]);
 		json_object_put(root);
 	}
 }
 
-static void test_any_damage_ends_well(void)
+static void test_random_corruption_is_survived(void)
 {
 	for (int i = 0; i < 20000; i++) {
 		char text[] = GOOD;
@@ -99,7 +98,7 @@
 	bool ready;
 	enum report_verdict verdict;
 	unsigned int reports;
-	GString *left;
+	GString *deregistered;
 	long status;
 };
 
@@ -117,9 +116,9 @@
 	return f->verdict;
 }
 
-static void take_leave(const char *instance, void *data)
+static void take_deregistration(const char *instance, void *data)
 {
-	g_string_append(((struct fixture *)data)->left, instance);
+	g_string_append(((struct fixture *)data)->deregistered, instance);
 }
 
 static void handle_answer(const struct http_answer *answer, void *data)
@@ -154,8 +153,9 @@
 	(void)data;
 	f->loop = ev_loop_new(0);
 	f->http = http_client_create(f->loop);
-	f->left = g_string_new(NULL);
-	f->ops = (struct control_ops){is_ready, take_report, take_leave, f};
+	f->deregistered = g_string_new(NULL);
+	f->ops = (struct control_ops){is_ready, take_report,
+				      take_deregistration, f};
 	f->control = control_create(f->loop, &any, &any, &f->ops);
 	g_assert_nonnull(f->control);
 }
@@ -165,7 +165,7 @@
 	(void)data;
 	http_client_destroy(f->http);
 	control_destroy(f->control);
-	g_string_free(f->left, TRUE);
+	g_string_free(f->deregistered, TRUE);
 	ev_loop_destroy(f->loop);
 }
 
@@ -180,9 +180,9 @@
 	g_assert_cmpint(ask(f, port, "GET", "/", NULL), ==, 404);
 }
 
-/* A late report is acknowledged like any other: asked again it would only come
- * later still. One of a stranger is not. */
-static void test_reports_and_leaves(struct fixture *f, gconstpointer data)
+/* A late report is acknowledged like any other, because the upstream would only
+ * send it again even later. A report from a foreign instance is refused. */
+static void test_reports_and_deregistration(struct fixture *f, gconstpointer data)
 {
 	static const char path[] = "/comfreydock/instances/i-1/heartbeat";
 	uint16_t port = control_reports_port(f->control);
@@ -199,7 +199,7 @@
 	g_assert_cmpint(ask(f, port, "POST",
 			    "/comfreydock/instances/i-1/deregister", ""),
 			==, 200);
-	g_assert_cmpstr(f->left->str, ==, "i-1");
+	g_assert_cmpstr(f->deregistered->str, ==, "i-1");
 	g_assert_cmpint(
 		ask(f, port, "POST", "/comfreydock/instances//heartbeat", GOOD),
 		==, 404);
@@ -212,11 +212,12 @@
 	g_test_init(&argc, &argv, NULL);
 	log_init(LOG_FORMAT_NONE, "test");
 	g_test_add_func("/control/read", test_report_is_read);
-	g_test_add_func("/control/strange", test_strange_reports_are_refused);
-	g_test_add_func("/control/damage", test_any_damage_ends_well);
+	g_test_add_func("/control/invalid", test_invalid_reports_are_refused);
+	g_test_add_func("/control/corruption",
+			test_random_corruption_is_survived);
 	g_test_add("/control/ready", struct fixture, NULL, set_up,
 		   test_readiness, tear_down);
 	g_test_add("/control/reports", struct fixture, NULL, set_up,
-		   test_reports_and_leaves, tear_down);
+		   test_reports_and_deregistration, tear_down);
 	return g_test_run();
 }
--- a/tests/test_latency.c
+++ b/tests/test_latency.c
@@ -12,15 +12,15 @@
 	g_free(whole);
 }
 
-/* A bound belongs to its own bucket, and each bucket holds all below it. */
+/* Buckets include their upper bound and are cumulative. */
 static void test_buckets(void)
 {
 	GString *text = g_string_new(NULL);
 
-	latency_note_us(&latencies.owner_waited, 100);
-	latency_note_us(&latencies.owner_waited, 101);
-	latency_note_us(&latencies.owner_waited, 500000);
-	latency_note_us(&latencies.owner_waited, 500001);
+	latency_record_us(&latencies.owner_waited, 100);
+	latency_record_us(&latencies.owner_waited, 101);
+	latency_record_us(&latencies.owner_waited, 500000);
+	latency_record_us(&latencies.owner_waited, 500001);
 	latencies_append_text(text);
 	assert_line(text, "# TYPE comfreydock_owner_waited_seconds histogram");
 	assert_line(text,
@@ -38,27 +38,28 @@
 }
 
 /*
- * Two hosts' clocks or a pause can make a part of a call look longer than the
- * whole. A time below zero would wrap the sum to half an eternity, and each
- * mean on a dashboard with it.
+ * Guards against a negative latency that wraps the unsigned sum and falsifies
+ * every mean on a dashboard. A latency can be negative if clocks of two hosts
+ * differ or a process pauses, so that a part of a call seems longer than the
+ * whole.
  */
 static void test_below_zero(void)
 {
 	GString *text = g_string_new(NULL);
 
-	latency_note_us(&latencies.call_added, -5);
+	latency_record_us(&latencies.call_added, -5);
 	latencies_append_text(text);
 	assert_line(text, "comfreydock_call_added_seconds_sum 0.000000");
 	assert_line(text, "comfreydock_call_added_seconds_count 1");
 	g_string_free(text, TRUE);
 }
 
-/* Beyond the last bound it counts in +Inf alone. */
-static void test_beyond(void)
+/* A value above the last bound counts only in the +Inf bucket. */
+static void test_above_last_bound(void)
 {
 	GString *text = g_string_new(NULL);
 
-	latency_note_us(&latencies.call_unknown, 60 * 1000 * 1000);
+	latency_record_us(&latencies.call_unknown, 60 * 1000 * 1000);
 	latencies_append_text(text);
 	assert_line(text,
 		    "comfreydock_call_unknown_seconds_bucket{le=\"10\"} 0");
@@ -72,6 +73,6 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/latency/buckets", test_buckets);
 	g_test_add_func("/latency/below-zero", test_below_zero);
-	g_test_add_func("/latency/beyond", test_beyond);
+	g_test_add_func("/latency/above-last-bound", test_above_last_bound);
 	return g_test_run();
 }
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -8,7 +8,7 @@
 #include "common/log.h"
 #include "paused_clock.h"
 
-/* Standard output becomes a pipe that this test reads. */
+/* Redirects standard output to a pipe that the test reads. */
 struct fixture {
 	int pipe[2];
 	int kept_stdout;
@@ -33,8 +33,8 @@
 	g_assert_cmpint(pipe2(f->pipe, O_NONBLOCK), ==, 0);
 	dup2(f->pipe[1], STDOUT_FILENO);
 	log_init(LOG_FORMAT_JSON, "test");
-	log_collect();
-	/* A second of its own for each test. */
+	log_enable_buffering();
+	/* Each test starts in a new second with an unused budget. */
 	paused_clock_advance_us(3 * US_PER_S);
 	log_event(EV_DAEMON_STARTED);
 	paused_clock_advance_us(2 * US_PER_S);
@@ -82,11 +82,11 @@
 }
 
 /*
- * Thousands of calls a second would bury the one line that says that a host was
- * lost, and take the daemon's time. The routine is cut first, failures next, and
- * what was left out is told.
+ * Thousands of calls a second must not hide the one line that says that a host is
+ * lost, nor use up the CPU time of the daemon. ROUTINE lines are dropped first,
+ * then FAILURE lines, and log.suppressed reports the dropped lines.
  */
-static void test_budget_keeps_what_matters(struct fixture *f, gconstpointer data)
+static void test_budget_drops_routine_first(struct fixture *f, gconstpointer data)
 {
 	(void)data;
 	for (unsigned int i = 0; i < 500; i++)
@@ -109,11 +109,11 @@
 }
 
 /*
- * An engineer follows one request over three daemons. If each left out lines of
- * its own choice, no request could be followed. Above the budget whole requests
- * are drawn, by their id.
+ * An engineer traces one request over three daemons. That is impossible if each
+ * daemon drops different lines. Above the budget daemons must therefore sample
+ * whole requests by trace id.
  */
-static void test_requests_are_drawn_whole(struct fixture *f, gconstpointer data)
+static void test_requests_are_sampled_whole(struct fixture *f, gconstpointer data)
 {
 	unsigned int whole = 0;
 	unsigned int parts = 0;
@@ -143,11 +143,11 @@
 }
 
 /*
- * Whatever reads the log has stopped. The daemon must go on as if nobody had
- * asked for it, with no line cut in half once the reader is back.
+ * The reader of the log stalls. The daemon must not block, and when the reader
+ * continues it must get only whole lines.
  */
-static void test_stalled_reader_blocks_nobody(struct fixture *f,
-					      gconstpointer data)
+static void test_stalled_reader_does_not_block(struct fixture *f,
+					       gconstpointer data)
 {
 	uint64_t dropped = counters.log_lines_dropped;
 	char **lines;
@@ -176,8 +176,8 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	ADD("/log/json", test_lines_are_json);
-	ADD("/log/budget", test_budget_keeps_what_matters);
-	ADD("/log/whole-requests", test_requests_are_drawn_whole);
-	ADD("/log/stalled", test_stalled_reader_blocks_nobody);
+	ADD("/log/budget", test_budget_drops_routine_first);
+	ADD("/log/whole-requests", test_requests_are_sampled_whole);
+	ADD("/log/stalled", test_stalled_reader_does_not_block);
 	return g_test_run();
 }
--- a/tests/test_manifest.c
+++ b/tests/test_manifest.c
@@ -55,7 +55,7 @@
 	return rule;
 }
 
-/* All that the route says of itself. */
+/* Checks every attribute of the route "list". */
 static void assert_is_list(const struct config_rule *rule)
 {
 	g_assert_cmpstr(rule->name, ==, "list");
@@ -88,7 +88,7 @@
 
 	g_assert_cmpuint(version, ==, 7);
 	assert_is_list(rule);
-	/* A large answer may be fetched again; a booking may not. */
+	/* A download is idempotent, a booking is not. */
 	g_assert_true(match(snapshot, "/p/1")->idempotent);
 	g_assert_false(match(snapshot, "/b/1")->idempotent);
 	g_assert_null(match(snapshot, "/x/1"));
@@ -96,8 +96,8 @@
 	config_snapshot_unref(snapshot);
 }
 
-/* The operator lists routes in any order; the longest prefix must count. */
-static void test_longest_prefix_counts(void)
+/* The longest matching prefix must win, whatever the order of the routes. */
+static void test_longest_prefix_wins(void)
 {
 	uint64_t version;
 	struct config_snapshot *snapshot = load(
@@ -133,7 +133,8 @@
 	config_snapshot_unref(snapshot);
 }
 
-/* A row cut off on its way, or written by something else, names no version. */
+/* Truncated rows, and rows of another writer that have no valid version, must be
+ * refused. */
 static void test_unreadable_rows_are_refused(void)
 {
 	static const char *const bad[] = {
@@ -162,9 +163,9 @@
 	platform_manifest_reader_destroy(reader);
 }
 
-/* Whatever parts of it are of another type: it is read or refused, and the
- * check of a file stands behind it. */
-static void test_any_damage_ends_well(void)
+/* A corrupt row must be either refused or converted without a crash. A converted
+ * row must also pass through the checks of a namespace file without a crash. */
+static void test_random_corruption_is_survived(void)
 {
 	static const char whole[] = MANIFEST(
 		"\"r7\"", ROUTE("list", "idempotent", "/l/", TO("desk")));
@@ -206,9 +207,9 @@
 	return body;
 }
 
-/* What a reader makes of a row must not depend on the rows that it read before:
- * daemons that watch the row for different times would hold different bodies
- * under one version, and refuse each other's. */
+/* The result for a row must not depend on rows that the reader read before. Else
+ * daemons that have watched the row for different times would have different
+ * bodies for the same version, and would refuse those of each other. */
 static void test_body_follows_from_the_row_alone(void)
 {
 #define LIST ROUTE("list", "idempotent", "/l/", TO("desk"))
@@ -243,8 +244,8 @@
 	platform_manifest_reader_destroy(reader);
 }
 
-/* The retry budget is set anew without a change of the row. */
-static void test_another_budget_is_written(void)
+/* The retry budget can change while the row does not. */
+static void test_changed_retry_budget_is_written(void)
 {
 	static const char row[] = MANIFEST("\"r1\"", LIST);
 	struct platform_manifest_reader *reader =
@@ -263,11 +264,12 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/manifest/routes", test_routes_become_rules);
-	g_test_add_func("/manifest/prefixes", test_longest_prefix_counts);
+	g_test_add_func("/manifest/prefixes", test_longest_prefix_wins);
 	g_test_add_func("/manifest/splits", test_splits_keep_their_weights);
 	g_test_add_func("/manifest/unreadable", test_unreadable_rows_are_refused);
-	g_test_add_func("/manifest/damage", test_any_damage_ends_well);
-	g_test_add_func("/manifest/known", test_body_follows_from_the_row_alone);
-	g_test_add_func("/manifest/budget", test_another_budget_is_written);
+	g_test_add_func("/manifest/corruption",
+			test_random_corruption_is_survived);
+	g_test_add_func("/manifest/cached", test_body_follows_from_the_row_alone);
+	g_test_add_func("/manifest/budget", test_changed_retry_budget_is_written);
 	return g_test_run();
 }
--- a/tests/test_platform_client.c
+++ b/tests/test_platform_client.c
@@ -12,8 +12,9 @@
 #include "common/socket.h"
 #include "rig.h"
 
-/* A version of the store, before it was ever set back. */
-#define AT(n) ((uint64_t)1 << PLATFORM_VERSION_BITS | (uint64_t)(n))
+/* A version of the store in its first era, before any restore. */
+#define FIRST_ERA_VERSION(n) \
+	((uint64_t)1 << PLATFORM_VERSION_BITS | (uint64_t)(n))
 
 struct fixture {
 	struct rig *rig;
@@ -95,7 +96,7 @@
 	return wait_answer(f);
 }
 
-static void command(struct fixture *f, const char *body)
+static void inject_fault(struct fixture *f, const char *body)
 {
 	g_free(rig_http_ok("POST", f->standin->port, "/standin/fault", body));
 }
@@ -108,10 +109,10 @@
 	g_assert_cmpint(get(f, "ns/a b"), ==, PLATFORM_NOT_FOUND);
 	g_assert_cmpint(put(f, "ns/a b", PLATFORM_ABSENT, "{\"x\":1}"), ==,
 			PLATFORM_OK);
-	g_assert_cmpuint(f->store_version, ==, AT(1));
+	g_assert_cmpuint(f->store_version, ==, FIRST_ERA_VERSION(1));
 	g_assert_cmpint(put(f, "ns/a b", PLATFORM_ABSENT, "2"), ==,
 			PLATFORM_CONFLICT);
-	g_assert_cmpuint(f->version, ==, AT(1));
+	g_assert_cmpuint(f->version, ==, FIRST_ERA_VERSION(1));
 	g_assert_cmpint(get(f, "ns/a b"), ==, PLATFORM_OK);
 	g_assert_cmpstr(f->text, ==, "{\"x\":1}");
 	put(f, "ns/c", PLATFORM_ANY_VERSION, "3");
@@ -131,10 +132,10 @@
 }
 
 /*
- * The table service applies a write and loses the answer, on a connection that
- * served a call before. An HTTP library that finds such a connection closed
- * may send the request anew: an operator's change would then be applied twice,
- * and the second time as a conflict with itself.
+ * Guards against a write that is applied twice. The table service applies a write
+ * and loses the answer on a reused connection. An HTTP library may resend the
+ * request when such a connection closes, and an operator's change would then
+ * conflict with itself.
  */
 static void test_lost_answer_is_unknown_and_not_resent(struct fixture *f,
 						       gconstpointer data)
@@ -144,11 +145,11 @@
 
 	(void)data;
 	put(f, "t/a", PLATFORM_ABSENT, "1");
-	command(f, "{\"lose_next\":1}");
+	inject_fault(f, "{\"lose_next\":1}");
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ANY_VERSION, "2"), ==,
 			PLATFORM_UNKNOWN);
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_OK);
-	g_assert_cmpuint(f->version, ==, AT(2));
+	g_assert_cmpuint(f->version, ==, FIRST_ERA_VERSION(2));
 	g_assert_cmpuint(counters.platform_writes - before.platform_writes, ==,
 			 2);
 	g_assert_cmpuint(counters.platform_unknown - before.platform_unknown,
@@ -159,19 +160,19 @@
 }
 
 /*
- * The table service is down: first it breaks connections off, then its process
- * is gone. A read fails either way; a write certainly took no effect only in
- * the second case, where there was nothing to connect to.
+ * The table service first closes connections, then its process is gone. A read
+ * fails in both cases. A write certainly took no effect only in the second case,
+ * where the connection is refused.
  */
 static void test_outage(struct fixture *f, gconstpointer data)
 {
 	(void)data;
-	command(f, "{\"down\":true}");
+	inject_fault(f, "{\"down\":true}");
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_UNAVAILABLE);
 	g_assert_false(platform_is_up(f->platform));
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_UNKNOWN);
-	command(f, "{\"down\":false}");
+	inject_fault(f, "{\"down\":false}");
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_NOT_FOUND);
 	g_assert_true(platform_is_up(f->platform));
 	rig_kill(f->standin);
@@ -180,21 +181,22 @@
 	g_assert_cmpstr(platform_status_message(f->platform), !=, "");
 }
 
-/* A service that hangs holds up its caller for a bounded time only. */
+/* A service that hangs must delay its caller only for a bounded time. */
 static void test_slow_platform(struct fixture *f, gconstpointer data)
 {
 	(void)data;
-	command(f, "{\"slow_ms\":3000}");
+	inject_fault(f, "{\"slow_ms\":3000}");
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_UNKNOWN);
 	rig_signal(f->standin, SIGTERM);
 	g_assert_cmpint(rig_wait_end(f->standin, 1000), ==, 0);
 }
 
-/* A change is told at once to whoever watches its table; a deleted row as such. */
-static void test_watch_tells_changes(struct fixture *f, gconstpointer data)
+/* A watch must report a change immediately, and a deleted row without a value. */
+static void test_watch_reports_changes(struct fixture *f, gconstpointer data)
 {
-	struct platform_op delete = {PLATFORM_DELETE, "t/a", AT(1), NULL};
+	struct platform_op delete = {PLATFORM_DELETE, "t/a",
+				     FIRST_ERA_VERSION(1), NULL};
 
 	(void)data;
 	put(f, "t/a", PLATFORM_ABSENT, "1");
@@ -206,13 +208,14 @@
 	g_assert_cmpuint(f->rows, ==, 0);
 	platform_transact(f->platform, &delete, 1, handle_answer, f);
 	g_assert_cmpint(wait_answer(f), ==, PLATFORM_OK);
-	platform_watch(f->platform, "t", AT(1), 5000, handle_answer, f);
+	platform_watch(f->platform, "t", FIRST_ERA_VERSION(1), 5000,
+		       handle_answer, f);
 	g_assert_cmpint(wait_answer(f), ==, PLATFORM_OK);
 	g_assert_cmpuint(f->rows, ==, 1);
 	g_assert_null(f->text);
 }
 
-static void set_back(struct fixture *f, const char *body)
+static void restore_store(struct fixture *f, const char *body)
 {
 	g_free(rig_http_ok("POST", f->standin->port, "/standin/restore", body));
 }
@@ -224,9 +227,9 @@
 	(*count)++;
 }
 
-/* Guards against a watch that goes on from a version of before the store was set
- * back, which now stands for another change or for none. */
-static void test_watch_of_before_ends(struct fixture *f, gconstpointer data)
+/* Guards against a watch that continues from a version before a restore. That
+ * version now stands for another change or for none. */
+static void test_watch_from_older_era_ends(struct fixture *f, gconstpointer data)
 {
 	unsigned int restored = 0;
 
@@ -234,8 +237,9 @@
 	platform_when_restored(f->platform, count_restored, &restored);
 	for (int i = 0; i < 3; i++)
 		put(f, "t/a", PLATFORM_ANY_VERSION, "1");
-	set_back(f, "{\"transactions\": 2}");
-	platform_watch(f->platform, "t", AT(1), 100, handle_answer, f);
+	restore_store(f, "{\"transactions\": 2}");
+	platform_watch(f->platform, "t", FIRST_ERA_VERSION(1), 100,
+		       handle_answer, f);
 	g_assert_cmpint(wait_answer(f), ==, PLATFORM_HISTORY_GONE);
 	g_assert_cmpuint(restored, ==, 1);
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_OK);
@@ -244,9 +248,10 @@
 	g_assert_cmpuint(restored, ==, 1);
 }
 
-/* Guards against a write on the condition of a version that was given out anew: it
- * would replace what nobody here has read. */
-static void test_conditions_of_before_fail(struct fixture *f, gconstpointer data)
+/* Guards against a conditional write with a version that the store has assigned
+ * again after a restore. It would overwrite a value that the writer never read. */
+static void test_conditions_from_older_era_fail(struct fixture *f,
+						gconstpointer data)
 {
 	int64_t before;
 
@@ -255,7 +260,7 @@
 	put(f, "t/a", PLATFORM_ANY_VERSION, "2");
 	get(f, "t/a");
 	before = (int64_t)f->version;
-	set_back(f, "{\"transactions\": 1}");
+	restore_store(f, "{\"transactions\": 1}");
 	put(f, "t/a", PLATFORM_ANY_VERSION, "3");
 	g_assert_cmpint(put(f, "t/a", before, "4"), ==, PLATFORM_CONFLICT);
 	get(f, "t/a");
@@ -263,50 +268,53 @@
 	g_assert_cmpint(put(f, "t/a", (int64_t)f->version, "4"), ==, PLATFORM_OK);
 }
 
-/* The store has dropped what changed: a watch that went on from there would
- * miss it without a word. */
-static void test_dropped_history_is_told(struct fixture *f, gconstpointer data)
+/* The store has compacted its history. A watch that continued from an older
+ * version would silently miss changes. */
+static void test_compacted_history_is_reported(struct fixture *f,
+					       gconstpointer data)
 {
 	(void)data;
 	put(f, "t/a", PLATFORM_ABSENT, "1");
 	put(f, "t/a", PLATFORM_ANY_VERSION, "2");
 	g_free(rig_http_ok("POST", f->standin->port, "/standin/compact", ""));
-	platform_watch(f->platform, "t", AT(1), 100, handle_answer, f);
+	platform_watch(f->platform, "t", FIRST_ERA_VERSION(1), 100,
+		       handle_answer, f);
 	g_assert_cmpint(wait_answer(f), ==, PLATFORM_HISTORY_GONE);
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_OK);
-	g_assert_cmpuint(f->store_version, ==, AT(2));
+	g_assert_cmpuint(f->store_version, ==, FIRST_ERA_VERSION(2));
 }
 
-/* Refused for want of room or because it is away: certainly not done. */
+/* A write that is refused because the store is full or unavailable must certainly
+ * have no effect. */
 static void test_refused_writes_are_not_done(struct fixture *f, gconstpointer data)
 {
 	(void)data;
-	command(f, "{\"status\":503}");
+	inject_fault(f, "{\"status\":503}");
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_UNAVAILABLE);
-	command(f, "{\"status\":429}");
+	inject_fault(f, "{\"status\":429}");
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_UNAVAILABLE);
-	command(f, "{\"status\":0}");
+	inject_fault(f, "{\"status\":0}");
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_NOT_FOUND);
 	g_assert_cmpint(put(f, "op/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_REJECTED);
 }
 
 /*
- * A write is given up as lost and takes effect later all the same. Whoever took
- * it for failed and wrote something else must find that it did not overwrite
- * that: its condition no longer holds.
+ * A write whose answer was lost takes effect later. It must not overwrite a value
+ * that was written in the meantime, because its condition no longer holds.
  */
 static void test_late_write_keeps_its_condition(struct fixture *f,
 						gconstpointer data)
 {
 	(void)data;
-	command(f, "{\"lose_next\":1,\"late_ms\":100}");
+	inject_fault(f, "{\"lose_next\":1,\"late_ms\":100}");
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "late"), ==,
 			PLATFORM_UNKNOWN);
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "mine"), ==, PLATFORM_OK);
-	platform_watch(f->platform, "t", AT(1), 300, handle_answer, f);
+	platform_watch(f->platform, "t", FIRST_ERA_VERSION(1), 300,
+		       handle_answer, f);
 	wait_answer(f);
 	g_assert_cmpint(get(f, "t/a"), ==, PLATFORM_OK);
 	g_assert_cmpstr(f->text, ==, "mine");
@@ -322,7 +330,7 @@
 	g_assert_cmpuint(f->answers, ==, 0);
 }
 
-/* A store that answers with one row, in so many parts. */
+/* A fake store that sends an answer of one row in small parts. */
 struct trickle {
 	struct ev_loop *loop;
 	ev_io accepting;
@@ -331,10 +339,10 @@
 	GString *answer;
 	size_t sent;
 	size_t part;
-	size_t stops_at; /* says nothing more from there on */
+	size_t stops_at; /* sends nothing from this offset on */
 };
 
-static void trickle_some(struct ev_loop *loop, ev_timer *timer, int events)
+static void trickle_send(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct trickle *trickle = timer->data;
 	size_t left =
@@ -364,7 +372,7 @@
 		g_string_new("{\"rows\":[{\"table\":\"t\",\"part\":\"\","
 			     "\"key\":\"a\",\"ver\":3,\"value\":\"");
 	uint16_t port = 0;
-	int fd = socket_listen_both("127.0.0.1", 0, &port);
+	int fd = socket_listen_udp_free("127.0.0.1", 0, &port);
 	char *url = g_strdup_printf("http://127.0.0.1:%u", port);
 
 	memset(trickle, 0, sizeof(*trickle));
@@ -379,7 +387,7 @@
 	trickle->part = trickle->answer->len / parts + 1;
 	trickle->stops_at = SIZE_MAX;
 	ev_io_init(&trickle->accepting, trickle_accept, fd, EV_READ);
-	ev_timer_init(&trickle->tick, trickle_some, 0.0, 0.1);
+	ev_timer_init(&trickle->tick, trickle_send, 0.0, 0.1);
 	trickle->accepting.data = trickle->tick.data = trickle;
 	trickle->loop = f->loop;
 	ev_io_start(f->loop, &trickle->accepting);
@@ -399,11 +407,11 @@
 }
 
 /*
- * A row of some MB needs seconds on the link of a small host. Given up after two, it
- * would never come: a host that starts would have no configuration, and one that is
- * behind could not read it.
+ * A row of several MB takes seconds on a slow link. With a timeout of two seconds
+ * it would never arrive: a starting host would have no configuration, and a host
+ * that is behind could not catch up.
  */
-static void test_large_row_takes_its_time(struct fixture *f, gconstpointer data)
+static void test_large_row_may_take_seconds(struct fixture *f, gconstpointer data)
 {
 	struct trickle trickle;
 
@@ -415,9 +423,9 @@
 	trickle_stop(&trickle);
 }
 
-/* The store falls silent in the middle of a row. Whoever waits for it is told in time
- * to ask again. */
-static void test_row_that_stops_is_given_up(struct fixture *f, gconstpointer data)
+/* The store stalls in the middle of a row. The read must fail soon enough that the
+ * caller can try again. */
+static void test_stalled_row_times_out(struct fixture *f, gconstpointer data)
 {
 	struct trickle trickle;
 	gint64 began_us = g_get_monotonic_time();
@@ -444,12 +452,12 @@
 	ADD("lost-answer", test_lost_answer_is_unknown_and_not_resent);
 	ADD("outage", test_outage);
 	ADD("slow", test_slow_platform);
-	ADD("large-row", test_large_row_takes_its_time);
-	ADD("row-that-stops", test_row_that_stops_is_given_up);
-	ADD("watch", test_watch_tells_changes);
-	ADD("history", test_dropped_history_is_told);
-	ADD("restored", test_watch_of_before_ends);
-	ADD("restored-condition", test_conditions_of_before_fail);
+	ADD("large-row", test_large_row_may_take_seconds);
+	ADD("stalled-row", test_stalled_row_times_out);
+	ADD("watch", test_watch_reports_changes);
+	ADD("compacted-history", test_compacted_history_is_reported);
+	ADD("older-era-watch", test_watch_from_older_era_ends);
+	ADD("older-era-condition", test_conditions_from_older_era_fail);
 	ADD("refused", test_refused_writes_are_not_done);
 	ADD("late", test_late_write_keeps_its_condition);
 	ADD("destroy", test_destroy_drops_open_calls);
--- a/tests/test_run_tests.c
+++ b/tests/test_run_tests.c
@@ -4,7 +4,8 @@
 #include <string.h>
 #include <sys/wait.h>
 
-/* In place of meson: two tests, one of them with the name that marks a line. */
+/* A fake meson with two tests. One has the name "open", which in KNOWN-RED.txt
+ * marks an entry that excuses no failure. */
 static const char meson_text[] =
 	"#!/bin/sh\n"
 	"case \"$*\" in *--list*) echo open; echo two; exit ;; esac\n"
@@ -83,7 +84,8 @@
 	g_free(f->folder);
 }
 
-/* With this list, and these results of both tests, the verdict is as given. */
+/* Runs tools/run-tests with a KNOWN-RED.txt and given results of both tests, and
+ * checks its verdict and a line of its output. */
 static void assert_verdict(struct fixture *f, const char *list, const char *open,
 			   const char *two, bool passes, const char *line)
 {
@@ -114,7 +116,7 @@
 	assert_verdict(f, NULL, "OK", "FAIL", false, "1 passed, 1 failed");
 }
 
-static void test_red(struct fixture *f, gconstpointer data)
+static void test_known_red(struct fixture *f, gconstpointer data)
 {
 	const char *list = "two\tits fault\n";
 
@@ -126,8 +128,8 @@
 }
 
 /*
- * A fault that shows now and then is listed. Were a failure passed over for it,
- * nobody would see the fault again, nor any other that those tests find.
+ * An "open" entry lists an intermittent fault. If it excused failures, nobody
+ * would notice the fault again, nor any other fault that those tests find.
  */
 static void test_open(struct fixture *f, gconstpointer data)
 {
@@ -147,8 +149,8 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add("/run-tests/without-list", struct fixture, NULL, set_up,
 		   test_without_list, tear_down);
-	g_test_add("/run-tests/red", struct fixture, NULL, set_up, test_red,
-		   tear_down);
+	g_test_add("/run-tests/known-red", struct fixture, NULL, set_up,
+		   test_known_red, tear_down);
 	g_test_add("/run-tests/open", struct fixture, NULL, set_up, test_open,
 		   tear_down);
 	return g_test_run();
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -118,9 +118,9 @@
 		       "platform.url: must be \"http://IP:PORT\"");
 	assert_refused("peer.key", "no.key", "peer.key_file: Failed to open");
 	assert_refused("\"lines_per_s\": 200", "\"lines_per_s\": 0",
-		       "log_budget.lines_per_s: must lie between 10 and");
+		       "log_budget.lines_per_s: must be between 10 and");
 	assert_refused("8080", "80800",
-		       "caller.port: must lie between 0 and 65535");
+		       "caller.port: must be between 0 and 65535");
 }
 
 static char *read_source(const char *folder, const char *name)
