--- a/bench/bench_swim.c
+++ b/bench/bench_swim.c
@@ -31,8 +31,8 @@
 	uint64_t bytes_out;
 	uint64_t packets_out;
 	uint64_t incarnation;
-	uint8_t answer[SWIM_BODY_MAX];
-	size_t answer_size;
+	uint8_t pending_ack[SWIM_BODY_MAX];
+	size_t pending_ack_size;
 };
 
 static void fill_member(struct member *member, int i)
@@ -69,7 +69,8 @@
 		ack.kind = CFD__GOSSIP_KIND__GOSSIP_ACK;
 		ack.seq = message->seq;
 		ack.from = message->target;
-		bench->answer_size = cfd__gossip__pack(&ack, bench->answer);
+		bench->pending_ack_size =
+			cfd__gossip__pack(&ack, bench->pending_ack);
 	}
 	if (message)
 		cfd__gossip__free_unpacked(message, NULL);
@@ -84,17 +85,17 @@
 		     bench->now_us);
 }
 
-static void bench_answer(struct bench *bench)
+static void deliver_ack(struct bench *bench)
 {
-	size_t size = bench->answer_size;
+	size_t size = bench->pending_ack_size;
 
-	bench->answer_size = 0;
+	bench->pending_ack_size = 0;
 	if (size > 0)
-		swim_receive(bench->swim, "10.1.0.7", PEER_PORT, bench->answer,
-			     size, bench->now_us);
+		swim_receive(bench->swim, "10.1.0.7", PEER_PORT,
+			     bench->pending_ack, size, bench->now_us);
 }
 
-static void bench_change(struct bench *bench, int host)
+static void receive_change(struct bench *bench, int host)
 {
 	struct member member;
 	Cfd__MemberRecord record = CFD__MEMBER_RECORD__INIT;
@@ -121,7 +122,7 @@
 		bench_receive(bench, &push);
 }
 
-static void bench_second(struct bench *bench, int second)
+static void receive_periodic_messages(struct bench *bench, int second)
 {
 	uint64_t digests[64];
 	Cfd__Gossip ping = CFD__GOSSIP__INIT;
@@ -153,11 +154,11 @@
 	for (int tick = 0; tick < RUN_S * 20; tick++) {
 		bench->now_us += SWIM_TICK_US;
 		swim_tick(bench->swim, bench->now_us);
-		bench_answer(bench);
+		deliver_ack(bench);
 		if (tick % 20 == 0)
-			bench_second(bench, tick / 20);
+			receive_periodic_messages(bench, tick / 20);
 		for (changes += changes_per_s / 20; changes >= 1; changes--)
-			bench_change(bench, tick % hosts);
+			receive_change(bench, tick % hosts);
 	}
 }
 
@@ -203,7 +204,7 @@
 	while (bench.now_us < 4 * 3600 * (int64_t)1000000) {
 		bench.now_us += SWIM_TICK_US;
 		swim_tick(bench.swim, bench.now_us);
-		bench_answer(&bench);
+		deliver_ack(&bench);
 	}
 	bench.bytes_out = bench.packets_out = 0;
 	began = clock();
--- a/bench/capacity/bench_cluster.c
+++ b/bench/capacity/bench_cluster.c
@@ -26,7 +26,7 @@
 #define UP_TIMEOUT_MS 120000
 #define DEATH_TIMEOUT_MS 90000
 #define HEADERS_BYTES 28
-#define FULL_SIZE 22000
+#define DEPLOYMENT_SIZE 22000
 
 struct totals {
 	int64_t cpu_ns;
@@ -192,7 +192,7 @@
 	return totals;
 }
 
-static void measure_rest(struct bench *bench, int seconds, struct fits *fits)
+static void measure_idle(struct bench *bench, int seconds, struct fits *fits)
 {
 	struct totals from = read_totals(bench, true);
 	struct totals to;
@@ -234,7 +234,7 @@
 	return (double)(g_get_monotonic_time() - began) / 1e6;
 }
 
-static void measure_news(struct bench *bench)
+static void measure_propagation(struct bench *bench)
 {
 	struct rig_process *drained = bench->daemons[bench->count - 2];
 	struct rig_process *killed = bench->daemons[bench->count - 1];
@@ -269,8 +269,8 @@
 	printf("daemons %u: all know all after %.1f s, the starts included\n",
 	       count, (double)(g_get_monotonic_time() - began) / 1e6);
 	rig_sleep_ms(SETTLE_S * 1000);
-	measure_rest(&bench, seconds, fits);
-	measure_news(&bench);
+	measure_idle(&bench, seconds, fits);
+	measure_propagation(&bench);
 	fflush(stdout);
 	rig_destroy(bench.rig);
 }
@@ -290,9 +290,9 @@
 		run_size((unsigned int)CLAMP(count, 3, DAEMONS_MAX), seconds,
 			 &fits);
 	}
-	usage_fit_print(&fits.cpu, "percent of a core", FULL_SIZE);
-	usage_fit_print(&fits.rss, "MiB resident", FULL_SIZE);
-	usage_fit_print(&fits.in, "bytes/s in", FULL_SIZE);
-	usage_fit_print(&fits.out, "bytes/s out", FULL_SIZE);
+	usage_fit_print(&fits.cpu, "percent of a core", DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.rss, "MiB resident", DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.in, "bytes/s in", DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.out, "bytes/s out", DEPLOYMENT_SIZE);
 	return 0;
 }
--- a/bench/capacity/bench_config.c
+++ b/bench/capacity/bench_config.c
@@ -23,7 +23,7 @@
 
 #define SERVICES_PER_FILE 4
 #define ROUNDS 20000
-#define FULL_SIZE 2800
+#define DEPLOYMENT_SIZE 2800
 
 static double now_s(void)
 {
@@ -143,8 +143,8 @@
 	for (int i = 1; i < argc; i++)
 		run_size(MAX(atoi(argv[i]), SERVICES_PER_FILE * 10), &memory,
 			 &take, &match);
-	usage_fit_print(&memory, "KiB", FULL_SIZE);
-	usage_fit_print(&take, "us a file taken in", FULL_SIZE);
-	usage_fit_print(&match, "us to find a rule", FULL_SIZE);
+	usage_fit_print(&memory, "KiB", DEPLOYMENT_SIZE);
+	usage_fit_print(&take, "us a file taken in", DEPLOYMENT_SIZE);
+	usage_fit_print(&match, "us to find a rule", DEPLOYMENT_SIZE);
 	return 0;
 }
--- a/bench/capacity/bench_daemon.c
+++ b/bench/capacity/bench_daemon.c
@@ -17,22 +17,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "bench/capacity/crowd.h"
+#include "bench/capacity/fake_peers.h"
 #include "bench/capacity/usage.h"
 #include "rig.h"
 
 #define HOSTS_PER_SERVICE 8
 #define HEADERS_BYTES 28
-#define FULL_SIZE 22000
+#define DEPLOYMENT_SIZE 22000
 #define SETTLE_MS 5000
-#define JOIN_TURNS 600
-#define JOIN_TURN_MS 100
+#define JOIN_ROUNDS 600
+#define JOIN_ROUND_MS 100
 
 struct fits {
 	struct usage_fit config;
 	struct usage_fit members;
-	struct usage_fit whole;
-	struct usage_fit rest;
+	struct usage_fit with_services;
+	struct usage_fit idle;
 	struct usage_fit busy;
 	struct usage_fit join;
 	struct usage_fit list;
@@ -41,7 +41,7 @@
 struct bench {
 	struct rig *rig;
 	struct rig_process *daemon;
-	struct crowd *crowd;
+	struct fake_peers *peers;
 	int hosts;
 	int services;
 };
@@ -73,7 +73,7 @@
 {
 	struct rig_process *platform = rig_start_standin(
 		bench->rig, "standin/platform/standin-platform", NULL);
-	const char *key = rig_write_file(bench->rig, "peer.key", CROWD_KEY);
+	const char *key = rig_write_file(bench->rig, "peer.key", FAKE_PEERS_KEY);
 	const char *config = write_config(bench);
 	const char *settings = rig_write_file(
 		bench->rig, "daemon.json",
@@ -85,11 +85,11 @@
 		"\"config_file\": \"%s\",\n"
 		"\"peer\": {\"address\": \"127.0.0.1\", \"port\": 0,\n"
 		" \"key_file\": \"%s\", \"join\": [\"127.0.0.1:%u\"]}}\n",
-		CROWD_DAEMON, platform->port, config, key,
-		crowd_port(bench->crowd));
+		FAKE_PEERS_DAEMON, platform->port, config, key,
+		fake_peers_port(bench->peers));
 
 	bench->daemon = rig_start_daemon(bench->rig, "daemon", settings);
-	crowd_set_daemon(bench->crowd, bench->daemon->peer_port);
+	fake_peers_set_daemon(bench->peers, bench->daemon->peer_port);
 }
 
 static double rss_mib(const struct bench *bench)
@@ -109,10 +109,10 @@
 
 static int64_t read_counter(struct bench *bench, const char *name)
 {
-	char *whole = g_strconcat("comfreydock_", name, NULL);
-	int64_t value = rig_metric(bench->daemon->admin_port, whole);
+	char *full_name = g_strconcat("comfreydock_", name, NULL);
+	int64_t value = rig_metric(bench->daemon->admin_port, full_name);
 
-	g_free(whole);
+	g_free(full_name);
 	return MAX(value, 0);
 }
 
@@ -134,8 +134,8 @@
 	int64_t cpu = usage_cpu_ns(bench->daemon->pid);
 	double seconds;
 
-	for (int i = 0; i < JOIN_TURNS && count_hosts(bench) <= bench->hosts; i++)
-		crowd_run(bench->crowd, JOIN_TURN_MS);
+	for (int i = 0; i < JOIN_ROUNDS && count_hosts(bench) <= bench->hosts; i++)
+		fake_peers_run(bench->peers, JOIN_ROUND_MS);
 	seconds = (double)(g_get_monotonic_time() - began) / 1e6;
 	cpu = usage_cpu_ns(bench->daemon->pid) - cpu;
 	printf("hosts %d: joined with %d known after %.1f s, %.0f bytes in, "
@@ -156,13 +156,13 @@
 	double spent_s;
 	double percent;
 
-	crowd_set_changes(bench->crowd, changes_per_s);
-	crowd_run(bench->crowd, SETTLE_MS);
+	fake_peers_set_changes(bench->peers, changes_per_s);
+	fake_peers_run(bench->peers, SETTLE_MS);
 	in = wire_bytes(bench, "in");
 	out = wire_bytes(bench, "out");
 	began = g_get_monotonic_time();
 	cpu = usage_cpu_ns(bench->daemon->pid);
-	crowd_run(bench->crowd, seconds * 1000);
+	fake_peers_run(bench->peers, seconds * 1000);
 	cpu = usage_cpu_ns(bench->daemon->pid) - cpu;
 	spent_s = (double)(g_get_monotonic_time() - began) / 1e6;
 	percent = (double)cpu / 1e9 / spent_s * 100;
@@ -215,7 +215,7 @@
 
 		rig_answer_free(rig_http("GET", url, NULL, NULL, 2000));
 		g_free(url);
-		crowd_run(bench->crowd, 1);
+		fake_peers_run(bench->peers, 1);
 	}
 }
 
@@ -227,16 +227,16 @@
 	double members_mib;
 
 	bench.rig = rig_create();
-	bench.crowd = crowd_create(hosts, bench.services);
+	bench.peers = fake_peers_create(hosts, bench.services);
 	start_daemon(&bench);
 	config_mib = rss_mib(&bench);
 	join(&bench, fits);
 	members_mib = rss_mib(&bench);
-	usage_fit_add(&fits->rest, hosts, measure(&bench, seconds, 0));
+	usage_fit_add(&fits->idle, hosts, measure(&bench, seconds, 0));
 	usage_fit_add(&fits->busy, hosts, measure(&bench, seconds, 0.2));
 	measure(&bench, seconds, 2);
 	measure(&bench, seconds, 20);
-	crowd_set_changes(bench.crowd, 0);
+	fake_peers_set_changes(bench.peers, 0);
 	call_services(&bench);
 	printf("hosts %d: resident with %d services' configuration %.2f MiB, "
 	       "and all members %.2f MiB, and all services called %.2f MiB\n",
@@ -244,12 +244,12 @@
 	fflush(stdout);
 	usage_fit_add(&fits->config, hosts, config_mib);
 	usage_fit_add(&fits->members, hosts, members_mib);
-	usage_fit_add(&fits->whole, hosts, rss_mib(&bench));
+	usage_fit_add(&fits->with_services, hosts, rss_mib(&bench));
 	list_hosts(&bench, fits);
 	printf("hosts %d: resident after the list %.2f MiB\n", hosts,
 	       rss_mib(&bench));
 	fflush(stdout);
-	crowd_destroy(bench.crowd);
+	fake_peers_destroy(bench.peers);
 	rig_destroy(bench.rig);
 }
 
@@ -263,15 +263,17 @@
 		return 2;
 	}
 	for (int i = 2; i < argc; i++)
-		run_size(MAX(atoi(argv[i]), CROWD_LARGE_HOSTS * 2), seconds,
-			 &fits);
-	usage_fit_print(&fits.config, "MiB with the configuration", FULL_SIZE);
-	usage_fit_print(&fits.members, "MiB with the members", FULL_SIZE);
-	usage_fit_print(&fits.whole, "MiB with the services", FULL_SIZE);
-	usage_fit_print(&fits.join, "s to join", FULL_SIZE);
-	usage_fit_print(&fits.rest, "percent of a core at rest", FULL_SIZE);
+		run_size(MAX(atoi(argv[i]), FAKE_PEERS_LARGE_HOSTS * 2),
+			 seconds, &fits);
+	usage_fit_print(&fits.config, "MiB with the configuration",
+			DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.members, "MiB with the members", DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.with_services, "MiB with the services",
+			DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.join, "s to join", DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.idle, "percent of a core at rest", DEPLOYMENT_SIZE);
 	usage_fit_print(&fits.busy, "percent of a core at 0.2 changes/s",
-			FULL_SIZE);
-	usage_fit_print(&fits.list, "ms for a page of hosts", FULL_SIZE);
+			DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.list, "ms for a page of hosts", DEPLOYMENT_SIZE);
 	return 0;
 }
--- a/bench/capacity/bench_depth.c
+++ b/bench/capacity/bench_depth.c
@@ -33,7 +33,7 @@
 	unsigned int layers;
 	struct retry retry[LAYERS_MAX];
 	struct random_state random;
-	uint64_t lowest;
+	uint64_t lowest_calls;
 	int64_t now_us;
 };
 
@@ -62,7 +62,7 @@
 	unsigned int attempts = 0;
 
 	if (depth == bench->layers) {
-		bench->lowest++;
+		bench->lowest_calls++;
 		return;
 	}
 	retry_note_request(&bench->retry[depth], 0);
@@ -95,8 +95,8 @@
 	}
 	printf("layers %u: %.2f calls at the lowest for one at the top, %.0f "
 	       "without regard to depth; %.0f ms of 2000 remain\n",
-	       layers, (double)bench->lowest / CALLS, pow(ATTEMPTS, layers),
-	       remaining_ms(layers));
+	       layers, (double)bench->lowest_calls / CALLS,
+	       pow(ATTEMPTS, layers), remaining_ms(layers));
 	g_free(bench);
 }
 
--- a/bench/capacity/bench_links.c
+++ b/bench/capacity/bench_links.c
@@ -27,7 +27,7 @@
 
 #define FRAMES 20
 #define FRAME_BYTES 1000
-#define FULL_SIZE 1264 /* see docs/CAPACITY.md */
+#define DEPLOYMENT_SIZE 1264 /* see docs/CAPACITY.md */
 
 struct end {
 	struct settings settings;
@@ -177,7 +177,7 @@
 	for (int i = 1; i < argc; i++)
 		run_size((size_t)CLAMP(atoi(argv[i]), 1, 3000), &resident,
 			 &allocated);
-	usage_fit_print(&resident, "MiB resident, both ends", FULL_SIZE);
-	usage_fit_print(&allocated, "MiB allocated, both ends", FULL_SIZE);
+	usage_fit_print(&resident, "MiB resident, both ends", DEPLOYMENT_SIZE);
+	usage_fit_print(&allocated, "MiB allocated, both ends", DEPLOYMENT_SIZE);
 	return 0;
 }
--- a/bench/capacity/bench_lost.c
+++ b/bench/capacity/bench_lost.c
@@ -28,7 +28,7 @@
 #include "common/log.h"
 #include "common/socket.h"
 
-#define FULL_SIZE 4096 /* callers' connections at most, by the settings */
+#define DEPLOYMENT_SIZE 4096 /* callers' connections at most, by the settings */
 #define LOST_SHARE 10
 
 struct bench {
@@ -189,6 +189,6 @@
 	log_init(LOG_FORMAT_NONE, "bench");
 	for (int i = 1; i < argc; i++)
 		run_size((size_t)MAX(atoi(argv[i]), LOST_SHARE), &fit);
-	usage_fit_print(&fit, "us for each call lost", FULL_SIZE);
+	usage_fit_print(&fit, "us for each call lost", DEPLOYMENT_SIZE);
 	return 0;
 }
--- a/bench/capacity/bench_routes.c
+++ b/bench/capacity/bench_routes.c
@@ -65,9 +65,9 @@
 	double adopt_ms;
 };
 
-static void take(struct platform_manifest_reader *reader,
-		 struct config_store *store, int routes, int version,
-		 struct cost *cost)
+static void adopt_version(struct platform_manifest_reader *reader,
+			  struct config_store *store, int routes, int version,
+			  struct cost *cost)
 {
 	char *text = make_manifest(routes, version);
 	const char *error = NULL;
@@ -169,9 +169,9 @@
 	struct cost sum = {0};
 	size_t kept;
 
-	take(reader, store, routes, 1, &first);
+	adopt_version(reader, store, routes, 1, &first);
 	for (int version = 2; version < 2 + ROUNDS; version++) {
-		take(reader, store, routes, version, &next);
+		adopt_version(reader, store, routes, version, &next);
 		sum.read_ms += next.read_ms / ROUNDS;
 		sum.adopt_ms += next.adopt_ms / ROUNDS;
 	}
--- a/bench/capacity/bench_services.c
+++ b/bench/capacity/bench_services.c
@@ -29,7 +29,7 @@
 #define ROUNDS 20000
 #define TICKS 100
 #define LATER_US (60 * US_PER_S)
-#define FULL_SIZE 22000
+#define DEPLOYMENT_SIZE 22000
 
 struct bench {
 	struct settings settings;
@@ -182,8 +182,9 @@
 	for (int i = 1; i < argc; i++)
 		run_size(MAX(atoi(argv[i]), LARGE_HOSTS * 2), &changed, &found,
 			 &tick);
-	usage_fit_print(&changed, "us a change", FULL_SIZE);
-	usage_fit_print(&found, "us a service found after a change", FULL_SIZE);
-	usage_fit_print(&tick, "us a tick, all in use", FULL_SIZE);
+	usage_fit_print(&changed, "us a change", DEPLOYMENT_SIZE);
+	usage_fit_print(&found, "us a service found after a change",
+			DEPLOYMENT_SIZE);
+	usage_fit_print(&tick, "us a tick, all in use", DEPLOYMENT_SIZE);
 	return 0;
 }
--- a/bench/config_spread.c
+++ b/bench/config_spread.c
@@ -19,9 +19,9 @@
 
 #define IN_FORCE_MS 30000
 #define JOINED_MS 60000
-#define REST_S 10
+#define IDLE_S 10
 #define DOMAINS 4
-#define CHANGING "t" /* the namespace */
+#define CHANGED_NAMESPACE "t" /* the namespace */
 
 static const char *const domains[DOMAINS] = {"hall-esja", "hall-katla",
 					     "hall-hekla", "hall-askja"};
@@ -34,8 +34,8 @@
 	const char *key_file;
 	uint64_t head;
 	uint64_t version; /* of the namespace that changes */
-	GArray *after_us; /* int64_t: adoption, from the sending of the apply */
-	GArray *last_us; /* the last one of each change */
+	GArray *adoption_us; /* int64_t: adoption, from the sending of the apply */
+	GArray *last_adoption_us; /* the last one of each change */
 };
 
 /* Sums over all daemons. */
@@ -95,7 +95,7 @@
 	return true;
 }
 
-static bool all_hold(void *data)
+static bool all_have_head(void *data)
 {
 	const struct bench *bench = data;
 
@@ -152,7 +152,7 @@
 	g_free(text);
 }
 
-static struct totals take_totals(const struct bench *bench)
+static struct totals read_totals(const struct bench *bench)
 {
 	struct totals totals = {0};
 
@@ -194,7 +194,7 @@
 static int64_t adopted_us(const struct rig_process *daemon, uint64_t version)
 {
 	char *log = rig_read_log(daemon);
-	char *wanted = g_strdup_printf("\"namespace\":\"" CHANGING
+	char *wanted = g_strdup_printf("\"namespace\":\"" CHANGED_NAMESPACE
 				       "\",\"version\":%" G_GUINT64_FORMAT,
 				       version);
 	char **lines = g_strsplit(log, "\n", -1);
@@ -213,18 +213,18 @@
 	return at_us;
 }
 
-static void note_times(struct bench *bench, int64_t sent_us)
+static void record_adoption_times(struct bench *bench, int64_t sent_us)
 {
-	int64_t last_us = 0;
+	int64_t last_adoption_us = 0;
 
 	for (unsigned int i = 0; i < bench->count; i++) {
-		int64_t after_us =
+		int64_t adoption_us =
 			adopted_us(bench->daemons[i], bench->version) - sent_us;
 
-		g_array_append_val(bench->after_us, after_us);
-		last_us = MAX(last_us, after_us);
+		g_array_append_val(bench->adoption_us, adoption_us);
+		last_adoption_us = MAX(last_adoption_us, adoption_us);
 	}
-	g_array_append_val(bench->last_us, last_us);
+	g_array_append_val(bench->last_adoption_us, last_adoption_us);
 }
 
 static void apply(struct bench *bench, const char *name, uint64_t base)
@@ -240,9 +240,9 @@
 	g_free(text);
 }
 
-static void wait_everywhere(struct bench *bench)
+static void wait_in_force(struct bench *bench)
 {
-	if (!rig_wait_until(all_hold, bench, IN_FORCE_MS))
+	if (!rig_wait_until(all_have_head, bench, IN_FORCE_MS))
 		g_error("not everywhere in time");
 }
 
@@ -250,9 +250,9 @@
 {
 	int64_t sent_us = g_get_real_time();
 
-	apply(bench, CHANGING, bench->version++);
-	wait_everywhere(bench);
-	note_times(bench, sent_us);
+	apply(bench, CHANGED_NAMESPACE, bench->version++);
+	wait_in_force(bench);
+	record_adoption_times(bench, sent_us);
 }
 
 static void apply_others(struct bench *bench, int count)
@@ -263,7 +263,7 @@
 		apply(bench, name, 0);
 		g_free(name);
 	}
-	wait_everywhere(bench);
+	wait_in_force(bench);
 }
 
 static gint compare(gconstpointer a, gconstpointer b)
@@ -306,7 +306,7 @@
 
 static void run_changes(struct bench *bench, int changes)
 {
-	struct totals before = take_totals(bench);
+	struct totals before = read_totals(bench);
 	int64_t began_us = g_get_monotonic_time();
 	struct totals after;
 	double seconds;
@@ -314,29 +314,30 @@
 	for (int i = 0; i < changes; i++)
 		change(bench);
 	seconds = (double)(g_get_monotonic_time() - began_us) / 1e6;
-	after = take_totals(bench);
-	g_array_sort(bench->after_us, compare);
-	g_array_sort(bench->last_us, compare);
+	after = read_totals(bench);
+	g_array_sort(bench->adoption_us, compare);
+	g_array_sort(bench->last_adoption_us, compare);
 	printf("%u daemons, %" G_GUINT64_FORMAT " namespaces, %d changes: "
 	       "adopted after p50 %.0f ms, p99 %.0f "
 	       "ms, "
 	       "all after p50 %.0f ms, most %.0f ms; resident %.1f MB each\n",
 	       bench->count, bench->head - bench->version + 1, changes,
-	       quantile_ms(bench->after_us, 0.5),
-	       quantile_ms(bench->after_us, 0.99),
-	       quantile_ms(bench->last_us, 0.5), quantile_ms(bench->last_us, 1.0),
+	       quantile_ms(bench->adoption_us, 0.5),
+	       quantile_ms(bench->adoption_us, 0.99),
+	       quantile_ms(bench->last_adoption_us, 0.5),
+	       quantile_ms(bench->last_adoption_us, 1.0),
 	       (double)after.rss_kb / 1024.0 / bench->count);
 	print_costs(bench, &before, &after, seconds, "with changes");
 }
 
-static void run_rest(struct bench *bench)
+static void measure_idle_costs(struct bench *bench)
 {
-	struct totals before = take_totals(bench);
+	struct totals before = read_totals(bench);
 	struct totals after;
 
-	rig_sleep_ms(REST_S * 1000);
-	after = take_totals(bench);
-	print_costs(bench, &before, &after, REST_S, "at rest");
+	rig_sleep_ms(IDLE_S * 1000);
+	after = read_totals(bench);
+	print_costs(bench, &before, &after, IDLE_S, "at rest");
 }
 
 static void run_with(unsigned int count, int namespaces, int changes)
@@ -345,8 +346,8 @@
 
 	bench.rig = rig_create();
 	bench.daemons = g_new0(struct rig_process *, count);
-	bench.after_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	bench.last_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	bench.adoption_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	bench.last_adoption_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	bench.key_file = rig_write_file(bench.rig, "key", "for the bench only");
 	bench.platform = rig_start_standin(
 		bench.rig, "standin/platform/standin-platform", NULL);
@@ -355,11 +356,11 @@
 	if (!rig_wait_until(all_joined, &bench, JOINED_MS))
 		g_error("not all have joined in time");
 	apply_others(&bench, namespaces - 1);
-	run_rest(&bench);
+	measure_idle_costs(&bench);
 	run_changes(&bench, changes);
 	fflush(stdout);
-	g_array_unref(bench.last_us);
-	g_array_unref(bench.after_us);
+	g_array_unref(bench.last_adoption_us);
+	g_array_unref(bench.adoption_us);
 	g_free(bench.daemons);
 	rig_destroy(bench.rig);
 }
--- a/bench/decide/call.c
+++ b/bench/decide/call.c
@@ -77,7 +77,7 @@
 
 static uint32_t call_work_attempts(const struct replay_call *call)
 {
-	return call->attempts - call->busy - call->unheard;
+	return call->attempts - call->busy - call->uncounted;
 }
 
 static uint32_t call_most_attempts(const struct replay *r)
@@ -250,9 +250,9 @@
  * room at the time. */
 static bool call_return_to_busy(struct replay_call *call)
 {
-	if (call->returns || call->tried_busy.count == 0)
+	if (call->has_returned_to_busy || call->tried_busy.count == 0)
 		return false;
-	call->returns = true;
+	call->has_returned_to_busy = true;
 	pick_tried_forget(&call->tried, &call->tried_busy);
 	return true;
 }
@@ -277,7 +277,8 @@
 	}
 	may_queue = !replay_has(r, REPLAY_BUSY) ||
 		    pick_may_queue(&entry->set, c, &call->tried,
-				   call->returns || call->busy >= RETRY_BUSY_MAX,
+				   call->has_returned_to_busy ||
+					   call->busy >= RETRY_BUSY_MAX,
 				   r->events.now_us);
 	call_send(r, call, false, may_queue, c);
 }
@@ -291,7 +292,7 @@
 	struct retry_answer answer;
 
 	call->busy += busy;
-	call->unheard += !busy && !retry_counts(outcome);
+	call->uncounted += !busy && !retry_counts(outcome);
 	call_fill_retry_question(r, call, outcome, &question);
 	question.retry_after_us = retry_after_us;
 	if ((busy || !retry_counts(outcome)) && question.untried == 0 &&
--- a/bench/decide/central.c
+++ b/bench/decide/central.c
@@ -54,7 +54,7 @@
 	return best;
 }
 
-static void handle_told(void *replay, void *data)
+static void handle_outcome(void *replay, void *data)
 {
 	struct replay_attempt *attempt = data;
 
@@ -64,12 +64,12 @@
 		replay_note_not_run(replay, attempt->call);
 }
 
-static void tell(struct replay *r, struct replay_attempt *attempt,
-		 enum retry_outcome outcome)
+static void send_outcome(struct replay *r, struct replay_attempt *attempt,
+			 enum retry_outcome outcome)
 {
 	attempt->outcome = outcome;
 	attempt->call->refused_us = r->events.now_us;
-	replay_after(r, r->trace->delay_us, handle_told, attempt);
+	replay_after(r, r->trace->delay_us, handle_outcome, attempt);
 }
 
 static void start_waiting(struct replay *r);
@@ -85,7 +85,7 @@
 			now_us - attempt->started_us);
 	replay_note_run(r, attempt,
 			now_us + r->trace->delay_us <= attempt->call->deadline_us);
-	tell(r, attempt, RETRY_OUTCOME_ANSWERED);
+	send_outcome(r, attempt, RETRY_OUTCOME_ANSWERED);
 	start_waiting(r);
 }
 
@@ -115,12 +115,12 @@
 		if (verdict == QUEUE_ACCEPTED)
 			start(r, (struct replay_attempt *)item, owner);
 		else
-			tell(r, (struct replay_attempt *)item,
-			     RETRY_OUTCOME_OVERLOAD);
+			send_outcome(r, (struct replay_attempt *)item,
+				     RETRY_OUTCOME_OVERLOAD);
 	}
 }
 
-void replay_central_turn(struct replay *r)
+void replay_central_dispatch(struct replay *r)
 {
 	start_waiting(r);
 }
@@ -136,5 +136,5 @@
 			&retry_after_ms) == QUEUE_ACCEPTED)
 		start_waiting(r);
 	else
-		tell(r, attempt, RETRY_OUTCOME_OVERLOAD);
+		send_outcome(r, attempt, RETRY_OUTCOME_OVERLOAD);
 }
--- a/bench/decide/table.c
+++ b/bench/decide/doc_tables.c
@@ -1,4 +1,4 @@
-#include "bench/decide/table.h"
+#include "bench/decide/doc_tables.h"
 
 #include <glib.h>
 #include <stdio.h>
@@ -14,8 +14,8 @@
 #define SEED 1
 #define MANY_ENTRIES 500
 #define US_PER_SECOND INT64_C(1000000)
-#define CHOSEN "least-score+all"
-#define SPELLS "slow-spells"
+#define DEFAULT_POLICY "least-score+all"
+#define SLOW_SPELLS "slow-spells"
 
 struct pattern {
 	const char *title;
@@ -40,10 +40,10 @@
 	{"overload 3 for 10 s", "overload", 3, 14, 1},
 	{"cold start of one, 0.8", "cold-start", 0.8, 6, 1},
 	{"nearly idle, 0.0005", "steady", 0.0005, 60, 1},
-	{"slow spells, 0.23", SPELLS, 0.23, 30, 0},
-	{"slow spells, 0.46", SPELLS, 0.46, 30, 0},
-	{"slow spells, 0.58", SPELLS, 0.58, 30, 0},
-	{"slow spells, 0.7", SPELLS, 0.7, 30, 0},
+	{"slow spells, 0.23", SLOW_SPELLS, 0.23, 30, 0},
+	{"slow spells, 0.46", SLOW_SPELLS, 0.46, 30, 0},
+	{"slow spells, 0.58", SLOW_SPELLS, 0.58, 30, 0},
+	{"slow spells, 0.7", SLOW_SPELLS, 0.7, 30, 0},
 };
 
 static const char *const policies[] = {
@@ -55,22 +55,24 @@
 	"random+all",
 	"least-outstanding+all",
 	"two-choices+all",
-	CHOSEN,
+	DEFAULT_POLICY,
 };
 
 /* The chosen one less a module at a time; with many entries only. */
-static const char *const without[] = {
-	CHOSEN "+no-busy",  CHOSEN "+no-health",   CHOSEN "+no-limit",
-	CHOSEN "+no-queue", CHOSEN "+no-fair",	   CHOSEN "+no-retry",
-	CHOSEN "+no-hedge", CHOSEN "+no-deadline", CHOSEN "+no-warm",
+static const char *const ablations[] = {
+	DEFAULT_POLICY "+no-busy",  DEFAULT_POLICY "+no-health",
+	DEFAULT_POLICY "+no-limit", DEFAULT_POLICY "+no-queue",
+	DEFAULT_POLICY "+no-fair",  DEFAULT_POLICY "+no-retry",
+	DEFAULT_POLICY "+no-hedge", DEFAULT_POLICY "+no-deadline",
+	DEFAULT_POLICY "+no-warm",
 };
 
 /* In slow spells. */
-static const char *const without_pace[] = {
+static const char *const pace_ablations[] = {
 	"random+all+no-pace",
-	CHOSEN "+no-pace",
-	CHOSEN "+no-tell",
-	CHOSEN "+no-rejudge",
+	DEFAULT_POLICY "+no-pace",
+	DEFAULT_POLICY "+no-tell",
+	DEFAULT_POLICY "+no-rejudge",
 };
 
 static const char *const shapes[] = {"lookup-desk", "reservas"};
@@ -86,7 +88,7 @@
 
 static bool has_spells(const struct table *table)
 {
-	return strcmp(table->pattern->kind, SPELLS) == 0;
+	return strcmp(table->pattern->kind, SLOW_SPELLS) == 0;
 }
 
 static void page_head(struct table *table)
@@ -140,11 +142,11 @@
 		page_head(table);
 	for (size_t i = 0; i < G_N_ELEMENTS(policies); i++)
 		table_replay(table, policies[i]);
-	for (size_t i = 0; many && i < G_N_ELEMENTS(without); i++)
-		table_replay(table, without[i]);
-	for (size_t i = 0; has_spells(table) && i < G_N_ELEMENTS(without_pace);
-	     i++)
-		table_replay(table, without_pace[i]);
+	for (size_t i = 0; many && i < G_N_ELEMENTS(ablations); i++)
+		table_replay(table, ablations[i]);
+	for (size_t i = 0;
+	     has_spells(table) && i < G_N_ELEMENTS(pace_ablations); i++)
+		table_replay(table, pace_ablations[i]);
 }
 
 static void table_pattern(struct table *table, uint32_t entry_count)
@@ -213,7 +215,7 @@
 	return good;
 }
 
-bool table_write(void)
+bool doc_tables_write(void)
 {
 	struct table table = {.raw = fopen(RAW, "we")};
 	bool good;
--- a/bench/decide/entry.c
+++ b/bench/decide/entry.c
@@ -46,8 +46,8 @@
 	return &r->entries[call->trace->entry];
 }
 
-static void tell_pick(struct replay *r, struct replay_entry *entry,
-		      const struct replay_attempt *attempt)
+static void update_pick(struct replay *r, struct replay_entry *entry,
+			const struct replay_attempt *attempt)
 {
 	struct pick_candidate *c = &entry->candidates[attempt->upstream];
 	int64_t now_us = r->events.now_us;
@@ -70,8 +70,8 @@
 		deadline_path_note(&entry->paths[attempt->upstream], latency_us);
 }
 
-static void tell_health(struct replay *r, struct replay_entry *entry,
-			const struct replay_attempt *attempt, bool timed_out)
+static void update_health(struct replay *r, struct replay_entry *entry,
+			  const struct replay_attempt *attempt, bool timed_out)
 {
 	struct health_upstream *upstream = &entry->upstreams[attempt->upstream];
 	enum health_outcome outcome = attempt->error ? HEALTH_ERROR : HEALTH_OK;
@@ -105,8 +105,8 @@
 	struct replay_call *call = attempt->call;
 	struct replay_entry *entry = replay_entry_of(r, call);
 
-	tell_pick(r, entry, attempt);
-	tell_health(r, entry, attempt, timed_out);
+	update_pick(r, entry, attempt);
+	update_health(r, entry, attempt, timed_out);
 	call->active[attempt->is_hedge] = NULL;
 }
 
--- a/bench/decide/events.c
+++ b/bench/decide/events.c
@@ -22,10 +22,10 @@
 	*item_at(events, b) = item;
 }
 
-void events_init(struct events *events, void *owner)
+void events_init(struct events *events, void *context)
 {
 	memset(events, 0, sizeof(*events));
-	events->owner = owner;
+	events->context = context;
 	events->heap = g_array_new(FALSE, FALSE, sizeof(struct event_item));
 }
 
@@ -35,7 +35,7 @@
 }
 
 void events_add(struct events *events, int64_t at_us,
-		void (*handle)(void *owner, void *data), void *data)
+		void (*handle)(void *context, void *data), void *data)
 {
 	struct event_item item = {at_us, events->added++, handle, data};
 	guint i = events->heap->len;
@@ -48,7 +48,7 @@
 	}
 }
 
-static void sink_first(struct events *events)
+static void sift_down(struct events *events)
 {
 	guint len = events->heap->len;
 	guint i = 0;
@@ -75,8 +75,8 @@
 
 		swap(events, 0, events->heap->len - 1);
 		g_array_set_size(events->heap, events->heap->len - 1);
-		sink_first(events);
+		sift_down(events);
 		events->now_us = item.at_us;
-		item.handle(events->owner, item.data);
+		item.handle(events->context, item.data);
 	}
 }
--- a/bench/decide/gate.c
+++ b/bench/decide/gate.c
@@ -32,7 +32,7 @@
 	return true;
 }
 
-static void tell_entries(struct replay *r, const struct replay_owner *owner)
+static void send_load_reports(struct replay *r, const struct replay_owner *owner)
 {
 	uint32_t upstream = (uint32_t)(owner - r->owners);
 
@@ -62,7 +62,7 @@
 		return;
 	if (pace_note(&owner->pace, percent, r->events.now_us) &&
 	    replay_has(r, REPLAY_TELL))
-		tell_entries(r, owner);
+		send_load_reports(r, owner);
 }
 
 static void handle_gauge(void *replay, void *data)
--- a/bench/decide/generate.c
+++ b/bench/decide/generate.c
@@ -12,7 +12,7 @@
 #define LONG_SHARE 0.005
 #define SLOW_FACTOR 10.0
 /* Changes begin after a second of quiet, in which everything is learned. */
-#define CHANGE_US ((int64_t)1000 * 1000)
+#define CHANGE_START_US ((int64_t)1000 * 1000)
 #define BURST_US ((int64_t)200 * 1000)
 #define BURST_FACTOR 10.0
 #define OVERLOAD_US ((int64_t)10 * 1000 * 1000)
@@ -20,21 +20,21 @@
 #define QUIET_LOAD 0.5
 #define HOT_SHARE (2.0 / 3.0)
 /* One call in so many is not idempotent. */
-#define POST_TURN 10
+#define CALLS_PER_POST 10
 #define WARM_MS 3000
 /* An entry tells a slow upstream by its answers; judged from here on. */
 #define SLOW_SETTLED_US ((int64_t)200 * 1000)
 
 /* Of work that is neither short nor long, around its mean. */
-#define USUAL_LEAST 0.7
+#define USUAL_MIN 0.7
 #define USUAL_SPREAD 0.6
 /* A spell's length, and how often one begins in place of a quick time. */
 #define SPELL_US ((int64_t)500 * 1000)
 #define SPELL_SHARE 0.28
 #define SPELL_FACTOR 7.0
 /* Of the mean work. */
-#define TARGET_TIMES 3.0
-#define DEADLINE_TIMES 8.0
+#define TARGET_FACTOR 3.0
+#define DEADLINE_FACTOR 8.0
 /* Two calls in nine are not idempotent, as in the users' deployments. */
 #define SPELL_POST_SHARE (2.0 / 9.0)
 
@@ -66,7 +66,7 @@
 	return exponential(&g->random, MEAN_WORK_US);
 }
 
-static double work_long_among_short(struct generator *g)
+static double work_bimodal(struct generator *g)
 {
 	if (random_unit(&g->random) < LONG_SHARE)
 		return LONG_WORK_US;
@@ -77,7 +77,7 @@
 {
 	double mean = (double)g->trace->usual_work_us;
 
-	return mean * (USUAL_LEAST + USUAL_SPREAD * random_unit(&g->random));
+	return mean * (USUAL_MIN + USUAL_SPREAD * random_unit(&g->random));
 }
 
 static double rate_steady(const struct generator *g, int64_t at_us)
@@ -89,21 +89,23 @@
 
 static double rate_burst(const struct generator *g, int64_t at_us)
 {
-	bool rush = at_us >= CHANGE_US && at_us < CHANGE_US + BURST_US;
+	bool in_surge =
+		at_us >= CHANGE_START_US && at_us < CHANGE_START_US + BURST_US;
 
 	(void)g;
-	return rush ? BURST_FACTOR : 1.0;
+	return in_surge ? BURST_FACTOR : 1.0;
 }
 
 /* Too much for ten seconds, quiet around them. */
 static double rate_overload(const struct generator *g, int64_t at_us)
 {
-	bool rush = at_us >= CHANGE_US && at_us < CHANGE_US + OVERLOAD_US;
+	bool in_surge = at_us >= CHANGE_START_US &&
+			at_us < CHANGE_START_US + OVERLOAD_US;
 
-	return rush ? 1.0 : QUIET_LOAD / g->plan->load;
+	return in_surge ? 1.0 : QUIET_LOAD / g->plan->load;
 }
 
-static uint32_t caller_any(struct generator *g)
+static uint32_t caller_uniform(struct generator *g)
 {
 	return (uint32_t)random_below(&g->random, CALLERS);
 }
@@ -116,7 +118,7 @@
 	return 1 + (uint32_t)random_below(&g->random, CALLERS - 1);
 }
 
-static uint32_t entry_any(struct generator *g, uint32_t caller)
+static uint32_t entry_uniform(struct generator *g, uint32_t caller)
 {
 	(void)caller;
 	return (uint32_t)random_below(&g->random, g->trace->entries);
@@ -125,7 +127,7 @@
 /* A hot caller calls by one entry; a hot key comes from everywhere. */
 static uint32_t entry_of_caller(struct generator *g, uint32_t caller)
 {
-	return caller == 0 ? 0 : entry_any(g, caller);
+	return caller == 0 ? 0 : entry_uniform(g, caller);
 }
 
 static void changes_none(struct generator *g)
@@ -141,41 +143,42 @@
 
 static void changes_one_slow(struct generator *g)
 {
-	struct trace_speed slow = {CHANGE_US, 0, SLOW_FACTOR};
+	struct trace_speed slow = {CHANGE_START_US, 0, SLOW_FACTOR};
 	struct trace_speed again = {change_end_us(g), 0, 1.0};
 
 	g_array_append_val(g->trace->speeds, slow);
 	g_array_append_val(g->trace->speeds, again);
-	g->trace->judge_from_us = CHANGE_US + SLOW_SETTLED_US;
+	g->trace->judge_from_us = CHANGE_START_US + SLOW_SETTLED_US;
 	g->trace->judge_until_us = change_end_us(g);
 }
 
 /* The same calls and window, and nothing changes. */
 static void changes_none_judged(struct generator *g)
 {
-	g->trace->judge_from_us = CHANGE_US + SLOW_SETTLED_US;
+	g->trace->judge_from_us = CHANGE_START_US + SLOW_SETTLED_US;
 	g->trace->judge_until_us = change_end_us(g);
 }
 
 static void changes_overload(struct generator *g)
 {
-	g->trace->judge_from_us = CHANGE_US;
-	g->trace->judge_until_us = CHANGE_US + OVERLOAD_US;
-	g->trace->recover_from_us = CHANGE_US + OVERLOAD_US + SLOW_SETTLED_US;
+	g->trace->judge_from_us = CHANGE_START_US;
+	g->trace->judge_until_us = CHANGE_START_US + OVERLOAD_US;
+	g->trace->recover_from_us =
+		CHANGE_START_US + OVERLOAD_US + SLOW_SETTLED_US;
 }
 
 static void changes_cold(struct generator *g)
 {
-	struct trace_start start = {CHANGE_US, 0, WARM_MS};
+	struct trace_start start = {CHANGE_START_US, 0, WARM_MS};
 
 	g_array_append_val(g->trace->starts, start);
-	g->trace->judge_from_us = CHANGE_US;
-	g->trace->judge_until_us = CHANGE_US + WARM_MS * (int64_t)1000;
+	g->trace->judge_from_us = CHANGE_START_US;
+	g->trace->judge_until_us = CHANGE_START_US + WARM_MS * (int64_t)1000;
 }
 
 static void add_fault(struct generator *g, enum trace_fault_kind kind)
 {
-	struct trace_fault begin = {CHANGE_US, 0, kind};
+	struct trace_fault begin = {CHANGE_START_US, 0, kind};
 	struct trace_fault end = {change_end_us(g), 0, TRACE_FAULT_NONE};
 
 	g_array_append_val(g->trace->faults, begin);
@@ -196,7 +199,7 @@
  * speed is learned. */
 static void add_spells(struct generator *g, uint32_t upstream)
 {
-	int64_t at_us = CHANGE_US +
+	int64_t at_us = CHANGE_START_US +
 			(int64_t)random_below(&g->random, (uint64_t)SPELL_US);
 
 	for (; at_us < g->length_us; at_us += SPELL_US) {
@@ -214,37 +217,37 @@
 	double usual_us = (double)trace->usual_work_us;
 
 	trace->tells_pace = 1;
-	trace->target_us = (int64_t)(TARGET_TIMES * usual_us);
-	trace->deadline_us = (int64_t)(DEADLINE_TIMES * usual_us);
-	trace->judge_from_us = CHANGE_US + SPELL_US;
+	trace->target_us = (int64_t)(TARGET_FACTOR * usual_us);
+	trace->deadline_us = (int64_t)(DEADLINE_FACTOR * usual_us);
+	trace->judge_from_us = CHANGE_START_US + SPELL_US;
 	trace->judge_until_us = g->length_us - trace->deadline_us;
 	for (uint32_t i = 0; i < trace->upstreams; i++)
 		add_spells(g, i);
 }
 
 static const struct kind kinds[] = {
-	{"steady", MEAN_WORK_US, work_exponential, rate_steady, caller_any,
-	 entry_any, changes_none_judged},
-	{"burst", MEAN_WORK_US, work_exponential, rate_burst, caller_any,
-	 entry_any, changes_none},
+	{"steady", MEAN_WORK_US, work_exponential, rate_steady, caller_uniform,
+	 entry_uniform, changes_none_judged},
+	{"burst", MEAN_WORK_US, work_exponential, rate_burst, caller_uniform,
+	 entry_uniform, changes_none},
 	{"hot-caller", MEAN_WORK_US, work_exponential, rate_steady, caller_hot,
 	 entry_of_caller, changes_none_judged},
 	{"hot-key", MEAN_WORK_US, work_exponential, rate_steady, caller_hot,
-	 entry_any, changes_none_judged},
+	 entry_uniform, changes_none_judged},
 	{"slow-upstream", MEAN_WORK_US, work_exponential, rate_steady,
-	 caller_any, entry_any, changes_one_slow},
-	{"fail-fast", MEAN_WORK_US, work_exponential, rate_steady, caller_any,
-	 entry_any, changes_fail_fast},
-	{"black-hole", MEAN_WORK_US, work_exponential, rate_steady, caller_any,
-	 entry_any, changes_black_hole},
-	{"long-jobs", SHORT_WORK_US + LONG_SHARE *LONG_WORK_US,
-	 work_long_among_short, rate_steady, caller_any, entry_any, changes_none},
-	{"overload", MEAN_WORK_US, work_exponential, rate_overload, caller_any,
-	 entry_any, changes_overload},
-	{"cold-start", MEAN_WORK_US, work_exponential, rate_steady, caller_any,
-	 entry_any, changes_cold},
-	{"slow-spells", 0, work_usual, rate_steady, caller_any, entry_any,
-	 changes_spells},
+	 caller_uniform, entry_uniform, changes_one_slow},
+	{"fail-fast", MEAN_WORK_US, work_exponential, rate_steady,
+	 caller_uniform, entry_uniform, changes_fail_fast},
+	{"black-hole", MEAN_WORK_US, work_exponential, rate_steady,
+	 caller_uniform, entry_uniform, changes_black_hole},
+	{"long-jobs", SHORT_WORK_US + LONG_SHARE *LONG_WORK_US, work_bimodal,
+	 rate_steady, caller_uniform, entry_uniform, changes_none},
+	{"overload", MEAN_WORK_US, work_exponential, rate_overload,
+	 caller_uniform, entry_uniform, changes_overload},
+	{"cold-start", MEAN_WORK_US, work_exponential, rate_steady,
+	 caller_uniform, entry_uniform, changes_cold},
+	{"slow-spells", 0, work_usual, rate_steady, caller_uniform,
+	 entry_uniform, changes_spells},
 };
 
 const char *trace_kinds(void)
@@ -273,7 +276,7 @@
 {
 	if (g->trace->target_us)
 		return random_unit(&g->random) >= SPELL_POST_SHARE;
-	return number % POST_TURN != 0;
+	return number % CALLS_PER_POST != 0;
 }
 
 static void add_calls(struct generator *g, const struct kind *kind)
--- a/bench/decide/main.c
+++ b/bench/decide/main.c
@@ -2,10 +2,10 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "bench/decide/doc_tables.h"
 #include "bench/decide/outcome.h"
 #include "bench/decide/replay.h"
 #include "bench/decide/row.h"
-#include "bench/decide/table.h"
 
 static const char *const compared[] = {
 	"one-queue",	   "random+all",
@@ -139,7 +139,7 @@
 
 	if (!parse(&argc, &argv))
 		return EXIT_FAILURE;
-	good = write_table ? table_write() : run();
+	good = write_table ? doc_tables_write() : run();
 	g_strfreev(policies);
 	g_free(kind);
 	g_free(path);
--- a/bench/decide/owner.c
+++ b/bench/decide/owner.c
@@ -9,9 +9,9 @@
 #define PROBE_PERMILLE 5
 
 /* An owner without the queue module has a list without bound. */
-#define LIST_ITEMS UINT32_MAX
+#define UNBOUNDED_ITEMS UINT32_MAX
 
-static void owner_turn(struct replay *r, struct replay_owner *owner);
+static void owner_dispatch(struct replay *r, struct replay_owner *owner);
 
 void replay_owner_init(struct replay *r, struct replay_owner *owner)
 {
@@ -20,7 +20,7 @@
 		.policy = bounded ? &queue_by_deadline : &queue_fifo,
 		.fair = replay_has(r, REPLAY_FAIR),
 		.seed = random_u64(&r->random),
-		.max_items = bounded ? 0 : LIST_ITEMS,
+		.max_items = bounded ? 0 : UNBOUNDED_ITEMS,
 	};
 
 	owner->factor = 1.0;
@@ -119,8 +119,8 @@
 }
 
 /* An upstream that was cancelled stops; its timer for the end finds it over. */
-static void owner_note_over(struct replay *r, struct replay_attempt *attempt,
-			    enum limit_outcome outcome)
+static void owner_finish_run(struct replay *r, struct replay_attempt *attempt,
+			     enum limit_outcome outcome)
 {
 	struct replay_owner *owner = owner_of(r, attempt);
 	int64_t whole_us = r->events.now_us - attempt->started_us;
@@ -152,11 +152,12 @@
 	replay_note_run(r, attempt,
 			!attempt->error && !call->closed && !attempt->dropped &&
 				at_caller_us <= call->deadline_us);
-	owner_note_over(r, attempt,
-			attempt->error ? LIMIT_OUTCOME_FAILED : LIMIT_OUTCOME_OK);
+	owner_finish_run(r, attempt,
+			 attempt->error ? LIMIT_OUTCOME_FAILED :
+					  LIMIT_OUTCOME_OK);
 	replay_gate_note(r, owner_of(r, attempt));
 	owner_answer(r, attempt, RETRY_OUTCOME_ANSWERED);
-	owner_turn(r, owner_of(r, attempt));
+	owner_dispatch(r, owner_of(r, attempt));
 }
 
 static void owner_start(struct replay *r, struct replay_attempt *attempt)
@@ -190,7 +191,7 @@
 	struct replay_owner *owner = data;
 
 	owner->stale_us = INT64_MAX;
-	owner_turn(replay, owner);
+	owner_dispatch(replay, owner);
 }
 
 static void set_stale_timer(struct replay *r, struct replay_owner *owner)
@@ -222,7 +223,7 @@
 	}
 }
 
-static void owner_turn(struct replay *r, struct replay_owner *owner)
+static void owner_dispatch(struct replay *r, struct replay_owner *owner)
 {
 	struct queue_item *item;
 
@@ -253,7 +254,7 @@
 	verdict = queue_offer(owner->queue, &attempt->item, &slots,
 			      r->events.now_us, &retry_after_ms);
 	if (verdict == QUEUE_ACCEPTED)
-		owner_turn(r, owner);
+		owner_dispatch(r, owner);
 	else
 		owner_refuse(r, attempt, verdict, retry_after_ms);
 }
@@ -274,9 +275,9 @@
 		owner_answer(r, attempt, RETRY_OUTCOME_FINAL);
 	} else if (attempt->call->trace->idempotent) {
 		replay_note_run(r, attempt, false);
-		owner_note_over(r, attempt, LIMIT_OUTCOME_CANCELLED);
+		owner_finish_run(r, attempt, LIMIT_OUTCOME_CANCELLED);
 		owner_answer(r, attempt, RETRY_OUTCOME_UNKNOWN);
-		owner_turn(r, owner);
+		owner_dispatch(r, owner);
 	}
 }
 
@@ -329,13 +330,13 @@
 }
 
 void replay_note_run(struct replay *r, const struct replay_attempt *attempt,
-		     bool of_use)
+		     bool is_useful)
 {
 	int64_t took_us = r->events.now_us - attempt->started_us;
 
 	if (!replay_is_judged(r, r->events.now_us))
 		return;
 	r->result->used_us += took_us;
-	if (!of_use)
+	if (!is_useful)
 		r->result->wasted_us += took_us;
 }
--- a/bench/decide/replay.c
+++ b/bench/decide/replay.c
@@ -145,7 +145,7 @@
 
 	r->owners[speed->upstream].factor = speed->factor;
 	if (!r->options->policy)
-		replay_central_turn(r);
+		replay_central_dispatch(r);
 }
 
 /* Slow beside another that could have begun it at once. */
--- a/bench/path/bench.c
+++ b/bench/path/bench.c
@@ -44,7 +44,7 @@
 	g_array_unref(result->latencies_us);
 }
 
-static void take_line(char *line, struct bench_result *result)
+static void parse_call_line(char *line, struct bench_result *result)
 {
 	/* id method status outcome latency_us */
 	char **parts = g_strsplit(line, " ", 6);
@@ -57,7 +57,7 @@
 	g_strfreev(parts);
 }
 
-static void take_calls(const char *path, struct bench_result *result)
+static void read_calls(const char *path, struct bench_result *result)
 {
 	char *text = NULL;
 	char **lines;
@@ -66,7 +66,7 @@
 		g_error("%s can't be read", path);
 	lines = g_strsplit(text, "\n", -1);
 	for (char **line = lines; *line; line++)
-		take_line(*line, result);
+		parse_call_line(*line, result);
 	g_strfreev(lines);
 	g_free(text);
 }
@@ -114,7 +114,7 @@
 	result->scheduled += rig_json_int(out, "scheduled");
 	result->served += rig_json_int(out, "served");
 	result->wrong += rig_json_int(out, "wrong");
-	take_calls(calls, result);
+	read_calls(calls, result);
 	g_free(out);
 }
 
--- a/bench/path/failover.c
+++ b/bench/path/failover.c
@@ -21,11 +21,11 @@
 
 #define ROUNDS 4
 #define HOSTS 4
-#define VICTIM 3
+#define KILLED_HOST 3
 /* At two of them, each with more than its own upstream can take: the rest of it
  * goes to the others. */
-#define CALLERS 3u
-#define KNOWN_MS 30000
+#define CALLER_MASK 3u
+#define DETECT_TIMEOUT_MS 30000
 #define POLL_MS 10
 /* Until the others send it work: one that nothing is known of gets little. */
 #define IN_USE_MS 7000
@@ -51,13 +51,13 @@
 struct round {
 	int64_t killed_us; /* wall clock, as the time lines' */
 	int64_t last_sent_us; /* 0: none */
-	int64_t known_us[HOSTS];
+	int64_t detected_us[HOSTS];
 	unsigned int sent_before; /* in the last second before */
 	unsigned int sent;
 	unsigned int ended[2][ENDINGS]; /* [0]: GET, [1]: POST */
 };
 
-static bool holds_for_dead(unsigned int i)
+static bool reports_dead(unsigned int i)
 {
 	char *hosts = rig_http_ok("GET", cluster.daemons[i]->admin_port,
 				  "/v1/hosts", NULL);
@@ -69,24 +69,24 @@
 	return dead;
 }
 
-static void wait_known(struct round *round)
+static void wait_detected(struct round *round)
 {
 	unsigned int known = 0;
 
-	for (int waited = 0; known < VICTIM && waited < KNOWN_MS;
+	for (int waited = 0; known < KILLED_HOST && waited < DETECT_TIMEOUT_MS;
 	     waited += POLL_MS) {
-		for (unsigned int i = 0; i < VICTIM; i++) {
-			if (round->known_us[i] || !holds_for_dead(i))
+		for (unsigned int i = 0; i < KILLED_HOST; i++) {
+			if (round->detected_us[i] || !reports_dead(i))
 				continue;
-			round->known_us[i] = g_get_real_time();
+			round->detected_us[i] = g_get_real_time();
 			known++;
 		}
 		rig_sleep_ms(POLL_MS);
 	}
-	g_assert_cmpuint(known, ==, VICTIM);
+	g_assert_cmpuint(known, ==, KILLED_HOST);
 }
 
-static const char *member(struct json_object *entry, const char *name)
+static const char *json_text(struct json_object *entry, const char *name)
 {
 	struct json_object *value = NULL;
 
@@ -94,7 +94,7 @@
 	return json_object_get_string(value);
 }
 
-static int64_t number(struct json_object *entry, const char *name)
+static int64_t json_int(struct json_object *entry, const char *name)
 {
 	struct json_object *value = NULL;
 
@@ -104,9 +104,9 @@
 
 static void read_sent(struct round *round, struct json_object *entry)
 {
-	int64_t time = number(entry, "time");
+	int64_t time = json_int(entry, "time");
 
-	if (!strstr(member(entry, "note"), "to=d3 "))
+	if (!strstr(json_text(entry, "note"), "to=d3 "))
 		return;
 	if (time < round->killed_us) {
 		round->sent_before += time > round->killed_us - G_USEC_PER_SEC;
@@ -119,12 +119,12 @@
 static void read_ended(struct round *round, struct json_object *entry,
 		       const GHashTable *posts)
 {
-	const char *note = member(entry, "note");
-	int64_t time = number(entry, "time");
+	const char *note = json_text(entry, "note");
+	int64_t time = json_int(entry, "time");
 	int64_t until = MAX(round->last_sent_us, round->killed_us) +
 			LEDGER_DEADLINE_MS * 1000;
 	bool post = g_hash_table_contains((GHashTable *)posts,
-					  member(entry, "trace"));
+					  json_text(entry, "trace"));
 	enum ending ending = g_str_has_prefix(note, "not-run") ? ENDED_NOT_RUN :
 			     g_str_has_prefix(note, "run")     ? ENDED_RUN :
 								 ENDED_UNKNOWN;
@@ -143,18 +143,18 @@
 	json_object_object_get_ex(line, "events", &entries);
 	for (size_t i = 0; i < json_object_array_length(entries); i++) {
 		struct json_object *entry = json_object_array_get_idx(entries, i);
-		int64_t event = number(entry, "event");
+		int64_t event = json_int(entry, "event");
 
-		if (strcmp(member(entry, "process"), process) != 0)
+		if (strcmp(json_text(entry, "process"), process) != 0)
 			continue;
 		if (ends && event == EVENT_ENDED)
 			read_ended(round, entry, posts);
 		else if (!ends && event == EVENT_SENT)
 			read_sent(round, entry);
 		else if (!ends && event == EVENT_TAKEN &&
-			 strstr(member(entry, "note"), "rule=post"))
+			 strstr(json_text(entry, "note"), "rule=post"))
 			g_hash_table_add(posts,
-					 g_strdup(member(entry, "trace")));
+					 g_strdup(json_text(entry, "trace")));
 	}
 }
 
@@ -162,10 +162,10 @@
 {
 	GHashTable *posts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	static const char *const hosts[VICTIM] = {"d0", "d1", "d2"};
-	struct json_object *lines[VICTIM];
+	static const char *const hosts[KILLED_HOST] = {"d0", "d1", "d2"};
+	struct json_object *lines[KILLED_HOST];
 
-	for (unsigned int i = 0; i < VICTIM; i++) {
+	for (unsigned int i = 0; i < KILLED_HOST; i++) {
 		char *text = rig_http_ok("GET", cluster.daemons[i]->admin_port,
 					 "/v1/timeline", NULL);
 
@@ -173,25 +173,25 @@
 		g_free(text);
 		read_time_line(round, lines[i], hosts[i], posts, false);
 	}
-	for (unsigned int i = 0; i < VICTIM; i++) {
+	for (unsigned int i = 0; i < KILLED_HOST; i++) {
 		read_time_line(round, lines[i], hosts[i], posts, true);
 		json_object_put(lines[i]);
 	}
 	g_hash_table_unref(posts);
 }
 
-static void print_round(const struct round *round, int number_of)
+static void print_round(const struct round *round, int round_number)
 {
 	static const char *const kinds[] = {"GET", "POST"};
 	int64_t first = INT64_MAX;
 	int64_t last = 0;
 
-	for (unsigned int i = 0; i < VICTIM; i++) {
-		first = MIN(first, round->known_us[i]);
-		last = MAX(last, round->known_us[i]);
+	for (unsigned int i = 0; i < KILLED_HOST; i++) {
+		first = MIN(first, round->detected_us[i]);
+		last = MAX(last, round->detected_us[i]);
 	}
 	printf("round %d: %u calls sent to it in the second before\n",
-	       number_of, round->sent_before);
+	       round_number, round->sent_before);
 	if (round->sent)
 		printf("  last call sent to it after %.0f ms, %u sent by "
 		       "then\n",
@@ -211,26 +211,26 @@
 	fflush(stdout);
 }
 
-static void run_round(int number_of)
+static void run_round(int round_number)
 {
-	char *seed = g_strdup_printf("%d", 80 + number_of);
+	char *seed = g_strdup_printf("%d", 80 + round_number);
 	struct round round = {0};
 	struct ledger ledger = {0};
 	struct ledger_load load =
-		ledger_start_load(&cluster, CALLERS, "240", "19", seed);
+		ledger_start_load(&cluster, CALLER_MASK, "240", "19", seed);
 
 	rig_sleep_ms(IN_USE_MS);
 	round.killed_us = g_get_real_time();
-	rig_kill(cluster.daemons[VICTIM]);
-	rig_kill(cluster.upstreams[VICTIM]);
-	wait_known(&round);
+	rig_kill(cluster.daemons[KILLED_HOST]);
+	rig_kill(cluster.upstreams[KILLED_HOST]);
+	wait_detected(&round);
 	read_time_lines(&round);
-	print_round(&round, number_of);
+	print_round(&round, round_number);
 	ledger_add(&ledger, &cluster, &load);
 	g_assert_cmpuint(ledger_violations(&ledger), ==, 0);
-	cluster_start_daemon(&cluster, VICTIM, &options);
-	cluster_start_upstream(&cluster, VICTIM, &options);
-	cluster_wait_up(&cluster, HOSTS, KNOWN_MS);
+	cluster_start_daemon(&cluster, KILLED_HOST, &options);
+	cluster_start_upstream(&cluster, KILLED_HOST, &options);
+	cluster_wait_up(&cluster, HOSTS, DETECT_TIMEOUT_MS);
 	g_free(seed);
 }
 
--- a/bench/path/overhead.c
+++ b/bench/path/overhead.c
@@ -20,7 +20,7 @@
 #define RATE_STEP 4000
 #define OWNERS 3
 #define GENERATORS 4
-#define FULL_SHARE 0.85
+#define SATURATED_SHARE 0.85
 #define SERVED_SHARE 0.99
 #define SETTLE_MS 1500
 
@@ -104,15 +104,15 @@
 	bench_result_finish(&through);
 }
 
-static bool entry_is_full(const struct bench_result *result)
+static bool entry_is_saturated(const struct bench_result *result)
 {
 	return (double)result->cpu_us[BENCH_ENTRY] / 1e6 >
-		       FULL_SHARE * result->elapsed_s ||
+		       SATURATED_SHARE * result->elapsed_s ||
 	       (double)result->served < SERVED_SHARE * (double)result->scheduled;
 }
 
 /* RETURN VALUE: the last rate at which the entry's core was not yet full. */
-static double find_full_rate(struct cluster *cluster)
+static double find_saturation_rate(struct cluster *cluster)
 {
 	double rate = FIRST_RATE;
 
@@ -131,7 +131,7 @@
 		printf("at %g calls/s, one step of %d s:\n", rate, STEP_SECONDS);
 		print_quantiles("through", &result);
 		print_cpu(&result);
-		full = entry_is_full(&result);
+		full = entry_is_saturated(&result);
 		bench_result_finish(&result);
 		if (full)
 			return rate - RATE_STEP;
@@ -139,14 +139,14 @@
 }
 
 /* One core for the entry, and enough of all else that it fills first. */
-static void measure_full(void)
+static void measure_saturation(void)
 {
 	struct cluster cluster;
 	double full;
 
 	printf("%d owners, %d load generators:\n", OWNERS, GENERATORS);
 	bench_start(&cluster, OWNERS, SLOTS, SERVICE_US);
-	full = find_full_rate(&cluster);
+	full = find_saturation_rate(&cluster);
 	compare_paths(&cluster, full, GENERATORS, 2);
 	cluster_stop(&cluster);
 }
@@ -219,7 +219,7 @@
 	measure_design_rate(ROUNDS);
 	if (argc > 1 && strcmp(argv[1], "--latency") == 0)
 		return 0;
-	measure_full();
+	measure_saturation();
 	print_memory("idle connections of callers",
 		     "GET /idle HTTP/1.1\r\nHost: h\r\n\r\n", SERVICE_US);
 	print_memory("attempts that run, each with its caller's connection",
--- a/bench/path/patterns.c
+++ b/bench/path/patterns.c
@@ -83,7 +83,7 @@
 }
 
 /* A number of a member of the summary's object of that name. */
-static int64_t member_of(const char *json, const char *object, const char *name)
+static int64_t summary_int(const char *json, const char *object, const char *name)
 {
 	char *mark = g_strdup_printf("\"%s\":", object);
 	const char *found = strstr(json, mark);
@@ -105,11 +105,11 @@
 			rig_json_int(json, "timed-out") +
 			rig_json_int(json, "broken")) /
 		       scheduled,
-	       (double)member_of(json, "served_us", "p50") / 1000,
-	       (double)member_of(json, "served_us", "p99") / 1000,
-	       (double)member_of(json, "served_us", "p99.9") / 1000,
-	       (double)member_of(json, "refused_us", "p50") / 1000,
-	       (double)member_of(json, "refused_us", "p99") / 1000);
+	       (double)summary_int(json, "served_us", "p50") / 1000,
+	       (double)summary_int(json, "served_us", "p99") / 1000,
+	       (double)summary_int(json, "served_us", "p99.9") / 1000,
+	       (double)summary_int(json, "refused_us", "p50") / 1000,
+	       (double)summary_int(json, "refused_us", "p99") / 1000);
 	if (rig_json_int(json, "wrong") != 0)
 		g_error("an answer was another caller's");
 }
--- a/bench/path/streaming.c
+++ b/bench/path/streaming.c
@@ -40,7 +40,7 @@
 }
 
 /* The body repeats the request's id from end to end. */
-static bool is_own(const char *bytes, size_t size, size_t position)
+static bool bytes_match_id(const char *bytes, size_t size, size_t position)
 {
 	static const char id[] = "stream";
 
@@ -51,16 +51,16 @@
 	return true;
 }
 
-static bool take_part(struct slow_caller *caller, const char *bytes, size_t size)
+static bool check_part(struct slow_caller *caller, const char *bytes, size_t size)
 {
-	bool own = is_own(bytes, size, caller->received);
+	bool own = bytes_match_id(bytes, size, caller->received);
 
 	caller->received += size;
 	return own;
 }
 
 /* Runs beside the short calls. */
-static void *take_slowly(void *data)
+static void *read_slowly(void *data)
 {
 	struct slow_caller *caller = data;
 	GString *head = g_string_new(NULL);
@@ -68,14 +68,14 @@
 	gint64 began_us = g_get_monotonic_time();
 	const char *body = strstr(head->str, "\r\n\r\n") + 4;
 	bool own =
-		take_part(caller, body, head->len - (size_t)(body - head->str));
+		check_part(caller, body, head->len - (size_t)(body - head->str));
 	char *block = g_malloc(READ_BYTES);
 	ssize_t got;
 
 	while ((got = read(fd, block, READ_BYTES)) > 0) {
 		gint64 due_us;
 
-		own &= take_part(caller, block, (size_t)got);
+		own &= check_part(caller, block, (size_t)got);
 		due_us = began_us + (gint64)((double)caller->received * 1e6 /
 					     SLOW_BYTES_PER_S);
 		if (due_us > g_get_monotonic_time())
@@ -147,7 +147,7 @@
 	run_short(&cluster, "without the stream");
 	print_memory(&cluster, "before the stream");
 	caller.port = cluster.daemons[BENCH_ENTRY]->caller_port;
-	thread = g_thread_new("slow", take_slowly, &caller);
+	thread = g_thread_new("slow", read_slowly, &caller);
 	rig_sleep_ms(500);
 	run_short(&cluster, "beside the stream");
 	g_thread_join(thread);
--- a/include/bench/decide/table.h
+++ b/include/bench/decide/doc_tables.h
@@ -8,12 +8,12 @@
  *	docs/measurements/decisions.txt, and the table between the markers in
  *	docs/design/decisions.md; both below the current folder.
  */
-#ifndef BENCH_DECIDE_TABLE_H
-#define BENCH_DECIDE_TABLE_H
+#ifndef BENCH_DECIDE_DOC_TABLES_H
+#define BENCH_DECIDE_DOC_TABLES_H
 
 #include <stdbool.h>
 
 /* RETURN VALUE: false, with a message, if a file can't be read or written. */
-bool table_write(void);
+bool doc_tables_write(void);
 
 #endif
--- a/include/bench/decide/events.h
+++ b/include/bench/decide/events.h
@@ -16,21 +16,21 @@
 struct event_item {
 	int64_t at_us;
 	uint64_t order;
-	void (*handle)(void *owner, void *data);
+	void (*handle)(void *context, void *data);
 	void *data;
 };
 
 struct events {
 	int64_t now_us;
 	uint64_t added;
-	void *owner; /* handed to each handler */
+	void *context; /* handed to each handler */
 	GArray *heap; /* of struct event_item */
 };
 
-void events_init(struct events *events, void *owner);
+void events_init(struct events *events, void *context);
 void events_finish(struct events *events);
 void events_add(struct events *events, int64_t at_us,
-		void (*handle)(void *owner, void *data), void *data);
+		void (*handle)(void *context, void *data), void *data);
 
 /* Runs until there is no event left. */
 void events_run(struct events *events);
--- a/include/bench/decide/replay_internal.h
+++ b/include/bench/decide/replay_internal.h
@@ -55,8 +55,8 @@
 	int64_t deadline_us;
 	struct pick_tried tried;
 	struct pick_tried tried_busy; /* refused by a host that had no room now */
-	bool returns; /* to these */
-	uint32_t unheard; /* attempts that count for nothing; see retry.h */
+	bool has_returned_to_busy; /* to these */
+	uint32_t uncounted; /* attempts that count for nothing; see retry.h */
 	struct replay_attempt *active[2]; /* the attempt and its hedge */
 	uint32_t attempts;
 	uint32_t busy;
@@ -187,7 +187,7 @@
 
 /* Counts the slot time of an attempt at its end. */
 void replay_note_run(struct replay *r, const struct replay_attempt *attempt,
-		     bool of_use);
+		     bool is_useful);
 
 /* What the owner tells of itself. */
 struct pick_load replay_owner_load(const struct replay *r,
@@ -217,6 +217,6 @@
 void replay_handle_central(void *replay, void *data);
 
 /* A host has become quick: what waits may begin. */
-void replay_central_turn(struct replay *r);
+void replay_central_dispatch(struct replay *r);
 
 #endif
--- a/standin/load/call.c
+++ b/standin/load/call.c
@@ -16,7 +16,7 @@
 	const char *path;
 	char *body; /* NULL: an idempotent call */
 	bool is_stream; /* its bytes repeat the id */
-	bool is_foreign; /* a byte did not */
+	bool has_foreign_bytes; /* a byte did not */
 	uint64_t size;
 	int64_t due_us;
 };
@@ -46,7 +46,7 @@
 	curl_easy_getinfo(call->transfer.easy, CURLINFO_RESPONSE_CODE, &status);
 	for (size_t i = 0; call->is_stream && status == 200 && i < length; i++) {
 		if (data[i] != call->id[(call->size + i) % id_length])
-			call->is_foreign = true;
+			call->has_foreign_bytes = true;
 	}
 	call->size += length;
 	return length;
@@ -62,12 +62,12 @@
 	return header->value;
 }
 
-static bool answer_is_own(const struct call *call)
+static bool answer_matches_request(const struct call *call)
 {
 	const char *id = answer_header(call, "X-Request-Id");
 	const char *size = answer_header(call, "X-Body-Size");
 
-	if (call->is_foreign || !id || strcmp(id, call->id) != 0)
+	if (call->has_foreign_bytes || !id || strcmp(id, call->id) != 0)
 		return false;
 	return !call->body ||
 	       (size && g_ascii_strtoull(size, NULL, 10) == strlen(call->body));
@@ -91,7 +91,7 @@
 	return OUTCOME_UNSAID;
 }
 
-static void record(struct call *call, CURLcode result, int64_t latency_us)
+static void record_result(struct call *call, CURLcode result, int64_t latency_us)
 {
 	struct load *load = call->load;
 	enum outcome outcome = read_outcome(call, result);
@@ -105,7 +105,7 @@
 	if (status > 0 && status < (long)G_N_ELEMENTS(load->counts.statuses))
 		load->counts.statuses[status]++;
 	if (status / 100 == 2) {
-		wrong = !answer_is_own(call);
+		wrong = !answer_matches_request(call);
 		load->counts.wrong += wrong;
 		load->counts.served += !wrong;
 		histogram_record(&load->served, (uint64_t)latency_us);
@@ -126,14 +126,14 @@
 	struct call *call = transfer->data;
 	struct load *load = call->load;
 
-	record(call, result, clock_mono_us() - call->due_us);
+	record_result(call, result, clock_mono_us() - call->due_us);
 	curl_easy_cleanup(transfer->easy);
 	curl_slist_free_all(call->headers);
 	g_free(call->id);
 	g_free(call->body);
 	g_free(call);
 	load->open--;
-	schedule_note_end(load);
+	schedule_handle_call_end(load);
 }
 
 static void add_header(struct call *call, const char *name, const char *value)
@@ -157,7 +157,7 @@
 	curl_easy_setopt(call->transfer.easy, CURLOPT_HTTPHEADER, call->headers);
 }
 
-static const char *draw(struct load *load, char **choices)
+static const char *choose_random(struct load *load, char **choices)
 {
 	guint count = g_strv_length(choices);
 
@@ -170,8 +170,9 @@
 	char **targets = load->options.targets;
 	const char *target =
 		targets[load->counts.started % g_strv_length(targets)];
-	const char *path = draw(load, call->body ? load->options.post_paths :
-						   load->options.paths);
+	const char *path =
+		choose_random(load, call->body ? load->options.post_paths :
+						 load->options.paths);
 	char *url = g_strconcat(target, path, NULL);
 
 	call->path = path;
--- a/standin/load/load.h
+++ b/standin/load/load.h
@@ -24,7 +24,7 @@
 
 struct burst {
 	int64_t at_us;
-	int64_t for_us;
+	int64_t duration_us;
 	double factor;
 };
 
@@ -82,7 +82,7 @@
 	int64_t start_us;
 	int64_t next_due_us; /* since start_us */
 	int open;
-	bool is_over; /* all calls have started */
+	bool all_started; /* all calls have started */
 	bool is_stopped;
 };
 
@@ -94,7 +94,7 @@
 /* schedule.c: starts calls as they fall due, and leaves the loop once all
  * have ended. */
 void schedule_start(struct load *load);
-void schedule_note_end(struct load *load);
+void schedule_handle_call_end(struct load *load);
 
 /* RETURN VALUE: false where the text isn't AT_MS:FOR_MS:FACTOR. */
 bool burst_parse(const char *text, struct burst *burst);
--- a/standin/load/schedule.c
+++ b/standin/load/schedule.c
@@ -11,7 +11,7 @@
 	if (sscanf(text, "%lf:%lf:%lf", &at_ms, &for_ms, &burst->factor) != 3)
 		return false;
 	burst->at_us = (int64_t)(at_ms * (double)US_PER_MS);
-	burst->for_us = (int64_t)(for_ms * (double)US_PER_MS);
+	burst->duration_us = (int64_t)(for_ms * (double)US_PER_MS);
 	return burst->factor > 0;
 }
 
@@ -24,7 +24,7 @@
 			&g_array_index(load->options.bursts, struct burst, i);
 
 		if (since_us >= burst->at_us &&
-		    since_us < burst->at_us + burst->for_us)
+		    since_us < burst->at_us + burst->duration_us)
 			rate *= burst->factor;
 	}
 	return rate;
@@ -38,7 +38,7 @@
 	for (guint i = 0; i < load->options.bursts->len; i++) {
 		const struct burst *burst =
 			&g_array_index(load->options.bursts, struct burst, i);
-		int64_t end_us = burst->at_us + burst->for_us;
+		int64_t end_us = burst->at_us + burst->duration_us;
 
 		if (burst->at_us > since_us)
 			next_us = MIN(next_us, burst->at_us);
@@ -74,9 +74,9 @@
 	}
 }
 
-void schedule_note_end(struct load *load)
+void schedule_handle_call_end(struct load *load)
 {
-	if (load->is_over && load->open == 0)
+	if (load->all_started && load->open == 0)
 		ev_break(load->loop, EVBREAK_ALL);
 }
 
@@ -85,14 +85,15 @@
 	struct load *load = data;
 	int64_t end_us = (int64_t)(load->options.seconds * (double)US_PER_S);
 
-	while (!load->is_over &&
+	while (!load->all_started &&
 	       load->start_us + load->next_due_us <= clock_mono_us()) {
 		call_start(load, load->start_us + load->next_due_us);
 		load->next_due_us = next_due_us(load, load->next_due_us);
-		load->is_over = load->is_stopped || load->next_due_us >= end_us;
+		load->all_started =
+			load->is_stopped || load->next_due_us >= end_us;
 	}
-	if (load->is_over)
-		schedule_note_end(load);
+	if (load->all_started)
+		schedule_handle_call_end(load);
 	else
 		precise_timer_set(&load->timer,
 				  load->start_us + load->next_due_us);
--- a/standin/load/summary.c
+++ b/standin/load/summary.c
@@ -8,7 +8,7 @@
 	json_object_object_add(object, name, json_object_new_uint64(count));
 }
 
-static struct json_object *describe(const struct histogram *histogram)
+static struct json_object *histogram_to_json(const struct histogram *histogram)
 {
 	struct json_object *object = json_object_new_object();
 
@@ -22,7 +22,7 @@
 	return object;
 }
 
-static struct json_object *list_outcomes(const struct load_counts *counts)
+static struct json_object *outcomes_to_json(const struct load_counts *counts)
 {
 	struct json_object *object = json_object_new_object();
 
@@ -32,7 +32,7 @@
 	return object;
 }
 
-static struct json_object *list_statuses(const struct load_counts *counts)
+static struct json_object *statuses_to_json(const struct load_counts *counts)
 {
 	struct json_object *object = json_object_new_object();
 
@@ -58,10 +58,12 @@
 	add_count(object, "wrong", counts->wrong);
 	add_count(object, "elapsed_ms",
 		  (uint64_t)((clock_mono_us() - load->start_us) / US_PER_MS));
-	json_object_object_add(object, "outcomes", list_outcomes(counts));
-	json_object_object_add(object, "statuses", list_statuses(counts));
-	json_object_object_add(object, "served_us", describe(&load->served));
-	json_object_object_add(object, "refused_us", describe(&load->refused));
+	json_object_object_add(object, "outcomes", outcomes_to_json(counts));
+	json_object_object_add(object, "statuses", statuses_to_json(counts));
+	json_object_object_add(object, "served_us",
+			       histogram_to_json(&load->served));
+	json_object_object_add(object, "refused_us",
+			       histogram_to_json(&load->refused));
 	printf("%s\n",
 	       json_object_to_json_string_ext(object, JSON_C_TO_STRING_PLAIN));
 	json_object_put(object);
--- a/standin/platform/command.c
+++ b/standin/platform/command.c
@@ -5,7 +5,7 @@
 /* Forgets what changed, but not the rows. */
 void command_compact(struct platform *platform, struct http_request *request)
 {
-	platform->table.dropped = platform->table.version;
+	platform->table.compacted_version = platform->table.version;
 	platform_reply_status(platform, request, 200);
 }
 
--- a/standin/platform/main.c
+++ b/standin/platform/main.c
@@ -70,7 +70,7 @@
 	platform_reply_text(platform, request, status, "{}");
 }
 
-static bool answer_is_lost(struct platform *platform)
+static bool should_lose_answer(struct platform *platform)
 {
 	struct faults *faults = &platform->faults;
 	bool lost = faults->lose_next > 0;
@@ -112,12 +112,14 @@
 		  int64_t ms, bool is_watch);
 
 /* RETURN VALUE: false while there is nothing to tell. */
-static bool feed_now(struct platform *platform, struct http_request *request)
+static bool reply_with_changes(struct platform *platform,
+			       struct http_request *request)
 {
 	uint64_t after = strtoull(argument(request, WIRE_AFTER, "0"), NULL, 10);
 	struct json_object *changes;
 
-	if (after < platform->table.dropped || after > platform->table.version) {
+	if (after < platform->table.compacted_version ||
+	    after > platform->table.version) {
 		platform_reply_status(platform, request, 410);
 		return true;
 	}
@@ -129,7 +131,8 @@
 	return true;
 }
 
-static void feed_nothing(struct platform *platform, struct http_request *request)
+static void reply_without_changes(struct platform *platform,
+				  struct http_request *request)
 {
 	struct json_object *object = json_object_new_object();
 
@@ -139,26 +142,27 @@
 	platform_reply_json(platform, request, 200, object);
 }
 
-static void feed(struct platform *platform, struct http_request *request)
+static void handle_feed(struct platform *platform, struct http_request *request)
 {
 	int64_t wait_ms =
 		g_ascii_strtoll(argument(request, WIRE_WAIT_MS, "0"), NULL, 10);
 
 	platform->reads++;
-	if (!feed_now(platform, request))
+	if (!reply_with_changes(platform, request))
 		delay(platform, request, MIN(wait_ms, WAIT_MAX_MS), true);
 }
 
 static void delayed_free(struct delayed *delayed);
 
-static void tell_watchers(struct platform *platform)
+static void notify_watchers(struct platform *platform)
 {
 	struct delayed *delayed = LIST_FIRST(&platform->delayed);
 
 	while (delayed) {
 		struct delayed *next = LIST_NEXT(delayed, link);
 
-		if (delayed->is_watch && feed_now(platform, delayed->request))
+		if (delayed->is_watch &&
+		    reply_with_changes(platform, delayed->request))
 			delayed_free(delayed);
 		delayed = next;
 	}
@@ -185,7 +189,7 @@
 	else
 		platform_reply_status(platform, request, statuses[status]);
 	json_object_put(body);
-	tell_watchers(platform);
+	notify_watchers(platform);
 }
 
 static void late_write_free(struct late_write *late)
@@ -207,7 +211,7 @@
 	table_transact(&platform->table, late->transaction, false, &answer);
 	json_object_put(answer);
 	late_write_free(late);
-	tell_watchers(platform);
+	notify_watchers(platform);
 }
 
 /* Applied, now or later, and never answered. */
@@ -232,7 +236,7 @@
 static void transact(struct platform *platform, struct http_request *request)
 {
 	platform->writes++;
-	if (answer_is_lost(platform))
+	if (should_lose_answer(platform))
 		transact_unanswered(platform, request);
 	else
 		transact_as(platform, request, false);
@@ -251,7 +255,7 @@
 	platform->writes++;
 	if (!good)
 		platform_reply_status(platform, request, 400);
-	else if (answer_is_lost(platform))
+	else if (should_lose_answer(platform))
 		http_request_abort(request);
 	else
 		platform_reply_status(platform, request, 200);
@@ -279,7 +283,7 @@
 	{"POST", "/standin/operator", false, true, transact_as_operator},
 	{"POST", WIRE_ROWS_TX, false, false, transact},
 	{"GET", WIRE_ROWS_GET, false, false, get_rows},
-	{"GET", WIRE_ROWS_FEED, false, false, feed},
+	{"GET", WIRE_ROWS_FEED, false, false, handle_feed},
 	{"GET", WIRE_BLOB_GET, true, false, get_object},
 	{"PUT", WIRE_BLOB_PUT, true, false, put_object},
 };
@@ -322,14 +326,14 @@
 		late_write_free(late);
 }
 
-static void handle_delay_over(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_delay_expired(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct delayed *delayed = timer->data;
 
 	(void)loop;
 	(void)events;
 	if (delayed->is_watch)
-		feed_nothing(delayed->platform, delayed->request);
+		reply_without_changes(delayed->platform, delayed->request);
 	else
 		find_route(delayed->request)
 			->handle(delayed->platform, delayed->request);
@@ -344,8 +348,8 @@
 	delayed->platform = platform;
 	delayed->request = request;
 	delayed->is_watch = is_watch;
-	ev_timer_init(&delayed->timer, handle_delay_over, (double)ms / 1000.0,
-		      0.0);
+	ev_timer_init(&delayed->timer, handle_delay_expired,
+		      (double)ms / 1000.0, 0.0);
 	delayed->timer.data = delayed;
 	LIST_INSERT_HEAD(&platform->delayed, delayed, link);
 	ev_timer_start(platform->loop, &delayed->timer);
--- a/standin/platform/objects.c
+++ b/standin/platform/objects.c
@@ -15,7 +15,7 @@
 }
 
 /* Percent-encoding undone; NULL where it is wrong. */
-static char *name_after(const struct http_request *request, const char *prefix)
+static char *object_name(const struct http_request *request, const char *prefix)
 {
 	return g_uri_unescape_string(http_request_path(request) + strlen(prefix),
 				     NULL);
@@ -24,7 +24,7 @@
 bool objects_put(GHashTable *objects, const struct http_request *request)
 {
 	const GString *body = http_request_body(request);
-	char *name = name_after(request, WIRE_BLOB_PUT);
+	char *name = object_name(request, WIRE_BLOB_PUT);
 
 	if (!name)
 		return false;
@@ -34,7 +34,7 @@
 
 bool objects_reply(GHashTable *objects, struct http_request *request)
 {
-	char *name = name_after(request, WIRE_BLOB_GET);
+	char *name = object_name(request, WIRE_BLOB_GET);
 	GBytes *bytes = name ? g_hash_table_lookup(objects, name) : NULL;
 	const char *data;
 	gsize size;
--- a/standin/platform/table.c
+++ b/standin/platform/table.c
@@ -30,7 +30,7 @@
 	table->rows = g_tree_new_full(compare_names, NULL, g_free, row_free);
 	table->history = json_object_new_array();
 	table->version = 0;
-	table->dropped = 0;
+	table->compacted_version = 0;
 }
 
 void table_finish(struct table *table)
@@ -323,7 +323,7 @@
 	table_init(table);
 	for (uint64_t i = 0; i < kept; i++)
 		apply(table, json_object_array_get_idx(history, i));
-	table->dropped = 0;
+	table->compacted_version = 0;
 	json_object_put(history);
 }
 
--- a/standin/platform/table.h
+++ b/standin/platform/table.h
@@ -25,7 +25,7 @@
 	GTree *rows; /* "TABLE\1PART\1KEY" -> struct table_row */
 	struct json_object *history; /* what was applied, for the test */
 	uint64_t version; /* of the last transaction */
-	uint64_t dropped; /* changes up to this one can't be fed any more */
+	uint64_t compacted_version; /* changes up to this one can't be fed any more */
 };
 
 struct table_row {
--- a/standin/upstream/control.c
+++ b/standin/upstream/control.c
@@ -77,9 +77,9 @@
 	standin_read_bool(command, "old_report", &old_report);
 	json_object_put(command);
 	if (leaves)
-		reports_leave(upstream);
+		heartbeat_deregister(upstream);
 	if (old_report)
-		reports_send_old(upstream);
+		heartbeat_resend_last(upstream);
 	if (cold)
 		upstream->started_us = clock_mono_us();
 	if (!faults->freeze)
@@ -110,7 +110,7 @@
 
 static bool is_leaving(const struct upstream *upstream)
 {
-	return upstream->faults.draining || upstream->faults.left;
+	return upstream->faults.draining || upstream->faults.deregistered;
 }
 
 static unsigned int status_of(const struct job *job,
@@ -124,8 +124,8 @@
 	return MHD_HTTP_OK;
 }
 
-void control_add_load(const struct upstream *upstream,
-		      struct MHD_Response *response)
+void control_add_load_headers(const struct upstream *upstream,
+			      struct MHD_Response *response)
 {
 	char text[64];
 
@@ -158,7 +158,7 @@
 	response = MHD_create_response_from_buffer(strlen(text), (void *)text,
 						   MHD_RESPMEM_MUST_COPY);
 	MHD_add_response_header(response, "Content-Type", "application/json");
-	control_add_load(job->upstream, response);
+	control_add_load_headers(job->upstream, response);
 	result = MHD_queue_response(job->connection, status_of(job, object),
 				    response);
 	MHD_destroy_response(response);
--- a/standin/upstream/reports.c
+++ b/standin/upstream/heartbeat.c
@@ -5,8 +5,8 @@
 #include "common/http_server.h"
 #include "upstream.h"
 
-static char *report_body(const struct upstream *upstream, uint64_t sequence,
-			 bool drains)
+static char *heartbeat_body(const struct upstream *upstream, uint64_t sequence,
+			    bool drains)
 {
 	char *address = g_strdup_printf(
 		"127.0.0.1:%u", upstream->options.told_port ?
@@ -61,9 +61,10 @@
 	g_free(url);
 }
 
-static void send_report(struct upstream *upstream, uint64_t sequence, bool drains)
+static void send_heartbeat(struct upstream *upstream, uint64_t sequence,
+			   bool drains)
 {
-	char *body = report_body(upstream, sequence, drains);
+	char *body = heartbeat_body(upstream, sequence, drains);
 
 	send_call(upstream, "heartbeat", body);
 	g_free(body);
@@ -75,28 +76,28 @@
 
 	(void)loop;
 	(void)events;
-	if (!upstream->faults.left)
-		send_report(upstream, ++upstream->sequence,
-			    upstream->faults.draining);
+	if (!upstream->faults.deregistered)
+		send_heartbeat(upstream, ++upstream->sequence,
+			       upstream->faults.draining);
 }
 
-void reports_start(struct upstream *upstream)
+void heartbeat_start(struct upstream *upstream)
 {
-	double each_s = (double)upstream->options.heartbeat_ms / 1000.0;
+	double interval_s = (double)upstream->options.heartbeat_ms / 1000.0;
 
-	ev_timer_init(&upstream->heartbeat, handle_due, 0.0, each_s);
-	upstream->heartbeat.data = upstream;
+	ev_timer_init(&upstream->heartbeat_timer, handle_due, 0.0, interval_s);
+	upstream->heartbeat_timer.data = upstream;
 	if (upstream->options.report_to)
-		ev_timer_start(upstream->loop, &upstream->heartbeat);
+		ev_timer_start(upstream->loop, &upstream->heartbeat_timer);
 }
 
-void reports_leave(struct upstream *upstream)
+void heartbeat_deregister(struct upstream *upstream)
 {
-	upstream->faults.left = TRUE;
+	upstream->faults.deregistered = TRUE;
 	send_call(upstream, "deregister", "");
 }
 
-void reports_send_old(struct upstream *upstream)
+void heartbeat_resend_last(struct upstream *upstream)
 {
-	send_report(upstream, upstream->sequence, false);
+	send_heartbeat(upstream, upstream->sequence, false);
 }
--- a/standin/upstream/main.c
+++ b/standin/upstream/main.c
@@ -151,7 +151,7 @@
 	standin_on_stop(upstream.loop, handle_stop, &upstream);
 	control_start_reports(&upstream);
 	announce_start(&upstream);
-	reports_start(&upstream);
+	heartbeat_start(&upstream);
 	standin_announce_port("standin-upstream",
 			      http_server_port(upstream.server));
 	ev_run(upstream.loop, 0);
--- a/standin/upstream/server.c
+++ b/standin/upstream/server.c
@@ -64,14 +64,14 @@
 }
 
 static struct MHD_Response *create_stream(const struct job *job,
-					  const char *prefix, bool tells_size)
+					  const char *prefix, bool size_known)
 {
 	struct stream *stream = g_new0(struct stream, 1);
 
 	stream->id = g_strdup(job->id ? job->id : "-");
 	stream->size = strtoull(job->path + strlen(prefix), NULL, 10);
 	return MHD_create_response_from_callback(
-		tells_size ? stream->size : MHD_SIZE_UNKNOWN,
+		size_known ? stream->size : MHD_SIZE_UNKNOWN,
 		STREAM_BLOCK_BYTES, read_stream, stream, stream_free);
 }
 
@@ -114,11 +114,11 @@
 	if (job->status == MHD_HTTP_SERVICE_UNAVAILABLE && !job->has_run)
 		MHD_add_response_header(response, "X-Comfreydock-Not-Executed",
 					"1");
-	control_add_load(upstream, response);
+	control_add_load_headers(upstream, response);
 }
 
 /* RETURN VALUE: the id that the answer bears; NULL: none. */
-static const char *answered_id(struct job *job)
+static const char *response_id(struct job *job)
 {
 	struct upstream_faults *faults = &job->upstream->faults;
 
@@ -138,7 +138,7 @@
 	if (job->drop)
 		return MHD_NO;
 	response = create_body(job);
-	id = answered_id(job);
+	id = response_id(job);
 	if (id)
 		MHD_add_response_header(response, "X-Request-Id", id);
 	g_snprintf(number, sizeof(number), "%" G_GUINT64_FORMAT, job->body_size);
--- a/standin/upstream/upstream.h
+++ b/standin/upstream/upstream.h
@@ -79,7 +79,7 @@
 	gboolean drop_runs; /* the dropped ones run first */
 	gboolean sick; /* /health says so */
 	gboolean draining; /* heartbeats and /health say so */
-	gboolean left; /* said good-bye: no heartbeats */
+	gboolean deregistered; /* said good-bye: no heartbeats */
 	int64_t pace_percent; /* of the host, and times the service time */
 	int64_t strange_next; /* answers with another request's id */
 	gboolean mended; /* /crash/ ends nothing any more */
@@ -159,7 +159,7 @@
 	int runs_fd; /* -1: none */
 	ev_timer report_timer;
 	ev_timer announce_timer;
-	ev_timer heartbeat;
+	ev_timer heartbeat_timer;
 	uint64_t sequence; /* of the last one */
 };
 
@@ -177,15 +177,15 @@
 enum MHD_Result control_answer(struct job *job);
 
 /* What an upstream with an instance tells of itself with each answer. */
-void control_add_load(const struct upstream *upstream,
-		      struct MHD_Response *response);
+void control_add_load_headers(const struct upstream *upstream,
+			      struct MHD_Response *response);
 void control_start_reports(struct upstream *upstream);
 
 /* reports.c: heartbeats, a good-bye, and the last heartbeat once more, as one
  * that was held up on its way. */
-void reports_start(struct upstream *upstream);
-void reports_leave(struct upstream *upstream);
-void reports_send_old(struct upstream *upstream);
+void heartbeat_start(struct upstream *upstream);
+void heartbeat_deregister(struct upstream *upstream);
+void heartbeat_resend_last(struct upstream *upstream);
 
 /* announce.c: tells the daemon beside it, again until that accepts. */
 void announce_start(struct upstream *upstream);
--- a/standin/upstream/work.c
+++ b/standin/upstream/work.c
@@ -76,7 +76,7 @@
 }
 
 /* Takes the job out of its list, without starting another. */
-static void job_leave(struct job *job)
+static void job_remove(struct job *job)
 {
 	struct upstream *upstream = job->upstream;
 
@@ -97,7 +97,7 @@
 {
 	struct upstream *upstream = job->upstream;
 
-	job_leave(job);
+	job_remove(job);
 	job->state = JOB_ANSWERING;
 	job->status = status;
 	if (job->suspended) {
@@ -290,7 +290,7 @@
 
 	if (job->state == JOB_WAITING || job->state == JOB_RUNNING ||
 	    job->state == JOB_HELD)
-		job_leave(job);
+		job_remove(job);
 	if (job->digest)
 		g_checksum_free(job->digest);
 	if (job->body)
--- a/tests/test_rig.c
+++ b/tests/test_rig.c
@@ -14,7 +14,7 @@
  * A test fails as its calls came late, and the daemon's line that says why lies
  * far before the end of its log. Without it the failure looks like the daemon's.
  */
-static void test_failure_shows_who_stood_still(void)
+static void test_failure_shows_freeze_lines(void)
 {
 	if (g_test_subprocess()) {
 		struct rig *rig = rig_create();
@@ -34,7 +34,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/rig/failure-shows-who-stood-still",
-			test_failure_shows_who_stood_still);
+	g_test_add_func("/rig/failure-shows-freeze-lines",
+			test_failure_shows_freeze_lines);
 	return g_test_run();
 }
--- a/tests/test_standin_platform.c
+++ b/tests/test_standin_platform.c
@@ -47,7 +47,7 @@
 	return row ? row->version : 0;
 }
 
-static void test_all_or_nothing(void)
+static void test_transactions_are_atomic(void)
 {
 	struct json_object *answer = NULL;
 	struct table table;
@@ -173,7 +173,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/standin-platform/all-or-nothing", test_all_or_nothing);
+	g_test_add_func("/standin-platform/atomic", test_transactions_are_atomic);
 	g_test_add_func("/standin-platform/versions-never-restart",
 			test_versions_never_restart);
 	g_test_add_func("/standin-platform/operators",
--- a/tests/test_standin_upstream.c
+++ b/tests/test_standin_upstream.c
@@ -111,7 +111,7 @@
  * deadline there and the caller of a sixth hangs up: neither ever runs. SIGTERM
  * then cuts off none of the others.
  */
-static void test_cancels_what_waits(void)
+static void test_cancels_waiting_requests(void)
 {
 	struct rig *rig = rig_create();
 	struct rig_process *upstream = rig_start_standin(
@@ -177,7 +177,8 @@
 	g_test_add_func("/standin-upstream/counts", test_counts_runs);
 	g_test_add_func("/standin-upstream/refuses",
 			test_refuses_without_running);
-	g_test_add_func("/standin-upstream/cancels", test_cancels_what_waits);
+	g_test_add_func("/standin-upstream/cancels",
+			test_cancels_waiting_requests);
 	g_test_add_func("/standin-upstream/load", test_load_checks_answers);
 	return g_test_run();
 }
