--- a/standin/load/call.c
+++ b/standin/load/call.c
@@ -15,8 +15,8 @@
 	char *id;
 	const char *path;
 	char *body; /* NULL: an idempotent call */
-	bool is_stream; /* its bytes repeat the id */
-	bool has_foreign_bytes; /* a byte did not */
+	bool is_stream; /* the response body must repeat the id */
+	bool has_foreign_bytes; /* a byte of the response differs from the id */
 	uint64_t size;
 	int64_t due_us;
 };
@@ -212,7 +212,8 @@
 	call->transfer.easy = easy;
 	call->transfer.handle_done = handle_done;
 	call->transfer.data = call;
-	/* What is counted here is the system's sends, not libcurl's. */
+	/* Turns off libcurl's own retries: the counts must show only what the
+	 * tested system repeats. */
 	call->transfer.send_once = true;
 	set_body(call);
 	set_url(call);
--- a/standin/load/histogram.c
+++ b/standin/load/histogram.c
@@ -13,7 +13,7 @@
 		return HISTOGRAM_BUCKETS - 1;
 	top = 63 - (unsigned int)__builtin_clzll(value);
 	shift = top - HISTOGRAM_SUB_BITS;
-	/* value >> shift lies in [SUB_BUCKETS, 2 * SUB_BUCKETS). */
+	/* value >> shift is in [SUB_BUCKETS, 2 * SUB_BUCKETS). */
 	return shift * HISTOGRAM_SUB_BUCKETS + (unsigned int)(value >> shift);
 }
 
--- a/standin/load/histogram.h
+++ b/standin/load/histogram.h
@@ -1,14 +1,14 @@
 /*
  * NAME
- *	histogram - counts of latencies in log-linear buckets
+ *	histogram - latency histogram with log-linear buckets
  *
  * DESCRIPTION
- *	Each power of two is cut into 128 buckets, so that a value read back is
- *	less than 1 % above what was recorded, from microseconds to hours, in
- *	constant memory. Larger values count as the largest.
+ *	Each power of two is divided into 128 buckets. A quantile is therefore
+ *	less than 1 % above the recorded value, from microseconds to hours, in
+ *	constant memory. Values above the range are counted in the last bucket.
  *
  * SOURCE
- *	The layout of G. Tene's HdrHistogram.
+ *	The bucket layout is that of G. Tene's HdrHistogram.
  */
 #ifndef STANDIN_LOAD_HISTOGRAM_H
 #define STANDIN_LOAD_HISTOGRAM_H
@@ -30,8 +30,8 @@
 
 void histogram_record(struct histogram *histogram, uint64_t value);
 
-/* The smallest bucket's upper end that share (0 to 1) of the values don't
- * exceed; 0 where there are none. */
+/* RETURN VALUE: the smallest upper bound of a bucket that a share (0 to 1) of
+ * the values don't exceed, or 0 if the histogram is empty. */
 uint64_t histogram_quantile(const struct histogram *histogram, double share);
 
 double histogram_mean(const struct histogram *histogram);
--- a/standin/load/load.h
+++ b/standin/load/load.h
@@ -1,12 +1,13 @@
 /*
  * NAME
- *	load - open-loop load
+ *	load - open-loop load generator
  *
  * DESCRIPTION
- *	Calls start when the schedule says so, however slow the answers are,
- *	and their latency counts from that time. A generator that waits for
- *	answers would send least when the system is at its worst, and not see
- *	what callers see.
+ *	Calls start at their scheduled times, however slow the responses are,
+ *	and latency is measured from the scheduled time. A closed-loop
+ *	generator, which waits for responses, would send least while the system
+ *	is slowest (coordinated omission) and would not measure the latency
+ *	that independent callers see.
  */
 #ifndef STANDIN_LOAD_LOAD_H
 #define STANDIN_LOAD_LOAD_H
@@ -29,20 +30,20 @@
 };
 
 struct load_options {
-	char **targets; /* "http://IP:PORT", rotated */
-	char **paths; /* of idempotent calls, one drawn for each */
-	char **post_paths;
+	char **targets; /* "http://IP:PORT", used in rotation */
+	char **paths; /* of idempotent calls; each call uses a random one */
+	char **post_paths; /* of non-idempotent calls, likewise */
 	char **headers; /* "Name: value" */
 	char *host;
 	char *prefix; /* of the request ids */
 	char *id_header;
-	double rate; /* calls a second */
+	double rate; /* calls per second */
 	double seconds;
 	double share_nonidempotent;
-	gboolean even; /* even spacing; otherwise Poisson arrivals */
+	gboolean even; /* evenly spaced calls; otherwise Poisson arrivals */
 	int64_t seed;
-	int64_t deadline_ms; /* the caller hangs up then */
-	int64_t body_bytes; /* of a POST */
+	int64_t deadline_ms; /* the caller closes the connection after this */
+	int64_t body_bytes; /* of a POST request */
 	int max_open;
 	GArray *bursts;
 	char *calls_path;
@@ -52,19 +53,19 @@
 	OUTCOME_RUN,
 	OUTCOME_NOT_RUN,
 	OUTCOME_UNKNOWN,
-	OUTCOME_UNSAID, /* an answer without the header */
-	OUTCOME_UNCONNECTED, /* nothing was sent */
-	OUTCOME_TIMED_OUT, /* the caller hung up at its deadline */
-	OUTCOME_BROKEN, /* no whole answer */
+	OUTCOME_UNSAID, /* the response has no outcome header */
+	OUTCOME_UNCONNECTED, /* the connection was refused; nothing was sent */
+	OUTCOME_TIMED_OUT, /* the caller gave up at its deadline */
+	OUTCOME_BROKEN, /* the response was missing or incomplete */
 	OUTCOME_COUNT,
 };
 
 struct load_counts {
 	uint64_t scheduled;
 	uint64_t started;
-	uint64_t unstarted; /* more than max_open were open */
-	uint64_t served; /* 2xx, whole and the caller's own */
-	uint64_t wrong; /* 2xx, not the caller's own */
+	uint64_t unstarted; /* skipped since max_open calls were open */
+	uint64_t served; /* complete 2xx responses that match the request */
+	uint64_t wrong; /* 2xx responses to another request */
 	uint64_t outcomes[OUTCOME_COUNT];
 	uint64_t statuses[600];
 };
@@ -76,27 +77,28 @@
 	struct precise_timer timer;
 	GRand *random;
 	struct load_counts counts;
-	struct histogram served; /* latency of served calls, us */
-	struct histogram refused; /* of calls answered "not run" */
+	struct histogram served; /* latency of calls with a 2xx response, us */
+	struct histogram refused; /* latency of calls answered "not run", us */
 	FILE *calls;
 	int64_t start_us;
-	int64_t next_due_us; /* since start_us */
+	int64_t next_due_us; /* relative to start_us */
 	int open;
-	bool all_started; /* all calls have started */
+	bool all_started; /* no further call will start */
 	bool is_stopped;
 };
 
 const char *outcome_name(enum outcome outcome);
 
-/* call.c: one call, due at that monotonic time. */
+/* call.c: starts one call. due_us is the scheduled time on the monotonic
+ * clock. */
 void call_start(struct load *load, int64_t due_us);
 
-/* schedule.c: starts calls as they fall due, and leaves the loop once all
- * have ended. */
+/* schedule.c: starts calls at their scheduled times, and breaks the event loop
+ * once all calls have ended. */
 void schedule_start(struct load *load);
 void schedule_handle_call_end(struct load *load);
 
-/* RETURN VALUE: false where the text isn't AT_MS:FOR_MS:FACTOR. */
+/* Parses AT_MS:FOR_MS:FACTOR. RETURN VALUE: false if the text is malformed. */
 bool burst_parse(const char *text, struct burst *burst);
 
 /* summary.c */
--- a/standin/load/main.c
+++ b/standin/load/main.c
@@ -18,36 +18,39 @@
 
 static const GOptionEntry entries[] = {
 	{"target", 0, 0, G_OPTION_ARG_STRING_ARRAY, &options.targets,
-	 "entry to call, http://IP:PORT; may be repeated", "URL"},
+	 "daemon to call, http://IP:PORT; may be repeated", "URL"},
 	{"path", 0, 0, G_OPTION_ARG_STRING_ARRAY, &options.paths,
 	 "path of an idempotent call (GET); may be repeated", "PATH"},
 	{"post-path", 0, 0, G_OPTION_ARG_STRING_ARRAY, &options.post_paths,
 	 "path of a non-idempotent call (POST); may be repeated", "PATH"},
 	{"header", 0, 0, G_OPTION_ARG_STRING_ARRAY, &options.headers,
-	 "header of each call; may be repeated", "NAME: VALUE"},
+	 "header to add to each call; may be repeated", "NAME: VALUE"},
 	{"host", 0, 0, G_OPTION_ARG_STRING, &options.host, "Host header", "NAME"},
 	{"id-prefix", 0, 0, G_OPTION_ARG_STRING, &options.prefix,
-	 "start of the request ids", "TEXT"},
+	 "prefix of the request ids", "TEXT"},
 	{"id-header", 0, 0, G_OPTION_ARG_STRING, &options.id_header,
-	 "header that holds the id; X-Request-Id otherwise", "NAME"},
-	{"rate", 0, 0, G_OPTION_ARG_DOUBLE, &options.rate, "calls a second", "R"},
+	 "header that holds the id; X-Request-Id by default", "NAME"},
+	{"rate", 0, 0, G_OPTION_ARG_DOUBLE, &options.rate, "calls per second",
+	 "R"},
 	{"seconds", 0, 0, G_OPTION_ARG_DOUBLE, &options.seconds,
-	 "how long calls start", "S"},
+	 "time during which calls start", "S"},
 	{"share-nonidempotent", 0, 0, G_OPTION_ARG_DOUBLE,
 	 &options.share_nonidempotent, "share of POST calls", "SHARE"},
 	{"body-bytes", 0, 0, G_OPTION_ARG_INT64, &options.body_bytes,
-	 "body of a POST", "N"},
+	 "size of a POST body", "N"},
 	{"even", 0, 0, G_OPTION_ARG_NONE, &options.even,
-	 "even spacing in place of Poisson arrivals", NULL},
+	 "evenly spaced calls instead of Poisson arrivals", NULL},
 	{"burst", 0, 0, G_OPTION_ARG_STRING_ARRAY, &burst_texts,
-	 "a time of another rate; may be repeated", "AT_MS:FOR_MS:FACTOR"},
-	{"seed", 0, 0, G_OPTION_ARG_INT64, &options.seed, "seed", "N"},
+	 "period in which the rate is multiplied; may be repeated",
+	 "AT_MS:FOR_MS:FACTOR"},
+	{"seed", 0, 0, G_OPTION_ARG_INT64, &options.seed,
+	 "seed of the random numbers", "N"},
 	{"deadline-ms", 0, 0, G_OPTION_ARG_INT64, &options.deadline_ms,
-	 "when the caller hangs up", "MS"},
+	 "time after which the caller closes its connection", "MS"},
 	{"max-open", 0, 0, G_OPTION_ARG_INT, &options.max_open,
-	 "calls open at once at most", "N"},
+	 "maximum number of calls open at once", "N"},
 	{"calls", 0, 0, G_OPTION_ARG_FILENAME, &options.calls_path,
-	 "file for a line per call: id method status outcome latency_us "
+	 "file for one line per call: id method status outcome latency_us "
 	 "due_us path [wrong]",
 	 "FILE"},
 	{0},
@@ -67,7 +70,10 @@
 		struct burst burst;
 
 		if (!burst_parse(*text, &burst)) {
-			fprintf(stderr, "not AT_MS:FOR_MS:FACTOR: %s\n", *text);
+			fprintf(stderr,
+				"invalid burst %s, expected "
+				"AT_MS:FOR_MS:FACTOR\n",
+				*text);
 			exit(2);
 		}
 		g_array_append_val(options.bursts, burst);
@@ -76,9 +82,11 @@
 
 static void read_options(int argc, char **argv)
 {
-	standin_parse_options(&argc, &argv, entries, "Open-loop load for tests.");
+	standin_parse_options(&argc, &argv, entries,
+			      "Open-loop load generator for tests.");
 	if (!options.targets || options.rate <= 0) {
-		fprintf(stderr, "--target and a positive --rate are needed\n");
+		fprintf(stderr,
+			"--target and a positive --rate are required\n");
 		exit(2);
 	}
 	options.paths = default_paths(options.paths);
@@ -105,7 +113,7 @@
 	g_free(options.calls_path);
 }
 
-/* Starts no more calls; the summary tells of those that were made. */
+/* Stops starting calls. The summary covers those that were started. */
 static void handle_stop(void *data)
 {
 	struct load *load = data;
--- a/standin/load/schedule.c
+++ b/standin/load/schedule.c
@@ -30,7 +30,7 @@
 	return rate;
 }
 
-/* When the rate changes next, or INT64_MAX. */
+/* RETURN VALUE: the time of the next change of the rate, or INT64_MAX. */
 static int64_t next_change_us(const struct load *load, int64_t since_us)
 {
 	int64_t next_us = INT64_MAX;
@@ -58,9 +58,9 @@
 }
 
 /*
- * A gap that reaches past a change of the rate is drawn anew from there;
- * otherwise a slow rate would let the start of a burst pass unnoticed. Poisson
- * arrivals have no memory, so this bends nothing.
+ * A gap that extends past a change of the rate is drawn again from the time of
+ * the change. Otherwise the long gaps of a low rate would skip the start of a
+ * burst. Poisson arrivals are memoryless, so this does not bias them.
  */
 static int64_t next_due_us(struct load *load, int64_t since_us)
 {
--- a/standin/platform/command.c
+++ b/standin/platform/command.c
@@ -2,14 +2,15 @@
 
 #include "standin.h"
 
-/* Forgets what changed, but not the rows. */
+/* Discards the change history, so that older watches get 410, but keeps the
+ * rows. */
 void command_compact(struct platform *platform, struct http_request *request)
 {
 	platform->table.compacted_version = platform->table.version;
 	platform_reply_status(platform, request, 200);
 }
 
-/* Watches break off, as the store was away meanwhile. */
+/* Also closes all watches, since a store is unavailable during a restore. */
 void command_restore(struct platform *platform, struct http_request *request)
 {
 	struct json_object *command =
--- a/standin/platform/command.h
+++ b/standin/platform/command.h
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	command - what a test tells the platform's stand-in
+ *	command - control requests from a test to the platform stand-in
  */
 #ifndef STANDIN_PLATFORM_COMMAND_H
 #define STANDIN_PLATFORM_COMMAND_H
--- a/standin/platform/main.c
+++ b/standin/platform/main.c
@@ -1,12 +1,18 @@
 /*
- * The platform's stand-in: the store that is described by the names in
- * platform/wire.h, with its table service and its objects, in memory.
+ * The platform stand-in: an in-memory implementation of the store whose
+ * protocol is named in platform/wire.h, with its table service and objects.
  *
- * For the test: POST /standin/fault {"down", "silent", "status", "slow_ms",
- * "lose_answer_share", "lose_next", "late_ms", "seed"}, POST /standin/compact,
- * POST /standin/restore {"transactions"}, which takes back the last ones, POST
- * /standin/operator with a transaction that may write to every table, GET
- * /standin/history, GET /standin/stats.
+ * A test controls it by these requests:
+ *
+ *	POST /standin/fault	sets members of struct faults: "down", "silent",
+ *				"status", "slow_ms", "lose_answer_share",
+ *				"lose_next", "late_ms"; and "seed"
+ *	POST /standin/compact	discards the change history
+ *	POST /standin/restore	undoes the last {"transactions"} transactions
+ *	POST /standin/operator	applies a transaction that may write to every
+ *				table
+ *	GET /standin/history	lists the applied transactions
+ *	GET /standin/stats	shows counts of reads, writes and lost answers
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -23,10 +29,10 @@
 
 #define MAX_BODY_BYTES ((size_t)(64 * 1024 * 1024))
 #define WAIT_MAX_MS 30000
-/* Nobody waits so long for an answer. */
+/* Longer than any client waits for a response. */
 #define SILENCE_MS 3600000
 
-/* A request that is held up: by a fault, or because it waits for a change. */
+/* A request that a fault holds back, or a watch that waits for a change. */
 struct delayed {
 	LIST_ENTRY(delayed) link;
 	struct platform *platform;
@@ -35,7 +41,7 @@
 	ev_timer timer;
 };
 
-/* A transaction that is applied after its caller was given up. */
+/* A transaction that is applied after its connection was aborted. */
 struct late_write {
 	LIST_ENTRY(late_write) link;
 	struct platform *platform;
@@ -111,7 +117,7 @@
 static void delay(struct platform *platform, struct http_request *request,
 		  int64_t ms, bool is_watch);
 
-/* RETURN VALUE: false while there is nothing to tell. */
+/* RETURN VALUE: false, without a reply, if nothing has changed yet. */
 static bool reply_with_changes(struct platform *platform,
 			       struct http_request *request)
 {
@@ -214,7 +220,8 @@
 	notify_watchers(platform);
 }
 
-/* Applied, now or later, and never answered. */
+/* Applies the transaction, now or later, and aborts the request without a
+ * response. */
 static void transact_unanswered(struct platform *platform,
 				struct http_request *request)
 {
@@ -272,7 +279,7 @@
 	const char *method;
 	const char *path;
 	bool is_prefix;
-	bool is_command; /* from the test, past all faults */
+	bool is_command; /* from the test; faults don't apply */
 	void (*handle)(struct platform *platform, struct http_request *request);
 } routes[] = {
 	{"POST", "/standin/fault", false, true, command_set_faults},
@@ -311,7 +318,7 @@
 	g_free(delayed);
 }
 
-/* The server can't be destroyed while requests are held up. */
+/* The HTTP server can't be destroyed while requests are held back. */
 void platform_abort_delayed(struct platform *platform)
 {
 	struct delayed *delayed;
--- a/standin/platform/objects.c
+++ b/standin/platform/objects.c
@@ -14,7 +14,8 @@
 	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_bytes);
 }
 
-/* Percent-encoding undone; NULL where it is wrong. */
+/* RETURN VALUE: the percent-decoded rest of the path, or NULL if the encoding
+ * is invalid. */
 static char *object_name(const struct http_request *request, const char *prefix)
 {
 	return g_uri_unescape_string(http_request_path(request) + strlen(prefix),
--- a/standin/platform/objects.h
+++ b/standin/platform/objects.h
@@ -1,10 +1,10 @@
 /*
  * NAME
- *	objects - the object store of the platform's stand-in
+ *	objects - the object store of the platform stand-in
  *
  * DESCRIPTION
- *	Named bytes in memory. A name is the end of a request's path,
- *	percent-encoded.
+ *	Keeps named byte strings in memory. The name is the percent-encoded
+ *	rest of the request's path after the route's prefix.
  */
 #ifndef STANDIN_PLATFORM_OBJECTS_H
 #define STANDIN_PLATFORM_OBJECTS_H
@@ -16,10 +16,11 @@
 
 GHashTable *objects_create(void);
 
-/* Takes the body of a request. RETURN VALUE: false where its name is wrong. */
+/* Stores the body of a request. RETURN VALUE: false if the name is invalid. */
 bool objects_put(GHashTable *objects, const struct http_request *request);
 
-/* RETURN VALUE: false where there is none of that name; nothing is replied. */
+/* Replies with an object. RETURN VALUE: false, without a reply, if there is no
+ * object of that name. */
 bool objects_reply(GHashTable *objects, struct http_request *request);
 
 #endif
--- a/standin/platform/platform.h
+++ b/standin/platform/platform.h
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	platform - what the parts of the platform's stand-in share
+ *	platform - state and replies shared within the platform stand-in
  */
 #ifndef STANDIN_PLATFORM_H
 #define STANDIN_PLATFORM_H
@@ -13,13 +13,15 @@
 #include "table.h"
 
 struct faults {
-	gboolean down; /* every connection is closed without an answer */
-	gboolean silent; /* no call is answered */
-	int64_t status; /* said to every call that is refused; 0: none is */
-	int64_t slow_ms;
-	double lose_answer_share; /* of the writes: applied, not answered */
+	gboolean down; /* every connection is closed without a response */
+	gboolean silent; /* requests stay open without a response */
+	int64_t status; /* status sent to every request; 0: no such fault */
+	int64_t slow_ms; /* delay before every request is handled */
+	/* Share of writes, and number of next writes, that are applied without a
+	 * response. */
+	double lose_answer_share;
 	int64_t lose_next;
-	int64_t late_ms; /* such a write is applied so much later */
+	int64_t late_ms; /* delay before such a transaction is applied */
 };
 
 struct delayed;
@@ -29,7 +31,7 @@
 	struct ev_loop *loop;
 	struct http_server *server;
 	struct table table;
-	unsigned int era; /* rises with each restore */
+	unsigned int era; /* incremented by each restore */
 	GHashTable *objects; /* name -> GBytes */
 	struct faults faults;
 	GRand *random;
@@ -40,19 +42,20 @@
 	LIST_HEAD(, late_write) late_writes;
 };
 
-/* Each answer tells the era. */
+/* All replies carry the store's era in a header. */
 void platform_reply_text(const struct platform *platform,
 			 struct http_request *request, unsigned int status,
 			 const char *text);
 
-/* Gives the object up. */
+/* Takes ownership of the object. */
 void platform_reply_json(const struct platform *platform,
 			 struct http_request *request, unsigned int status,
 			 struct json_object *object);
 void platform_reply_status(const struct platform *platform,
 			   struct http_request *request, unsigned int status);
 
-/* Breaks off the requests that are held up, and drops writes that are to come. */
+/* Aborts the requests that are held back, and discards the transactions that
+ * were to be applied later. */
 void platform_abort_delayed(struct platform *platform);
 
 #endif
--- a/standin/platform/table.c
+++ b/standin/platform/table.c
@@ -214,7 +214,7 @@
 	return strcmp(table, "op") == 0 || strcmp(table, "servers") == 0;
 }
 
-/* All entries must be readable and share one part. */
+/* All entries must be well-formed and belong to the same part. */
 static enum table_status check_entries(struct json_object *transaction,
 				       bool is_operator)
 {
--- a/standin/platform/table.h
+++ b/standin/platform/table.h
@@ -1,15 +1,15 @@
 /*
  * NAME
- *	table - rows under conditional transactions, in memory
+ *	table - in-memory rows with conditional transactions
  *
  * DESCRIPTION
- *	A row is named by its table, part and key. A transaction's operations
- *	are applied all or none; its version, taken from one counter, becomes
- *	that of each row that it writes or deletes, so that no version ever
- *	stands for two values.
+ *	A row is identified by its table, part and key. A transaction applies
+ *	all of its operations or none. It takes its version from one counter and
+ *	gives it to each row that it writes or deletes, so that no version ever
+ *	denotes two values.
  *
- *	A condition is a row's version: 0 holds where there is no row, whatever
- *	version it once had.
+ *	A condition compares a row's version. Version 0 matches a row that does
+ *	not exist, whatever version it had before it was deleted.
  */
 #ifndef STANDIN_PLATFORM_TABLE_H
 #define STANDIN_PLATFORM_TABLE_H
@@ -23,9 +23,11 @@
 
 struct table {
 	GTree *rows; /* "TABLE\1PART\1KEY" -> struct table_row */
-	struct json_object *history; /* what was applied, for the test */
+	struct json_object *history; /* applied transactions, for the test */
 	uint64_t version; /* of the last transaction */
-	uint64_t compacted_version; /* changes up to this one can't be fed any more */
+	/* A watch can't start from a version before this one: the change
+	 * history is discarded up to it. */
+	uint64_t compacted_version;
 };
 
 struct table_row {
@@ -33,7 +35,7 @@
 	char *part;
 	char *key;
 	uint64_t version;
-	char *value; /* as it came, base64; NULL: deleted */
+	char *value; /* base64, as received; NULL: deleted */
 };
 
 enum table_status {
@@ -46,32 +48,34 @@
 void table_init(struct table *table);
 void table_finish(struct table *table);
 
-/* RETURN VALUE: NULL where there is no row. */
+/* RETURN VALUE: NULL if there is no such row. */
 const struct table_row *table_get(const struct table *table, const char *name,
 				  const char *part, const char *key);
 
 struct table_range {
 	const char *table;
 	const char *part;
-	const char *from; /* "": from the first */
-	const char *to; /* NULL: to the last */
+	const char *from; /* first key; "": from the first row */
+	const char *to; /* key after the last one; NULL: to the last row */
 	size_t limit; /* 0: TABLE_PAGE_ROWS */
 };
 
-/* {"rows", "hasMore", "ver"} of a range, in order of keys. */
+/* RETURN VALUE: {"rows", "hasMore", "ver"} of a range, in key order. */
 struct json_object *table_list(const struct table *table,
 			       const struct table_range *range);
 
-/* {"rows", "ver"}: rows of a table that changed after a version, in order of
- * their changes, deleted ones marked. RETURN VALUE: NULL if none did. */
+/* RETURN VALUE: {"rows", "ver"} with the rows of a table that changed after a
+ * version, in order of change, and a tombstone for each deleted row; NULL if no
+ * row changed. */
 struct json_object *table_changes(const struct table *table, const char *name,
 				  uint64_t after);
 
-/* Goes back to what it was before its last transactions. */
+/* Undoes the given number of most recent transactions. */
 void table_restore(struct table *table, uint64_t transactions);
 
-/* Applies a transaction, as an operator where it may write to every table.
- * *answer, the caller's, is {"ver"}, or {"rows", "ver"} of a conflict. */
+/* Applies a transaction. Only an operator may write to every table. *answer,
+ * owned by the caller, is {"ver"} on success, {"rows", "ver"} with the current
+ * rows on a conflict, and NULL otherwise. */
 enum table_status table_transact(struct table *table,
 				 struct json_object *transaction,
 				 bool is_operator, struct json_object **answer);
--- a/standin/precise_timer.c
+++ b/standin/precise_timer.c
@@ -45,7 +45,7 @@
 
 void precise_timer_set(struct precise_timer *timer, int64_t due_us)
 {
-	/* A time of 0 would disarm it. */
+	/* timerfd_settime() disarms the timer if the time is 0. */
 	int64_t at_us = due_us > 0 ? due_us : 1;
 	struct itimerspec spec = {
 		.it_value.tv_sec = (time_t)(at_us / US_PER_S),
--- a/standin/precise_timer.h
+++ b/standin/precise_timer.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	precise_timer - a one-shot timer on the loop, finer than a millisecond
+ *	precise_timer - one-shot timer on the event loop, finer than 1 ms
  *
  * DESCRIPTION
- *	libev waits in whole milliseconds, rounded up. Service times and
- *	arrivals of a stand-in would be that much late, which is more than
- *	what is to be measured.
+ *	libev rounds its timeouts up to whole milliseconds. With its timers, the
+ *	service times and arrivals of a stand-in would be late by up to 1 ms,
+ *	which is more than the effects that the tests and benchmarks measure.
  */
 #ifndef STANDIN_PRECISE_TIMER_H
 #define STANDIN_PRECISE_TIMER_H
@@ -20,12 +20,13 @@
 	void *data;
 };
 
-/* Ends the process where the kernel has no timer left. */
+/* Exits the process if the kernel can't create another timer. */
 void precise_timer_init(struct precise_timer *timer, struct ev_loop *loop,
 			void (*handle_due)(void *data), void *data);
 void precise_timer_finish(struct precise_timer *timer);
 
-/* Monotonic time in microseconds; one that has passed is due at once. */
+/* due_us is monotonic time in microseconds. A time in the past expires at
+ * once. */
 void precise_timer_set(struct precise_timer *timer, int64_t due_us);
 
 #endif
--- a/standin/upstream/main.c
+++ b/standin/upstream/main.c
@@ -25,41 +25,44 @@
 static char *distribution;
 
 static const GOptionEntry entries[] = {
-	{"port", 0, 0, G_OPTION_ARG_INT, &options.port, "port; 0: any", "N"},
+	{"port", 0, 0, G_OPTION_ARG_INT, &options.port,
+	 "port to listen on; 0: any free port", "N"},
 	{"told-port", 0, 0, G_OPTION_ARG_INT, &options.told_port,
-	 "port told in heartbeats; 0: its own", "N"},
-	{"slots", 0, 0, G_OPTION_ARG_INT, &options.slots, "slots", "N"},
+	 "port sent in heartbeats; 0: the listening port", "N"},
+	{"slots", 0, 0, G_OPTION_ARG_INT, &options.slots,
+	 "requests that run at the same time", "N"},
 	{"backlog", 0, 0, G_OPTION_ARG_INT, &options.backlog,
-	 "requests that may wait", "N"},
+	 "requests that may wait for a slot", "N"},
 	{"service-time-us", 0, 0, G_OPTION_ARG_INT64, &options.service_time_us,
 	 "mean service time", "US"},
 	{"distribution", 0, 0, G_OPTION_ARG_STRING, &distribution,
-	 "fixed, exponential or bimodal", "NAME"},
+	 "distribution of service times: fixed, exponential or bimodal", "NAME"},
 	{"long-time-us", 0, 0, G_OPTION_ARG_INT64, &options.long_time_us,
-	 "bimodal: time of the long ones", "US"},
+	 "bimodal: service time of long requests", "US"},
 	{"long-share", 0, 0, G_OPTION_ARG_DOUBLE, &options.long_share,
-	 "bimodal: share of the long ones", "SHARE"},
-	{"seed", 0, 0, G_OPTION_ARG_INT64, &options.seed, "seed", "N"},
+	 "bimodal: share of long requests", "SHARE"},
+	{"seed", 0, 0, G_OPTION_ARG_INT64, &options.seed,
+	 "seed of the random numbers", "N"},
 	{"warm-ms", 0, 0, G_OPTION_ARG_INT64, &options.warm_ms,
-	 "length of the cold start", "MS"},
+	 "duration of the cold start", "MS"},
 	{"cold-factor", 0, 0, G_OPTION_ARG_DOUBLE, &options.cold_factor,
-	 "service time at the start, times", "FACTOR"},
+	 "factor on the service time at the start of a cold start", "FACTOR"},
 	{"report-lag-ms", 0, 0, G_OPTION_ARG_INT64, &options.report_lag_ms,
-	 "age of /health and /load", "MS"},
+	 "interval at which /health and /load are updated", "MS"},
 	{"announce", 0, 0, G_OPTION_ARG_STRING, &options.announce,
-	 "admin API of the daemon beside it", "URL"},
+	 "admin API of the daemon on the same host", "URL"},
 	{"group", 0, 0, G_OPTION_ARG_STRING_ARRAY, &options.groups,
-	 "upstream group announced; may be repeated", "NAME"},
+	 "upstream group to announce; may be repeated", "NAME"},
 	{"runs", 0, 0, G_OPTION_ARG_FILENAME, &options.runs_path,
 	 "file to append the id of each run to", "FILE"},
 	{"instance", 0, 0, G_OPTION_ARG_STRING, &options.instance,
-	 "id of this start, as on the users' platform", "ID"},
+	 "instance id; turns on the protocol of the users' platform", "ID"},
 	{"service", 0, 0, G_OPTION_ARG_STRING, &options.service,
-	 "service told in heartbeats", "NAME"},
+	 "service name sent in heartbeats", "NAME"},
 	{"report-to", 0, 0, G_OPTION_ARG_STRING, &options.report_to,
-	 "where heartbeats go", "IP:PORT"},
+	 "daemon that receives the heartbeats", "IP:PORT"},
 	{"heartbeat-ms", 0, 0, G_OPTION_ARG_INT64, &options.heartbeat_ms,
-	 "between two of them", "MS"},
+	 "interval between heartbeats", "MS"},
 	{0},
 };
 
@@ -76,7 +79,7 @@
 	return distribution == NULL;
 }
 
-/* Lets what is in flight finish, and takes no more. */
+/* Stops accepting requests and exits the loop once those in flight are done. */
 static void handle_stop(void *data)
 {
 	struct upstream *upstream = data;
@@ -126,7 +129,7 @@
 	struct upstream upstream = {.faults.factor = 1.0,
 				    .faults.pace_percent = 100};
 
-	standin_parse_options(&argc, &argv, entries, "A back end for tests.");
+	standin_parse_options(&argc, &argv, entries, "Backend server for tests.");
 	if (!parse_distribution()) {
 		fprintf(stderr, "unknown distribution %s\n", distribution);
 		return 2;
--- a/standin/upstream/server.c
+++ b/standin/upstream/server.c
@@ -39,8 +39,8 @@
 }
 
 /*
- * A streamed answer repeats the request's id from end to end, so that its
- * caller can tell every byte for its own.
+ * A streamed response repeats the request's id throughout, so that the caller
+ * can check that each byte belongs to its own request.
  */
 static ssize_t read_stream(void *data, uint64_t position, char *buffer, size_t max)
 {
@@ -98,7 +98,8 @@
 	return response;
 }
 
-/* What upstreams on the users' platform tell with each answer. */
+/* Adds the headers that upstreams on the users' platform send with each
+ * response. */
 static void add_platform_headers(struct job *job, struct MHD_Response *response,
 				 const char *id)
 {
@@ -117,7 +118,8 @@
 	control_add_load_headers(upstream, response);
 }
 
-/* RETURN VALUE: the id that the answer bears; NULL: none. */
+/* RETURN VALUE: the request id to put into the response, or NULL for none. The
+ * strange_next fault replaces it by another one. */
 static const char *response_id(struct job *job)
 {
 	struct upstream_faults *faults = &job->upstream->faults;
--- a/standin/upstream/upstream.h
+++ b/standin/upstream/upstream.h
@@ -1,30 +1,35 @@
 /*
  * NAME
- *	upstream - a back end for tests
+ *	upstream - a backend server for tests
  *
  * DESCRIPTION
- *	Runs each request for a drawn service time in one of its slots, first
- *	come, first served, and keeps its own count of what it ran by request
- *	id: the judge of "at most once".
+ *	Runs each request for a random service time in one of its slots, in
+ *	order of arrival. It counts the runs of each request id; tests use
+ *	this count to verify that a request ran at most once.
  *
- *	A run is counted when its service starts. A closed connection or a
- *	passed X-Deadline-Ms takes a waiting request out before it runs.
+ *	A run is counted when its service starts. A waiting request is removed
+ *	before it runs if its connection closes or its X-Deadline-Ms passes.
  *
- *	/echo gives the body back, /bytes/N streams N bytes, /chunks/N the same
- *	without telling their number before, and any other path answers with a line that names the id. Each answer carries X-Request-Id,
- *	X-Body-Size, X-Body-Sha256 and X-Upstream-Port; one that is shed is a
- *	503 with X-Shed.
+ *	/echo returns the request body. /bytes/N streams N bytes with a
+ *	Content-Length, /chunks/N streams them without one. Any other path
+ *	returns a line with the request id. Each response carries X-Request-Id,
+ *	X-Body-Size, X-Body-Sha256 and X-Upstream-Port. A request that is shed
+ *	gets a 503 with X-Shed.
  *
  *	/crash/... ends the process at the end of its service time.
  *
- *	With an instance it speaks as upstreams on the users' platform do: their
- *	headers, a load header with the host's pace, 421 to requests that mean
- *	another instance, and heartbeats to the daemon beside it.
+ *	With an instance id, it uses the protocol of upstreams on the users'
+ *	platform: their headers, a load header with the host's pace, status 421
+ *	for requests to another instance, and heartbeats to the daemon on the
+ *	same host.
  *
- *	For the test: POST /standin/set takes the members of struct
- *	upstream_faults, "cold", which begins the cold start again, "leave" and
- *	"old_report"; GET
- *	/standin/runs?id=ID or for all ids gives struct upstream_counts.
+ *	A test controls it by these requests:
+ *
+ *	POST /standin/set	sets members of struct upstream_faults; "cold"
+ *				restarts the cold start, "leave" deregisters,
+ *				"old_report" repeats the last heartbeat
+ *	GET /standin/runs	shows struct upstream_counts and the runs of all
+ *				request ids, or of one with ?id=ID
  */
 #ifndef STANDIN_UPSTREAM_UPSTREAM_H
 #define STANDIN_UPSTREAM_UPSTREAM_H
@@ -49,41 +54,45 @@
 
 struct upstream_options {
 	int port;
-	int told_port; /* in heartbeats; 0: its own */
+	int told_port; /* sent in heartbeats; 0: the listening port */
 	int slots;
 	int backlog; /* requests that may wait for a slot */
-	int64_t service_time_us; /* mean; bimodal: of the short ones */
+	int64_t service_time_us; /* mean; bimodal: of the short requests */
 	int64_t long_time_us;
 	double long_share;
 	enum distribution distribution;
 	int64_t seed;
 	int64_t warm_ms;
-	double cold_factor; /* service time at the start, falls to 1 */
+	/* Factor on the service time at the start of a cold start; it falls
+	 * linearly to 1 within warm_ms. */
+	double cold_factor;
 	int64_t report_lag_ms;
 	char *announce; /* URL of the daemon's admin API, or NULL */
 	char **groups;
-	char *runs_path; /* a line for each run, which outlives a SIGKILL */
-	/* As on the users' platform: its headers, and heartbeats. */
-	char *instance; /* NULL: not so */
+	char *runs_path; /* gets one line per run, which survives a SIGKILL */
+	/* Protocol of the users' platform: its headers, and heartbeats. */
+	char *instance; /* NULL: the protocol is off */
 	char *service;
 	char *report_to; /* "IP:PORT" */
 	int64_t heartbeat_ms;
 };
 
-/* What a test commands through POST /standin/set. */
+/* Faults that a test injects through POST /standin/set. */
 struct upstream_faults {
-	double factor; /* times the service time */
-	gboolean fail_fast; /* 500 at once, without running */
-	gboolean freeze; /* answers are held back */
-	int64_t drop_next; /* connections to break without an answer */
-	gboolean drop_runs; /* the dropped ones run first */
-	gboolean sick; /* /health says so */
-	gboolean draining; /* heartbeats and /health say so */
-	gboolean deregistered; /* said good-bye: no heartbeats */
-	int64_t pace_percent; /* of the host, and times the service time */
-	int64_t strange_next; /* answers with another request's id */
-	gboolean mended; /* /crash/ ends nothing any more */
-	int64_t promise_next; /* 503 after the run, without a word on it */
+	double factor; /* multiplies the service time */
+	gboolean fail_fast; /* reply 500 at once, without running */
+	gboolean freeze; /* responses are held back */
+	int64_t drop_next; /* the next connections closed without a response */
+	gboolean drop_runs; /* requests run before their connection is closed */
+	gboolean sick; /* /health reports unhealthy */
+	gboolean draining; /* heartbeats and /health report draining */
+	gboolean deregistered; /* heartbeats have stopped */
+	int64_t pace_percent; /* reported pace; also scales the service time */
+	int64_t strange_next; /* the next responses with another request's id */
+	gboolean mended; /* /crash/ no longer ends the process */
+	/* The next responses that are 503 after a run, without a header that
+	 * says whether the request ran. */
+	int64_t promise_next;
 };
 
 struct upstream_report {
@@ -103,29 +112,29 @@
 	uint64_t cancelled_running;
 	uint64_t late;
 	uint64_t probes; /* GET /health and GET /load */
-	uint64_t misdirected; /* meant for another instance */
-	uint64_t acknowledged; /* heartbeats and good-byes */
+	uint64_t misdirected; /* requests to another instance */
+	uint64_t acknowledged; /* heartbeats and deregistrations */
 };
 
 enum job_state {
 	JOB_READING,
 	JOB_WAITING,
 	JOB_RUNNING,
-	JOB_HELD, /* finished, its answer frozen */
+	JOB_HELD, /* finished; the freeze fault holds the response back */
 	JOB_ANSWERING,
 };
 
 struct job {
-	TAILQ_ENTRY(job) link; /* in waiting, or in busy */
+	TAILQ_ENTRY(job) link; /* in upstream->waiting or upstream->busy */
 	struct upstream *upstream;
 	struct MHD_Connection *connection;
 	enum job_state state;
 	char *method;
 	char *path;
 	char *id;
-	char *caller_service; /* as told by the daemon; NULL: not told */
+	char *caller_service; /* from the daemon's header, or NULL */
 	GChecksum *digest;
-	GString *body; /* kept for /echo and commands only */
+	GString *body; /* only for /echo and control requests */
 	uint64_t body_size;
 	unsigned int status;
 	bool drop;
@@ -143,7 +152,7 @@
 	struct upstream_options options;
 	struct upstream_faults faults;
 	struct upstream_counts counts;
-	struct upstream_report report; /* as old as the lag says */
+	struct upstream_report report; /* updated every report_lag_ms */
 	struct http_server *server;
 	struct http_client *client;
 	struct job_list waiting;
@@ -152,7 +161,7 @@
 	int running;
 	int open_jobs;
 	int64_t started_us;
-	int64_t born_ms; /* of the wall clock, told in heartbeats */
+	int64_t born_ms; /* wall-clock start time, sent in heartbeats */
 	bool stopping;
 	GRand *random;
 	GHashTable *runs; /* id -> count */
@@ -160,34 +169,42 @@
 	ev_timer report_timer;
 	ev_timer announce_timer;
 	ev_timer heartbeat_timer;
-	uint64_t sequence; /* of the last one */
+	uint64_t sequence; /* of the last heartbeat */
 };
 
 /* server.c */
 struct http_server *upstream_listen(struct upstream *upstream);
 
-/* work.c: takes a request that was read whole. Afterwards its state is
- * JOB_ANSWERING, or it waits or runs and its connection is to be suspended. */
+/* work.c: accepts or refuses a request that was read completely. Afterwards
+ * either its state is JOB_ANSWERING, or it waits or runs and the caller of this
+ * function must suspend its connection. */
 void job_submit(struct job *job);
-void job_release(struct job *job); /* its connection ended */
+
+/* Frees a job whose connection ended. */
+void job_release(struct job *job);
+
+/* Sends the responses that the freeze fault held back. */
 void job_answer_held(struct upstream *upstream);
 
 /* control.c */
 bool control_is_command(const struct job *job);
 enum MHD_Result control_answer(struct job *job);
 
-/* What an upstream with an instance tells of itself with each answer. */
+/* Adds the load and instance headers that an upstream with an instance id sends
+ * with each response. */
 void control_add_load_headers(const struct upstream *upstream,
 			      struct MHD_Response *response);
 void control_start_reports(struct upstream *upstream);
 
-/* reports.c: heartbeats, a good-bye, and the last heartbeat once more, as one
- * that was held up on its way. */
+/* heartbeat.c */
 void heartbeat_start(struct upstream *upstream);
 void heartbeat_deregister(struct upstream *upstream);
+
+/* Repeats the last sequence number, like a heartbeat delayed in the network. */
 void heartbeat_resend_last(struct upstream *upstream);
 
-/* announce.c: tells the daemon beside it, again until that accepts. */
+/* announce.c: announces the upstream to the daemon on the same host, and
+ * retries until the daemon accepts. */
 void announce_start(struct upstream *upstream);
 
 #endif
--- a/standin/upstream/work.c
+++ b/standin/upstream/work.c
@@ -40,7 +40,7 @@
 			     (1.0 - (double)age_us / (double)warm_us);
 }
 
-/* Written at once: a killed process must not take its count with it. */
+/* Writes without buffering, so that the count survives a SIGKILL. */
 static void write_run(const struct upstream *upstream, const char *id)
 {
 	char *line;
@@ -75,7 +75,7 @@
 	ev_io_stop(job->upstream->loop, &job->closed);
 }
 
-/* Takes the job out of its list, without starting another. */
+/* Removes the job from its list without starting another. */
 static void job_remove(struct job *job)
 {
 	struct upstream *upstream = job->upstream;
@@ -184,8 +184,8 @@
 }
 
 /*
- * libmicrohttpd doesn't look at a suspended connection. Without this watch a
- * caller that went away would be noticed only after its work was done.
+ * libmicrohttpd doesn't poll a suspended connection. Without this watcher, a
+ * closed connection would be noticed only after its request had run.
  */
 static void handle_readable(struct ev_loop *loop, ev_io *io, int events)
 {
@@ -229,7 +229,8 @@
 	ev_timer_start(job->upstream->loop, &job->deadline);
 }
 
-/* The address was another instance's, which the sender meant. */
+/* RETURN VALUE: true if the request names another instance, which had this
+ * address before. */
 static bool is_misdirected(const struct job *job)
 {
 	const char *expected =
