--- a/bench/bench_freeze.c
+++ b/bench/bench_freeze.c
@@ -1,6 +1,7 @@
 /*
- * What it costs to note, at each tick of the owner's sweep and of gossip, what
- * the loop's thread has used so far.
+ * Measures the cost of freeze_mark(), which records what the event loop's
+ * thread has used so far. It runs at each sweep of the owner and at each gossip
+ * tick.
  */
 #include <stdio.h>
 #include <time.h>
@@ -10,7 +11,7 @@
 
 #define MARKS 200000
 #define ROUNDS 5
-#define MARKS_PER_S 30 /* 10 sweeps and 20 ticks */
+#define MARKS_PER_S 30 /* 10 owner sweeps and 20 gossip ticks */
 
 static int64_t cpu_us(void)
 {
@@ -31,9 +32,10 @@
 		for (int i = 0; i < MARKS; i++)
 			freeze_mark(&mark);
 		each = (double)(cpu_us() - before) / MARKS;
-		printf("%.3f us a mark, %.4f %% of a core at %d a second%s\n",
+		printf("%.3f us per mark, %.4f %% of a core at %d per "
+		       "second%s\n",
 		       each, each * MARKS_PER_S / US_PER_S * 100, MARKS_PER_S,
-		       mark.waited_us < 0 ? " (waited not known)" : "");
+		       mark.waited_us < 0 ? " (wait time unknown)" : "");
 	}
 	return 0;
 }
--- a/bench/bench_log.c
+++ b/bench/bench_log.c
@@ -1,6 +1,7 @@
 /*
- * What a line of the log costs: rendered and written to a pipe whose reader
- * keeps up, left out by the budget, and dropped as the reader stalls.
+ * Measures the processor time of a log line in three cases: it is rendered and
+ * written to a pipe whose reader keeps up, left out by the budget of lines and
+ * bytes per second, or left out since the format is "none".
  */
 #include <fcntl.h>
 #include <glib.h>
@@ -11,7 +12,7 @@
 #include "common/log.h"
 
 #define LINES 200000
-#define LINES_PER_FLUSH 20 /* of one turn of a busy daemon's loop */
+#define LINES_PER_FLUSH 20 /* of one iteration of a busy event loop */
 #define NO_BUDGET_LINES 100000000
 #define NO_BUDGET_BYTES 2000000000
 
@@ -42,7 +43,7 @@
 	int64_t before = cpu_us();
 
 	log_lines();
-	fprintf(stderr, "%-34s %6.3f us a line\n", what,
+	fprintf(stderr, "%-34s %6.3f us per line\n", what,
 		(double)(cpu_us() - before) / LINES);
 }
 
--- a/bench/bench_swim.c
+++ b/bench/bench_swim.c
@@ -1,15 +1,16 @@
 /*
  * NAME
- *	bench_swim - what membership costs one daemon
+ *	bench_swim - cost of SWIM membership for one daemon
  *
  * SYNOPSIS
  *	bench-swim [HOSTS [CHANGES_PER_S]]
  *
  * DESCRIPTION
- *	Fills a table, then runs one machine for ten simulated minutes against
- *	peers that answer at once: each second one ping and one sync request
- *	come in besides, and the changes, each as often as others would send
- *	it. Prints memory a host, and processor time and bytes out a second.
+ *	Fills a member table, then runs one SWIM state machine for ten
+ *	simulated minutes against peers that acknowledge at once. Each second it
+ *	also receives one ping, one sync request and the changes, each change
+ *	as often as a real cluster would send it to one host. Prints the memory
+ *	per host, and the processor time and the bytes sent per second.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -53,7 +54,8 @@
 		 i / 250, i % 250);
 }
 
-/* Keeps the ack to a ping until the machine has returned. */
+/* Keeps the ack to a ping. deliver_ack() passes it on after the state machine
+ * has returned. */
 static void bench_send(const char *address, uint16_t port, const uint8_t *body,
 		       size_t size, void *data)
 {
@@ -197,10 +199,10 @@
 		fill_member(&member, i);
 		member_table_update(bench.table, &member, bench.now_us);
 	}
-	printf("memory: %zu bytes, %.0f a host of %d\n",
+	printf("memory: %zu bytes, %.0f per host with %d hosts\n",
 	       mallinfo2().uordblks - before,
 	       (double)(mallinfo2().uordblks - before) / hosts, hosts);
-	/* Let the news of the filling run out. */
+	/* Lets the dissemination of the filled-in members finish. */
 	while (bench.now_us < 4 * 3600 * (int64_t)1000000) {
 		bench.now_us += SWIM_TICK_US;
 		swim_tick(bench.swim, bench.now_us);
--- a/bench/capacity/bench_cluster.c
+++ b/bench/capacity/bench_cluster.c
@@ -1,16 +1,17 @@
 /*
  * NAME
- *	bench_cluster - what daemons at rest cost, by their number
+ *	bench_cluster - cost of idle daemons, by the number of daemons
  *
  * SYNOPSIS
  *	bench-cluster SECONDS DAEMONS...
  *
  * DESCRIPTION
- *	For each size: starts so many real daemons and a platform on loopback,
- *	announces an upstream to each, waits until all know all, lets the news
- *	run out and measures for so many seconds. Then it drains one upstream
- *	and kills another daemon, and takes the time until SAMPLES others know.
- *	The bytes count 28 a packet for IP and UDP.
+ *	For each size: starts that number of real daemons and a platform
+ *	stand-in on loopback, announces an upstream to each, waits until every
+ *	daemon knows every upstream, lets gossip settle and measures for SECONDS
+ *	seconds. Then it drains one upstream and kills another daemon, and
+ *	measures the time until SAMPLES other daemons know. The bytes include 28
+ *	per packet for the IP and UDP headers.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -33,9 +34,9 @@
 	int64_t rss_kib;
 	int64_t bytes_in;
 	int64_t bytes_out;
-	int64_t reads; /* of the platform, by all daemons */
+	int64_t reads; /* from the platform, by all daemons */
 	int64_t writes;
-	int64_t head_reads; /* of them, of the configuration's head row */
+	int64_t head_reads; /* reads of the configuration's head row */
 	int64_t at_us;
 };
 
@@ -45,8 +46,8 @@
 	const char *key_file;
 	struct rig_process *daemons[DAEMONS_MAX];
 	unsigned int count;
-	const char *awaited; /* text in /v1/hosts */
-	unsigned int awaited_times;
+	const char *awaited; /* text to wait for in /v1/hosts */
+	unsigned int awaited_times; /* minimum number of its occurrences */
 };
 
 struct fits {
@@ -110,7 +111,7 @@
 	return count >= bench->awaited_times;
 }
 
-/* Looks at the first daemons only: the last two are drained and killed. */
+/* Checks only the first daemons, since the last two are drained and killed. */
 static bool samples_know(void *data)
 {
 	const struct bench *bench = data;
@@ -156,8 +157,8 @@
 	g_free(stats);
 }
 
-/* The processor time is read last at the start and first at the end: answering
- * the other readings must not count. */
+/* Reads the processor time last at the start and first at the end, so that it
+ * does not include the daemons' work for the other readings. */
 static struct totals read_totals(struct bench *bench, bool is_start)
 {
 	struct totals totals = {0};
@@ -209,9 +210,9 @@
 	       bench->count, cpu, (double)to.rss_kib / 1024 / n,
 	       (double)(to.bytes_in - from.bytes_in) / s / n,
 	       (double)(to.bytes_out - from.bytes_out) / s / n);
-	printf("daemons %u: since their starts the platform has served %.2f "
-	       "reads and %.2f writes each but for head rows; now %.2f reads/s "
-	       "and %.2f writes/s in all\n",
+	printf("daemons %u: since the start the platform has served %.2f reads "
+	       "(without head rows) and %.2f writes per daemon; now %.2f "
+	       "reads/s and %.2f writes/s in total\n",
 	       bench->count, (double)(from.reads - from.head_reads) / n,
 	       (double)from.writes / n, (double)(to.reads - from.reads) / s,
 	       (double)(to.writes - from.writes) / s);
@@ -245,7 +246,7 @@
 	drain_s = await(bench, "\"service\":\"draining\"", 1);
 	rig_kill(killed);
 	death_s = await(bench, "\"state\":\"dead\"", 1);
-	printf("daemons %u: a drain known to %u others after %.2f s, a kill "
+	printf("daemons %u: a drain is known to %u others after %.2f s, a kill "
 	       "after %.1f s\n",
 	       bench->count, MIN(SAMPLES, bench->count - 2), drain_s, death_s);
 }
@@ -265,8 +266,8 @@
 	bench.awaited = "\"service\":\"up\"";
 	bench.awaited_times = count;
 	if (!rig_wait_until(all_know, &bench, UP_TIMEOUT_MS))
-		g_error("not all of %u daemons know all", count);
-	printf("daemons %u: all know all after %.1f s, the starts included\n",
+		g_error("not all of %u daemons know all upstreams", count);
+	printf("daemons %u: all know all after %.1f s, including the starts\n",
 	       count, (double)(g_get_monotonic_time() - began) / 1e6);
 	rig_sleep_ms(SETTLE_S * 1000);
 	measure_idle(&bench, seconds, fits);
--- a/bench/capacity/bench_config.c
+++ b/bench/capacity/bench_config.c
@@ -1,14 +1,14 @@
 /*
  * NAME
- *	bench_config - what the configuration costs, by the number of services
+ *	bench_config - cost of the configuration, by the number of services
  *
  * SYNOPSIS
  *	bench-config SERVICES...
  *
  * DESCRIPTION
- *	For each size: checks and takes in one file of four services after the
- *	other, as a daemon does with what was applied, and prints the memory
- *	and the time of each file, the time to find the rule of a request, and
+ *	For each size: checks and loads files of four services one after the
+ *	other, as a daemon does with applied files. Prints the memory of all
+ *	files, the time per file, the time to find the rule of a request, and
  *	the size of the head row.
  */
 #include <malloc.h>
@@ -116,14 +116,15 @@
 		double began = now_s();
 
 		snapshot = take_file(snapshot, i, &head);
-		/* The mean of the last tenth, where the rest is in place. */
+		/* Averages over the last tenth of the files, when nearly the
+		 * whole configuration is in place. */
 		if (i >= files - last_files)
 			last_us += (now_s() - began) * 1e6 / last_files;
 	}
 	kib = (double)(mallinfo2().uordblks - before) / 1024;
 	match_us = time_match(snapshot, files);
 	row = config_head_to_text(&head);
-	printf("services %d: %.0f KiB in %d files, %.0f us a file taken in, "
+	printf("services %d: %.0f KiB in %d files, %.0f us to load a file, "
 	       "%.2f us to find a rule, head row %zu bytes\n",
 	       services, kib, files, last_us, match_us, strlen(row));
 	usage_fit_add(memory, services, kib);
@@ -144,7 +145,7 @@
 		run_size(MAX(atoi(argv[i]), SERVICES_PER_FILE * 10), &memory,
 			 &take, &match);
 	usage_fit_print(&memory, "KiB", DEPLOYMENT_SIZE);
-	usage_fit_print(&take, "us a file taken in", DEPLOYMENT_SIZE);
+	usage_fit_print(&take, "us to load a file", DEPLOYMENT_SIZE);
 	usage_fit_print(&match, "us to find a rule", DEPLOYMENT_SIZE);
 	return 0;
 }
--- a/bench/capacity/bench_daemon.c
+++ b/bench/capacity/bench_daemon.c
@@ -1,17 +1,18 @@
 /*
  * NAME
- *	bench_daemon - what one daemon costs among many hosts
+ *	bench_daemon - cost of one daemon, by the number of hosts
  *
  * SYNOPSIS
  *	bench-daemon SECONDS HOSTS...
  *
  * DESCRIPTION
  *	For each size: starts a real daemon with a configuration of one service
- *	for each eight hosts, lets it join a crowd of so many hosts by gossip,
- *	and measures memory at each step, then processor time and bytes for so
- *	many seconds at rest and at several rates of changes. Then it calls
- *	each service once, so that the entry keeps state for it, and lists the
- *	hosts. The bytes count 28 a packet for IP and UDP.
+ *	per eight hosts and lets it join that number of simulated hosts by
+ *	gossip. Measures the memory after each step, then processor time and
+ *	bytes for SECONDS seconds without changes and at several rates of
+ *	changes. Then it calls each service once, so that the entry keeps state
+ *	for it, and lists the hosts. The bytes include 28 per packet for the IP
+ *	and UDP headers.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -138,7 +139,7 @@
 		fake_peers_run(bench->peers, JOIN_ROUND_MS);
 	seconds = (double)(g_get_monotonic_time() - began) / 1e6;
 	cpu = usage_cpu_ns(bench->daemon->pid) - cpu;
-	printf("hosts %d: joined with %d known after %.1f s, %.0f bytes in, "
+	printf("hosts %d: joined, %d known after %.1f s, %.0f bytes in, "
 	       "%.0f bytes out, %.2f s of processor time\n",
 	       bench->hosts, (int)count_hosts(bench), seconds,
 	       wire_bytes(bench, "in"), wire_bytes(bench, "out"),
@@ -146,7 +147,7 @@
 	usage_fit_add(&fits->join, bench->hosts, seconds);
 }
 
-/* RETURN VALUE: percent of a core. */
+/* RETURN VALUE: the processor time in percent of a core. */
 static double measure(struct bench *bench, int seconds, double changes_per_s)
 {
 	double in;
@@ -174,7 +175,8 @@
 	return percent;
 }
 
-/* The daemon makes each page in one turn of its loop. */
+/* Measures each page by itself, since the daemon renders a page in one
+ * iteration of its event loop. */
 static void list_hosts(struct bench *bench, struct fits *fits)
 {
 	char *path = g_strdup("/v1/hosts");
@@ -201,8 +203,8 @@
 		}
 		g_free(page);
 	}
-	printf("hosts %d: listed in %u pages, %zu bytes, %.1f ms of processor "
-	       "time for a page at most\n",
+	printf("hosts %d: listed in %u pages, %zu bytes, at most %.1f ms of "
+	       "processor time per page\n",
 	       bench->hosts, pages, bytes, most_ms);
 	usage_fit_add(&fits->list, bench->hosts, most_ms);
 }
@@ -238,8 +240,9 @@
 	measure(&bench, seconds, 20);
 	fake_peers_set_changes(bench.peers, 0);
 	call_services(&bench);
-	printf("hosts %d: resident with %d services' configuration %.2f MiB, "
-	       "and all members %.2f MiB, and all services called %.2f MiB\n",
+	printf("hosts %d: resident with the configuration of %d services %.2f "
+	       "MiB, with all members %.2f MiB, with all services called %.2f "
+	       "MiB\n",
 	       hosts, bench.services, config_mib, members_mib, rss_mib(&bench));
 	fflush(stdout);
 	usage_fit_add(&fits->config, hosts, config_mib);
@@ -271,7 +274,8 @@
 	usage_fit_print(&fits.with_services, "MiB with the services",
 			DEPLOYMENT_SIZE);
 	usage_fit_print(&fits.join, "s to join", DEPLOYMENT_SIZE);
-	usage_fit_print(&fits.idle, "percent of a core at rest", DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.idle, "percent of a core when idle",
+			DEPLOYMENT_SIZE);
 	usage_fit_print(&fits.busy, "percent of a core at 0.2 changes/s",
 			DEPLOYMENT_SIZE);
 	usage_fit_print(&fits.list, "ms for a page of hosts", DEPLOYMENT_SIZE);
--- a/bench/capacity/bench_depth.c
+++ b/bench/capacity/bench_depth.c
@@ -1,17 +1,18 @@
 /*
  * NAME
- *	bench_depth - what retries become over layers of calls
+ *	bench_depth - amplification of retries over layers of calls
  *
  * SYNOPSIS
  *	bench-depth LAYERS...
  *
  * DESCRIPTION
- *	Each layer's service calls the one below; the lowest fails every call.
- *	Each layer retries as an entry does: attempts by deadline_attempts(),
- *	paid for from a budget of 10% of its calls by retry_decide(). Prints
- *	the calls that reach the lowest service for each one at the top, beside
- *	the three attempts at each layer that the rules allow, with no regard
- *	to depth; and what remains of a deadline of two seconds.
+ *	Each layer's service calls the one below, and the lowest service fails
+ *	every call. Each layer retries as an entry does: deadline_attempts()
+ *	limits the attempts, and retry_decide() takes each retry from a budget
+ *	of 10% of the calls. Prints the number of calls that reach the lowest
+ *	service per call at the top. For comparison it prints the number if each
+ *	layer made the three attempts that the rules allow, regardless of depth.
+ *	It also prints what remains of a deadline of two seconds.
  */
 #include <math.h>
 #include <stdio.h>
@@ -93,8 +94,8 @@
 		bench->now_us += GAP_US;
 		call(bench, 0);
 	}
-	printf("layers %u: %.2f calls at the lowest for one at the top, %.0f "
-	       "without regard to depth; %.0f ms of 2000 remain\n",
+	printf("layers %u: %.2f calls at the lowest per call at the top, %.0f "
+	       "regardless of depth; %.0f ms of 2000 remain\n",
 	       layers, (double)bench->lowest_calls / CALLS,
 	       pow(ATTEMPTS, layers), remaining_ms(layers));
 	g_free(bench);
--- a/bench/capacity/bench_links.c
+++ b/bench/capacity/bench_links.c
@@ -1,15 +1,16 @@
 /*
  * NAME
- *	bench_links - what connections between daemons cost
+ *	bench_links - cost of connections between daemons
  *
  * SYNOPSIS
  *	bench-links CONNECTIONS...
  *
  * DESCRIPTION
- *	For each size: opens so many connections from one entry to so many
- *	owners in one process, sends FRAMES frames of FRAME_BYTES each way on
- *	each, and prints the memory of both ends of a connection, resident and
- *	allocated, and the time of one connection's start.
+ *	For each size: opens connections from one entry to that number of owners
+ *	in one process and sends FRAMES frames of FRAME_BYTES in each direction
+ *	on each connection. Prints the resident and allocated memory of both
+ *	ends of a connection, and the processor time of one connection's start
+ *	and frames.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -59,7 +60,7 @@
 	peer_send(peer, &frame);
 }
 
-/* The owner sends each frame back; the entry counts. */
+/* The owner returns a frame for each frame, and the entry counts them. */
 static void handle_owner_frame(struct peer *peer, Cfd__Frame *frame, void *data)
 {
 	(void)frame;
@@ -156,7 +157,7 @@
 	rss_kib = (double)usage_rss_kib(getpid()) - rss_kib;
 	heap_kib = (double)mallinfo2().uordblks / 1024 - heap_kib;
 	printf("connections %zu: both ends %.2f KiB resident and %.2f KiB "
-	       "allocated each, %.0f us for start and %d frames each way\n",
+	       "allocated each, %.0f us to start and send %d frames each way\n",
 	       count, rss_kib / (double)count, heap_kib / (double)count,
 	       began / (double)count * 1e6, FRAMES);
 	usage_fit_add(resident, (double)count, rss_kib / 1024);
--- a/bench/capacity/bench_lost.c
+++ b/bench/capacity/bench_lost.c
@@ -1,15 +1,16 @@
 /*
  * NAME
- *	bench_lost - what the loss of one connection costs an entry
+ *	bench_lost - cost to an entry of the loss of one connection
  *
  * SYNOPSIS
  *	bench-lost CALLS...
  *
  * DESCRIPTION
- *	For each size: begins so many calls to a service whose only upstream
- *	takes connections and says nothing, and a tenth as many to another,
- *	then breaks the other's connection and prints the time until the entry
- *	has ended all calls on it.
+ *	For each size: starts that number of calls, nine tenths of them to a
+ *	service whose only upstream host accepts connections and never
+ *	responds, and one tenth to another such service. Then it breaks the
+ *	connection of the smaller part, and prints the processor time until the
+ *	entry has ended all calls on it.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -28,7 +29,8 @@
 #include "common/log.h"
 #include "common/socket.h"
 
-#define DEPLOYMENT_SIZE 4096 /* callers' connections at most, by the settings */
+/* The default limit of the settings on callers' connections. */
+#define DEPLOYMENT_SIZE 4096
 #define LOST_SHARE 10
 
 struct bench {
@@ -169,7 +171,7 @@
 	begin_calls(&bench, "/s1", calls - lost);
 	begin_calls(&bench, "/s0", lost);
 	ev_run(bench.daemon.loop, EVRUN_NOWAIT);
-	/* Connections that were not taken yet are reset. */
+	/* Resets the connections that were not accepted yet. */
 	close(bench.listeners[0]);
 	began = now_s();
 	while (bench.ended < lost)
--- a/bench/capacity/bench_routes.c
+++ b/bench/capacity/bench_routes.c
@@ -1,16 +1,16 @@
 /*
  * NAME
- *	bench_routes - what taking over a configuration costs, by its routes
+ *	bench_routes - cost of adopting a configuration, by its number of routes
  *
  * SYNOPSIS
  *	bench-routes ROUTES...
  *
  * DESCRIPTION
- *	For each number of routes on one host: the processor time to read the
- *	platform's row, to put the first configuration in force, and to put in
- *	force one in which a single route has changed; and the memory that the
- *	daemon keeps for it. A second line says where
- *	the time of the latter goes, each step run by itself.
+ *	Prints for each number of routes on one host the processor time to read
+ *	the platform's row, to put the first configuration in force, and to put
+ *	one in force in which a single route has changed; and the memory that
+ *	the daemon keeps for it. A second line shows the time of each step of
+ *	adopting the changed configuration, each step run by itself.
  */
 #include <glib.h>
 #include <malloc.h>
@@ -36,7 +36,7 @@
 	return (double)now.tv_sec * 1e3 + (double)now.tv_nsec / 1e6;
 }
 
-/* Every version gives another route another time-out. */
+/* Each version changes the timeout of a different route. */
 static char *make_manifest(int routes, int version)
 {
 	GString *text = g_string_new(NULL);
@@ -88,13 +88,13 @@
 	g_free(text);
 }
 
-/* The steps of taking over a changed configuration. */
+/* Times of the steps of adopting a changed configuration. */
 struct steps {
 	double read_ms;
 	double hash_ms;
-	double load_ms; /* a namespace from the body */
+	double load_ms; /* parses the body into a namespace */
 	double snapshot_ms;
-	double drop_ms; /* of what was in force */
+	double drop_ms; /* frees the previous configuration */
 };
 
 static double lap(double *began)
@@ -151,7 +151,7 @@
 		g_free(text);
 	}
 	printf("%6d routes, one changed, by step: read %.2f ms, hash %.2f ms, "
-	       "load %.2f ms, snapshot %.2f ms, drop the old one %.2f ms\n",
+	       "load %.2f ms, snapshot %.2f ms, free the old one %.2f ms\n",
 	       routes, steps.read_ms, steps.hash_ms, steps.load_ms,
 	       steps.snapshot_ms, steps.drop_ms);
 	config_snapshot_unref(snapshot);
--- a/bench/capacity/bench_services.c
+++ b/bench/capacity/bench_services.c
@@ -1,17 +1,18 @@
 /*
  * NAME
- *	bench_services - what a change of one host costs an entry
+ *	bench_services - cost to an entry of a change of one host
  *
  * SYNOPSIS
  *	bench-services HOSTS...
  *
  * DESCRIPTION
- *	For each size: fills a member table and has the entry know every
- *	service, one for each eight hosts, the first with LARGE_HOSTS. Prints
- *	the time that the service state takes for one changed host, that of
- *	finding a service when a host of another one has changed before each,
- *	and that with no change; and that of the tick, which comes ten times a
- *	second, with all services in use and a minute after the last call.
+ *	For each size: fills a member table and makes the entry keep state for
+ *	every service. There is one service per eight hosts; the first has
+ *	LARGE_HOSTS. Prints the processor time to update the service state for
+ *	one changed host, and to look up a service, both without a change and
+ *	after a change of another service's host. Also prints the time of the
+ *	tick, which runs ten times a second, with all services in use and a
+ *	minute after the last call.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -108,13 +109,14 @@
 	services_get(bench->services, config->group);
 }
 
-/* RETURN VALUE: microseconds for one round. */
+/* RETURN VALUE: the processor time of one round in microseconds. */
 static double time_rounds(struct bench *bench, bool with_change, bool with_find)
 {
 	double began = now_s();
 
 	for (int i = 0; i < ROUNDS; i++) {
-		/* Odd numbers change, even ones are looked for. */
+		/* Changes hosts with odd numbers and looks up services with
+		 * even ones. */
 		if (with_change)
 			change_host(bench, (i * 2 + 1) % bench->hosts);
 		if (with_find)
@@ -123,7 +125,8 @@
 	return (now_s() - began) / ROUNDS * 1e6;
 }
 
-/* The first tick, not counted, drops the services that nobody calls. */
+/* The first tick is not timed, since it drops the services that are no longer
+ * called. */
 static double time_ticks(struct bench *bench, int64_t now_us)
 {
 	double began;
@@ -152,19 +155,19 @@
 	before = mallinfo2().uordblks;
 	for (guint i = 0; i < bench.configs->len; i++)
 		find_service(&bench, (int)i);
-	printf("hosts %d: %u services known, %.0f bytes each\n", hosts,
+	printf("hosts %d: state of %u services, %.0f bytes each\n", hosts,
 	       bench.configs->len,
 	       (double)(mallinfo2().uordblks - before) / bench.configs->len);
 	change_us = time_rounds(&bench, true, false);
 	find_us = time_rounds(&bench, false, true);
 	both_us = time_rounds(&bench, true, true);
 	printf("hosts %d: a change %.2f us, of which the table %.2f; a service "
-	       "found %.2f us, after a change elsewhere %.2f us\n",
+	       "lookup %.2f us, after a change elsewhere %.2f us\n",
 	       hosts, change_us, table_us, find_us, both_us - change_us);
 	busy_us = time_ticks(&bench, clock_mono_us());
 	idle_us = time_ticks(&bench, clock_mono_us() + LATER_US);
-	printf("hosts %d: a tick %.1f us with all services in use, %.2f us a "
-	       "minute after the last call\n",
+	printf("hosts %d: a tick %.1f us with all services in use, %.2f us "
+	       "one minute after the last call\n",
 	       hosts, busy_us, idle_us);
 	usage_fit_add(tick, hosts, busy_us);
 	usage_fit_add(changed, hosts, change_us);
@@ -182,9 +185,8 @@
 	for (int i = 1; i < argc; i++)
 		run_size(MAX(atoi(argv[i]), LARGE_HOSTS * 2), &changed, &found,
 			 &tick);
-	usage_fit_print(&changed, "us a change", DEPLOYMENT_SIZE);
-	usage_fit_print(&found, "us a service found after a change",
-			DEPLOYMENT_SIZE);
-	usage_fit_print(&tick, "us a tick, all in use", DEPLOYMENT_SIZE);
+	usage_fit_print(&changed, "us per change", DEPLOYMENT_SIZE);
+	usage_fit_print(&found, "us per lookup after a change", DEPLOYMENT_SIZE);
+	usage_fit_print(&tick, "us per tick, all in use", DEPLOYMENT_SIZE);
 	return 0;
 }
--- a/bench/capacity/bench_subset.c
+++ b/bench/capacity/bench_subset.c
@@ -1,21 +1,21 @@
 /*
  * NAME
- *	bench_subset - how evenly entries choose their upstreams
+ *	bench_subset - how evenly entries' subsets cover the upstreams
  *
  * SYNOPSIS
  *	bench-subset ENTRIES...
  *
  * DESCRIPTION
  *	For services of 50, 100, 300 and 600 upstreams in three failure domains
- *	and so many entries: how many entries chose the upstream that most
- *	chose, and the one that fewest did, against the mean; how many places
- *	change in a subset when one upstream leaves and when one comes; and the
- *	time of one choice.
+ *	and each number of entries, prints the largest and the smallest number
+ *	of entries whose subset contains one upstream, relative to the mean; how
+ *	many members of a subset change when one upstream leaves and when one
+ *	joins; and the processor time to choose one subset.
  *
- *	How many chose an upstream bounds its load but does not set it: an
- *	entry sends less to the upstreams that are loaded. So the load is shown
- *	as well, as it comes out where each of CALLS calls of each entry goes
- *	to the least loaded of its subset.
+ *	The number of entries that chose an upstream bounds its load but does
+ *	not determine it, since an entry sends less to loaded upstreams. So the
+ *	load is printed as well, for CALLS calls per entry that each go to the
+ *	least loaded upstream of the entry's subset.
  */
 #include <limits.h>
 #include <stdint.h>
@@ -67,7 +67,7 @@
 	subset_choose(name, bench->upstreams + first, count, subset_size(count));
 }
 
-/* RETURN VALUE: places a subset that another upstream took. */
+/* RETURN VALUE: the mean number of upstreams that are new in a subset. */
 static double changed(struct bench *bench, size_t first, size_t count)
 {
 	size_t changes = 0;
@@ -156,7 +156,7 @@
 	       bench->size);
 	print_spread(bench->chosen_by, count, "chosen by");
 	print_spread(bench->load, count, "load");
-	printf("%.2f places change on a leave, %.2f on a join, %.1f us\n",
+	printf("%.2f members change on a leave, %.2f on a join, %.1f us\n",
 	       changed(bench, 1, count - 1), changed(bench, 0, count + 1),
 	       began / (double)entries * 1e6);
 }
--- a/bench/capacity/fake_peers.c
+++ b/bench/capacity/fake_peers.c
@@ -88,7 +88,7 @@
 
 	size = gossip_packet_seal((const uint8_t *)FAKE_PEERS_KEY,
 				  strlen(FAKE_PEERS_KEY), body, size, packet);
-	/* As on any network, what finds no room is lost. */
+	/* A packet that the kernel doesn't take is lost, as on any network. */
 	if (sendto(peers->fd, packet, size, 0, (struct sockaddr *)&to,
 		   sizeof(to)) < 0)
 		return;
@@ -104,8 +104,8 @@
 	send_to_daemon(peers, body, size);
 }
 
-/* Packets among the peers never leave it: pings are answered, the rest is
- * dropped. The answer waits until the machine has returned. */
+/* Packets between simulated peers are not sent: pings are acknowledged and the
+ * rest is dropped. The ack is kept until the state machine has returned. */
 static void handle_send(const char *address, uint16_t port, const uint8_t *body,
 			size_t size, void *data)
 {
@@ -143,7 +143,8 @@
 	peers->port = ntohs(at.sin_port);
 }
 
-/* Lets the news of the filling run out, in time that has passed already. */
+/* Lets the dissemination of the filled-in members finish, in simulated time
+ * that ends now. */
 static void settle_gossip(struct fake_peers *peers, int64_t from_us)
 {
 	int64_t until_us = g_get_monotonic_time();
@@ -253,7 +254,8 @@
 	}
 }
 
-/* What reaches a daemon each second from its many peers, whoever they are. */
+/* Sends the ping and the sync request that a daemon receives each second from
+ * one or another of its peers. */
 static void send_each_second(struct fake_peers *peers)
 {
 	uint64_t digests[64];
--- a/bench/capacity/usage.c
+++ b/bench/capacity/usage.c
@@ -77,7 +77,7 @@
 	for (unsigned int i = 0; i < fit->count; i++)
 		farthest = fmax(farthest,
 				fabs(base + slope * fit->x[i] - fit->y[i]));
-	printf("fit: %s = %.6g + %.6g * n, %u sizes, farthest point %.3g off; "
+	printf("fit: %s = %.6g + %.6g * n, %u sizes, largest deviation %.3g; "
 	       "at %.0f: %.4g\n",
 	       what, base, slope, fit->count, farthest, at, base + slope * at);
 }
--- a/bench/config_spread.c
+++ b/bench/config_spread.c
@@ -1,13 +1,15 @@
 /*
- * How long a change takes until it is in force in every daemon, and what its
- * spread costs a daemon. Starts the platform's stand-in and COUNT daemons in
- * four failure domains on the loopback interface and puts NAMESPACES in force.
- * Then it applies CHANGES files of one of them through daemons by turns, and reads from the daemons' logs when each adopted them.
+ * Measures how long a configuration change takes until it is in force in every
+ * daemon, and what its distribution costs each daemon. Starts the platform
+ * stand-in and COUNT daemons in four failure domains on the loopback interface,
+ * and applies NAMESPACES namespaces. Then it applies CHANGES versions of one
+ * namespace, each through the next daemon in rotation, and reads from the
+ * daemons' logs when each daemon adopted it.
  *
  *	bench-config-spread NAMESPACES CHANGES COUNT...
  *
- * COMFREYDOCK_BUILD names the build folder with the programs; tools/measure sets
- * it and keeps the output.
+ * COMFREYDOCK_BUILD names the build folder with the programs. tools/measure
+ * sets it and keeps the output.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -21,7 +23,7 @@
 #define JOINED_MS 60000
 #define IDLE_S 10
 #define DOMAINS 4
-#define CHANGED_NAMESPACE "t" /* the namespace */
+#define CHANGED_NAMESPACE "t"
 
 static const char *const domains[DOMAINS] = {"hall-esja", "hall-katla",
 					     "hall-hekla", "hall-askja"};
@@ -33,9 +35,11 @@
 	unsigned int count;
 	const char *key_file;
 	uint64_t head;
-	uint64_t version; /* of the namespace that changes */
-	GArray *adoption_us; /* int64_t: adoption, from the sending of the apply */
-	GArray *last_adoption_us; /* the last one of each change */
+	uint64_t version; /* of CHANGED_NAMESPACE */
+	/* Of int64_t: from the apply request until each daemon adopted the
+	 * change, and until the last daemon did. */
+	GArray *adoption_us;
+	GArray *last_adoption_us;
 };
 
 /* Sums over all daemons. */
@@ -117,7 +121,8 @@
 	return value;
 }
 
-/* A field of /proc/PID/stat by its number in proc(5), from 3 on. */
+/* RETURN VALUE: a field of /proc/PID/stat by its number in proc(5), which must
+ * be 3 or higher: the name in field 2 may contain spaces. */
 static int64_t stat_field(pid_t pid, int number)
 {
 	char *path = g_strdup_printf("/proc/%d/stat", (int)pid);
@@ -190,7 +195,8 @@
 	return us;
 }
 
-/* RETURN VALUE: when the daemon adopted the version, by its own log. */
+/* RETURN VALUE: the time at which the daemon's log says that it adopted the
+ * version, or 0. */
 static int64_t adopted_us(const struct rig_process *daemon, uint64_t version)
 {
 	char *log = rig_read_log(daemon);
@@ -243,7 +249,8 @@
 static void wait_in_force(struct bench *bench)
 {
 	if (!rig_wait_until(all_have_head, bench, IN_FORCE_MS))
-		g_error("not everywhere in time");
+		g_error("not all daemons adopted the change within %d ms",
+			IN_FORCE_MS);
 }
 
 static void change(struct bench *bench)
@@ -288,8 +295,8 @@
 	double n = bench->count;
 	double ticks = (double)sysconf(_SC_CLK_TCK);
 
-	printf("  %s, %.0f s: a daemon and second: gossip %.0f B out, "
-	       "configuration %.0f B out, core %.2f%%; all daemons and second: "
+	printf("  %s, %.0f s: per daemon and second: gossip %.0f B out, "
+	       "configuration %.0f B out, core %.2f%%; all daemons per second: "
 	       "head reads %.1f, platform bytes %.0f, object reads %.1f, "
 	       "questions %.1f, links opened %.1f\n",
 	       what, seconds,
@@ -318,9 +325,9 @@
 	g_array_sort(bench->adoption_us, compare);
 	g_array_sort(bench->last_adoption_us, compare);
 	printf("%u daemons, %" G_GUINT64_FORMAT " namespaces, %d changes: "
-	       "adopted after p50 %.0f ms, p99 %.0f "
+	       "adopted by each after p50 %.0f ms, p99 %.0f "
 	       "ms, "
-	       "all after p50 %.0f ms, most %.0f ms; resident %.1f MB each\n",
+	       "by all after p50 %.0f ms, max %.0f ms; resident %.1f MB each\n",
 	       bench->count, bench->head - bench->version + 1, changes,
 	       quantile_ms(bench->adoption_us, 0.5),
 	       quantile_ms(bench->adoption_us, 0.99),
@@ -337,7 +344,7 @@
 
 	rig_sleep_ms(IDLE_S * 1000);
 	after = read_totals(bench);
-	print_costs(bench, &before, &after, IDLE_S, "at rest");
+	print_costs(bench, &before, &after, IDLE_S, "idle");
 }
 
 static void run_with(unsigned int count, int namespaces, int changes)
@@ -354,7 +361,7 @@
 	for (unsigned int i = 0; i < count; i++)
 		start_daemon(&bench, i);
 	if (!rig_wait_until(all_joined, &bench, JOINED_MS))
-		g_error("not all have joined in time");
+		g_error("not all daemons joined within %d ms", JOINED_MS);
 	apply_others(&bench, namespaces - 1);
 	measure_idle_costs(&bench);
 	run_changes(&bench, changes);
--- a/bench/decide/call.c
+++ b/bench/decide/call.c
@@ -10,7 +10,7 @@
 	return call->active[0] || call->active[1];
 }
 
-/* Gives up what is out. */
+/* Cancels the attempts that are in flight. */
 static void call_drop_attempts(struct replay *r, struct replay_call *call,
 			       bool timed_out)
 {
@@ -50,8 +50,7 @@
 	};
 }
 
-/* Timers carry the attempt that they were set for. */
-
+/* The attempt in data is the one that the timer was set for. */
 static void handle_hedge(void *replay, void *data)
 {
 	struct replay *r = replay;
@@ -104,7 +103,7 @@
 	};
 }
 
-/* Another attempt beside one that gives nothing. */
+/* Sends another attempt beside one that has not responded. */
 static void call_overtake(struct replay *r, struct replay_call *call)
 {
 	struct replay_entry *entry = replay_entry_of(r, call);
@@ -180,7 +179,8 @@
 		replay_after(r, patience_us, handle_patience, attempt);
 }
 
-/* It waits, or was started late, and keeps its place. */
+/* The owner replied that the attempt is still queued, or started too recently
+ * to be overdue. It goes on alone, and the timer starts again. */
 void replay_handle_waiting(void *replay, void *data)
 {
 	struct replay_attempt *attempt = data;
@@ -246,8 +246,8 @@
 		call_arm(r, call, attempt);
 }
 
-/* As in comfreydockd/caller/call.c: goes back, once, to those that only had no
- * room at the time. */
+/* Tries the hosts that refused for lack of room once more, like
+ * comfreydockd/caller/call.c. */
 static bool call_return_to_busy(struct replay_call *call)
 {
 	if (call->has_returned_to_busy || call->tried_busy.count == 0)
@@ -348,7 +348,8 @@
 	call_decide(r, call, attempt->outcome, attempt->retry_after_us);
 }
 
-/* Asks the owners to cancel; a "not run" that comes in time is certain. */
+/* Asks the owners to cancel shortly before the deadline, so that a "not run"
+ * that arrives in time is certain. */
 static void handle_cancel_time(void *replay, void *data)
 {
 	struct replay *r = replay;
--- a/bench/decide/central.c
+++ b/bench/decide/central.c
@@ -1,9 +1,9 @@
 #include "bench/decide/replay_internal.h"
 
 /*
- * The bound that nothing can reach: one queue that knows all slots at every
- * moment, has the modules of an owner, and sends no call to an upstream that
- * is slower than one that is free as well.
+ * An upper bound that no distributed policy can reach: a single queue with an
+ * owner's modules that always knows all slots, and that sends no call to an
+ * upstream while a faster one is free.
  */
 
 static struct queue_slots central_slots(const struct replay *r)
@@ -33,8 +33,8 @@
 	return least;
 }
 
-/* RETURN VALUE: NULL if no slot is free; in slow spells, none of a host that is
- * quick, since what begins on a slow one holds its slot for seven others. */
+/* RETURN VALUE: NULL if no slot is free. In slow-spells, only the fastest hosts
+ * count, since a call on a slow host takes its slot for seven times as long. */
 static struct replay_owner *find_free(const struct replay *r)
 {
 	struct replay_owner *best = NULL;
--- a/bench/decide/doc_tables.c
+++ b/bench/decide/doc_tables.c
@@ -22,7 +22,7 @@
 	const char *kind;
 	double load;
 	double seconds;
-	double deadline_s; /* 0: as the trace has it */
+	double deadline_s; /* 0: the deadline of the trace */
 };
 
 static const struct pattern patterns[] = {
@@ -58,7 +58,7 @@
 	DEFAULT_POLICY,
 };
 
-/* The chosen one less a module at a time; with many entries only. */
+/* The default policy without one module at a time; with MANY_ENTRIES only. */
 static const char *const ablations[] = {
 	DEFAULT_POLICY "+no-busy",  DEFAULT_POLICY "+no-health",
 	DEFAULT_POLICY "+no-limit", DEFAULT_POLICY "+no-queue",
@@ -67,7 +67,7 @@
 	DEFAULT_POLICY "+no-warm",
 };
 
-/* In slow spells. */
+/* For the slow-spells patterns. */
 static const char *const pace_ablations[] = {
 	"random+all+no-pace",
 	DEFAULT_POLICY "+no-pace",
@@ -185,7 +185,7 @@
 	}
 }
 
-/* Puts the new tables between the marks of the page. */
+/* Replaces the tables between the markers of the page. */
 static bool page_write(const GString *tables)
 {
 	GError *error = NULL;
@@ -211,7 +211,9 @@
 	}
 	g_free(old);
 	if (!good)
-		g_printerr("bench-decide: %s has no marks\n", PAGE);
+		g_printerr("bench-decide: can't write %s, or its table markers "
+			   "are missing\n",
+			   PAGE);
 	return good;
 }
 
--- a/bench/decide/gate.c
+++ b/bench/decide/gate.c
@@ -1,11 +1,11 @@
 #include "bench/decide/replay_internal.h"
 #include "common/clock.h"
 
-/* Of a question to the upstream, its answer included. */
+/* Round trip of a pace query to the upstream. */
 #define GAUGE_US 500
 #define GAUGES_PER_S 60.0
 #define GAUGES_AT_ONCE 15.0
-/* As in comfreydockd/upstream/gate.c. */
+/* The same values as in comfreydockd/upstream/gate.c. */
 #define ASK_HELD_US ((int64_t)20 * 1000)
 #define ASK_SLOW_US ((int64_t)40 * 1000)
 
--- a/bench/decide/generate.c
+++ b/bench/decide/generate.c
@@ -8,31 +8,33 @@
 #define MEAN_WORK_US 10000.0
 #define SHORT_WORK_US 5000.0
 #define LONG_WORK_US 1000000.0
-/* Half of all work is then in long jobs. */
+/* Half of all work is in long jobs at this share. */
 #define LONG_SHARE 0.005
 #define SLOW_FACTOR 10.0
-/* Changes begin after a second of quiet, in which everything is learned. */
+/* Changes begin after one second without any, in which the modules learn. */
 #define CHANGE_START_US ((int64_t)1000 * 1000)
 #define BURST_US ((int64_t)200 * 1000)
 #define BURST_FACTOR 10.0
 #define OVERLOAD_US ((int64_t)10 * 1000 * 1000)
-/* Before and after an overload, as a share of all slots. */
+/* Load before and after an overload, as a share of all slots. */
 #define QUIET_LOAD 0.5
 #define HOT_SHARE (2.0 / 3.0)
-/* One call in so many is not idempotent. */
+/* One of this number of calls is not idempotent. */
 #define CALLS_PER_POST 10
 #define WARM_MS 3000
-/* An entry tells a slow upstream by its answers; judged from here on. */
+/* An entry detects a slow upstream by its answers, so results are judged only
+ * after this settling time. */
 #define SLOW_SETTLED_US ((int64_t)200 * 1000)
 
-/* Of work that is neither short nor long, around its mean. */
+/* Range of the usual work, relative to its mean: 0.7 to 1.3. */
 #define USUAL_MIN 0.7
 #define USUAL_SPREAD 0.6
-/* A spell's length, and how often one begins in place of a quick time. */
+/* Length of a slow spell, and the probability that an interval of this length
+ * is one. */
 #define SPELL_US ((int64_t)500 * 1000)
 #define SPELL_SHARE 0.28
 #define SPELL_FACTOR 7.0
-/* Of the mean work. */
+/* Latency target and deadline, relative to the mean work. */
 #define TARGET_FACTOR 3.0
 #define DEADLINE_FACTOR 8.0
 /* Two calls in nine are not idempotent, as in the users' deployments. */
@@ -96,7 +98,7 @@
 	return in_surge ? BURST_FACTOR : 1.0;
 }
 
-/* Too much for ten seconds, quiet around them. */
+/* Overload for ten seconds, QUIET_LOAD before and after them. */
 static double rate_overload(const struct generator *g, int64_t at_us)
 {
 	bool in_surge = at_us >= CHANGE_START_US &&
@@ -110,7 +112,7 @@
 	return (uint32_t)random_below(&g->random, CALLERS);
 }
 
-/* Caller 0 sends twice as much as all others together. */
+/* Caller 0 sends twice as many calls as all others together. */
 static uint32_t caller_hot(struct generator *g)
 {
 	if (random_unit(&g->random) < HOT_SHARE)
@@ -124,7 +126,8 @@
 	return (uint32_t)random_below(&g->random, g->trace->entries);
 }
 
-/* A hot caller calls by one entry; a hot key comes from everywhere. */
+/* A hot caller sends all calls to one entry, while a hot key is called by way
+ * of all entries. */
 static uint32_t entry_of_caller(struct generator *g, uint32_t caller)
 {
 	return caller == 0 ? 0 : entry_uniform(g, caller);
@@ -135,7 +138,7 @@
 	(void)g;
 }
 
-/* The last fifth is left to recover. */
+/* The last fifth of the trace is left for recovery. */
 static int64_t change_end_us(const struct generator *g)
 {
 	return g->length_us * 4 / 5;
@@ -152,7 +155,7 @@
 	g->trace->judge_until_us = change_end_us(g);
 }
 
-/* The same calls and window, and nothing changes. */
+/* The same judged window as changes_one_slow(), without a change. */
 static void changes_none_judged(struct generator *g)
 {
 	g->trace->judge_from_us = CHANGE_START_US + SLOW_SETTLED_US;
@@ -195,8 +198,8 @@
 	add_fault(g, TRACE_FAULT_SILENT);
 }
 
-/* Each host on its own; the first second is without spells, in which the usual
- * speed is learned. */
+/* Each host has independent spells. The first second has none, so that the
+ * modules learn the usual speed. */
 static void add_spells(struct generator *g, uint32_t upstream)
 {
 	int64_t at_us = CHANGE_START_US +
--- a/bench/decide/main.c
+++ b/bench/decide/main.c
@@ -29,7 +29,8 @@
 static const GOptionEntry options[] = {
 	{"table", 0, 0, G_OPTION_ARG_NONE, &write_table,
 	 "Write the tables of docs/ in this folder", NULL},
-	{"trace", 't', 0, G_OPTION_ARG_FILENAME, &path, "Replay FILE", "FILE"},
+	{"trace", 't', 0, G_OPTION_ARG_FILENAME, &path,
+	 "Replay the trace in FILE", "FILE"},
 	{"kind", 'k', 0, G_OPTION_ARG_STRING, &kind,
 	 "Generate a trace of this KIND", "KIND"},
 	{"write", 'w', 0, G_OPTION_ARG_NONE, &write_trace,
@@ -38,13 +39,15 @@
 	 "Replay POLICY[+[no-]MODULE...]; may be repeated", "POLICY"},
 	{"shape", 'd', 0, G_OPTION_ARG_STRING, &shape,
 	 "Sizes of a deployment: lookup-desk or reservas", "NAME"},
-	{"load", 'l', 0, G_OPTION_ARG_DOUBLE, &load, "Share of all slots",
-	 "SHARE"},
-	{"seconds", 'n', 0, G_OPTION_ARG_DOUBLE, &seconds, "How long", "S"},
+	{"load", 'l', 0, G_OPTION_ARG_DOUBLE, &load,
+	 "Mean share of all slots in use", "SHARE"},
+	{"seconds", 'n', 0, G_OPTION_ARG_DOUBLE, &seconds,
+	 "Length of the generated trace", "S"},
 	{"calls", 'c', 0, G_OPTION_ARG_INT, &calls,
-	 "How many calls, in place of how long", "N"},
-	{"entries", 'e', 0, G_OPTION_ARG_INT, &entries, "How many entries", "N"},
-	{"seed", 's', 0, G_OPTION_ARG_INT, &seed, "Seed", "N"},
+	 "Number of calls, instead of a length", "N"},
+	{"entries", 'e', 0, G_OPTION_ARG_INT, &entries, "Number of entries", "N"},
+	{"seed", 's', 0, G_OPTION_ARG_INT, &seed, "Seed of the random numbers",
+	 "N"},
 	{0},
 };
 
@@ -55,7 +58,8 @@
 	struct row row;
 
 	if (!outcome_parse_policy(policy, &run)) {
-		g_printerr("bench-decide: no policy %s\n", policy);
+		g_printerr("bench-decide: unknown policy or module in %s\n",
+			   policy);
 		return false;
 	}
 	replay_run(trace, &run, &result);
@@ -108,7 +112,9 @@
 	if (good && entries > 0 && calls >= 0 && load > 0 && seconds > 0)
 		return true;
 	g_printerr("bench-decide: %s\n",
-		   error ? error->message : "sizes must be above 0");
+		   error ? error->message :
+			   "entries, load and seconds must be positive, calls "
+			   "must not be negative");
 	g_clear_error(&error);
 	return false;
 }
@@ -123,7 +129,8 @@
 	trace_init(&trace);
 	status = get_trace(&trace, &line);
 	if (status != TRACE_OK)
-		g_printerr("bench-decide: no trace (line %d); kinds: %s\n",
+		g_printerr("bench-decide: can't read or generate the trace "
+			   "(line %d); known kinds: %s\n",
 			   line, trace_kinds());
 	else if (write_trace)
 		trace_write(&trace, stdout);
--- a/bench/decide/outcome.c
+++ b/bench/decide/outcome.c
@@ -6,9 +6,10 @@
 
 #include "bench/decide/replay.h"
 
-/* A tail of few calls depends on luck: the median of these replays counts. */
+/* A tail percentile of few calls varies between seeds, so the median of this
+ * number of replays is checked. */
 #define OUTCOME_SEEDS 5
-/* Where there are so many, one replay is enough. */
+/* One replay is enough for a trace with more calls than this. */
 #define OUTCOME_MANY_CALLS 20000
 
 struct statement {
@@ -18,7 +19,7 @@
 	double value;
 };
 
-/* "all" and names of modules, "no-" before those to leave out. */
+/* Parses "all" or the name of a module; "no-" before it turns it off. */
 static bool parse_module(const char *text, unsigned int *modules)
 {
 	bool leave_out = g_str_has_prefix(text, "no-");
@@ -136,8 +137,8 @@
 	const struct trace *trace;
 	const char *path;
 	struct findings *findings;
-	/* The replays of the last line's policy: the next line often has the
-	 * same. */
+	/* The replays for the policy of the previous line are kept, since the
+	 * next line often has the same policy. */
 	char policy[48];
 	struct replay_result results[OUTCOME_SEEDS];
 	size_t count;
@@ -185,7 +186,8 @@
 
 	if (!parse(text, &statement, &options)) {
 		findings_add(check->findings, FINDING_ERROR, check->path, line,
-			     NULL, "not a statement");
+			     NULL,
+			     "malformed, expected POLICY MEASURE <=|>= VALUE");
 		return;
 	}
 	if (strcmp(check->policy, statement.policy) != 0)
@@ -196,7 +198,7 @@
 			     NULL, "unknown measure");
 	else if (!holds(&statement, measured))
 		findings_add(check->findings, FINDING_ERROR, check->path, line,
-			     statement.policy, "%s is %g, not %s %g",
+			     statement.policy, "%s is %g, expected %s %g",
 			     statement.measure, measured, statement.relation,
 			     statement.value);
 }
@@ -215,7 +217,7 @@
 
 	if (!in) {
 		findings_add(findings, FINDING_ERROR, path, 0, NULL,
-			     "no outcome is stated");
+			     "can't open the outcome file of the trace");
 		return;
 	}
 	while (fgets(text, sizeof(text), in)) {
@@ -246,7 +248,7 @@
 		check_file(&trace, path, findings);
 	else
 		findings_add(findings, FINDING_ERROR, trace_path, line, NULL,
-			     "can't be read as a trace");
+			     "not a readable trace");
 	trace_finish(&trace);
 	g_free(path);
 }
--- a/bench/decide/owner.c
+++ b/bench/decide/owner.c
@@ -4,11 +4,11 @@
 #include "common/clock.h"
 
 #define FAIL_FAST_US 100
-/* How much longer work takes at the start of a cold upstream. */
+/* At the start of a cold upstream, work takes 1 + COLD_EXTRA times as long. */
 #define COLD_EXTRA 4.0
 #define PROBE_PERMILLE 5
 
-/* An owner without the queue module has a list without bound. */
+/* Without the queue module, an owner's queue is unbounded. */
 #define UNBOUNDED_ITEMS UINT32_MAX
 
 static void owner_dispatch(struct replay *r, struct replay_owner *owner);
@@ -118,7 +118,8 @@
 			     WARM_FULL_PERMILLE;
 }
 
-/* An upstream that was cancelled stops; its timer for the end finds it over. */
+/* Ends a run. A cancelled run stops at once; its end timer then finds that it
+ * is no longer running. */
 static void owner_finish_run(struct replay *r, struct replay_attempt *attempt,
 			     enum limit_outcome outcome)
 {
@@ -259,7 +260,8 @@
 		owner_refuse(r, attempt, verdict, retry_after_ms);
 }
 
-/* What waits is not run; what runs is broken off if it may be repeated. */
+/* A waiting attempt is not run. A running one is stopped if it is
+ * idempotent. */
 void replay_handle_cancel(void *replay, void *data)
 {
 	struct replay *r = replay;
--- a/bench/decide/replay.c
+++ b/bench/decide/replay.c
@@ -4,9 +4,9 @@
 
 #include "bench/decide/replay_internal.h"
 
-/* One way inside a failure domain, as a part of the delay between two. */
+/* The delay between domains is this many times the delay inside a domain. */
 #define LOCAL_DELAY_PART 5
-/* The caller whose requests are many in a trace of a hot caller. */
+/* The caller with most of the calls in a trace of a hot caller. */
 #define HOT_CALLER 0
 
 static const struct {
@@ -148,7 +148,7 @@
 		replay_central_dispatch(r);
 }
 
-/* Slow beside another that could have begun it at once. */
+/* RETURN VALUE: true if a faster upstream has a free slot. */
 static bool is_slow_beside_free(const struct replay *r, uint32_t upstream)
 {
 	for (uint32_t i = 0; i < r->trace->upstreams; i++) {
--- a/bench/path/bench.c
+++ b/bench/path/bench.c
@@ -12,8 +12,8 @@
 #define WAIT_MS 10000
 #define WAIT_LOAD_MS 60000
 #define MAX_GENERATORS 8
-/* A generator with thousands of open calls would itself be what is slow:
- * libcurl searches all of its connections for each call. */
+/* With thousands of open calls, the load generator itself would be the
+ * bottleneck: libcurl searches all of its connections for each call. */
 #define MAX_OPEN "250"
 #define SECOND_US 1e6
 
@@ -46,7 +46,7 @@
 
 static void parse_call_line(char *line, struct bench_result *result)
 {
-	/* id method status outcome latency_us */
+	/* The fields are: id method status outcome latency_us */
 	char **parts = g_strsplit(line, " ", 6);
 	int64_t latency_us;
 
@@ -63,7 +63,7 @@
 	char **lines;
 
 	if (!g_file_get_contents(path, &text, NULL, NULL))
-		g_error("%s can't be read", path);
+		g_error("can't read %s", path);
 	lines = g_strsplit(text, "\n", -1);
 	for (char **line = lines; *line; line++)
 		parse_call_line(*line, result);
--- a/bench/path/bench.h
+++ b/bench/path/bench.h
@@ -1,11 +1,11 @@
 /*
  * NAME
- *	bench - daemons of which one is the entry and the others are owners
+ *	bench - a cluster with one daemon as entry and the others as owners
  *
  * DESCRIPTION
- *	d0 takes the calls and its own upstream is drained, so that each call
- *	crosses a frame connection to another daemon and runs on the upstream
- *	there.
+ *	d0 receives the calls. Its own upstream is drained, so that each call
+ *	crosses a frame connection to another daemon and runs on that daemon's
+ *	upstream.
  */
 #ifndef BENCH_PATH_BENCH_H
 #define BENCH_PATH_BENCH_H
@@ -16,13 +16,13 @@
 #include "process.h"
 
 #define BENCH_ENTRY 0
-#define BENCH_OWNER 1 /* the first of them */
+#define BENCH_OWNER 1 /* the first owner */
 
 struct bench_load {
-	bool direct; /* to the upstreams, by turns */
-	double rate;
+	bool direct; /* calls go to the upstreams in rotation */
+	double rate; /* calls per second, of all generators */
 	double seconds;
-	int generators; /* processes that share the rate */
+	int generators; /* load generator processes */
 	int seed;
 };
 
@@ -31,24 +31,25 @@
 	int64_t scheduled;
 	int64_t served;
 	int64_t wrong;
-	int64_t cpu_us[CLUSTER_MAX]; /* of each daemon meanwhile */
+	int64_t cpu_us[CLUSTER_MAX]; /* processor time of each daemon */
 	double elapsed_s;
 };
 
 void bench_start(struct cluster *cluster, unsigned int owners,
 		 const char *slots, const char *service_time_us);
 
-/* Open-loop calls; results are added to what is there. */
+/* Runs open-loop load and adds the results to *result. */
 void bench_run(struct cluster *cluster, const struct bench_load *load,
 	       struct bench_result *result);
 
 void bench_result_init(struct bench_result *result);
 void bench_result_finish(struct bench_result *result);
 
-/* A quantile of the latencies in microseconds, by nearest rank; -1 if none. */
+/* RETURN VALUE: a quantile of the latencies in microseconds, by nearest rank,
+ * or -1 if there are none. */
 int64_t bench_quantile_us(struct bench_result *result, double quantile);
 
-/* The first line of a report: how it was made, when and where. */
+/* Prints the head of a report: the command, the date and the machine. */
 void bench_print_head(const char *command);
 
 #endif
--- a/bench/path/failover.c
+++ b/bench/path/failover.c
@@ -1,16 +1,17 @@
 /*
  * NAME
- *	bench-failover - what callers see of a host that loses its power
+ *	bench-failover - what callers see when a host loses power
  *
  * SYNOPSIS
  *	bench-failover
  *
  * DESCRIPTION
- *	Four hosts, callers at two of them with both kinds of calls. The fourth
- *	host's daemon and upstream get SIGKILL, ROUNDS times. Read from the time
- *	lines of the other three: when the last call was sent to it, and how the
- *	calls ended that ended between the kill and a deadline after that. Asked
- *	of each: when it holds the host for dead.
+ *	Runs four hosts. Callers at two of them send GET and POST calls. The
+ *	daemon and the upstream of the fourth host get a SIGKILL, ROUNDS times.
+ *	The time lines of the other three show when the last call was sent to
+ *	the killed host, and how the calls ended that ended between the kill and
+ *	one deadline after that last call. Each of the three daemons is polled
+ *	for the time at which it regards the host as dead.
  */
 #include <json-c/json.h>
 #include <stdio.h>
@@ -22,12 +23,13 @@
 #define ROUNDS 4
 #define HOSTS 4
 #define KILLED_HOST 3
-/* At two of them, each with more than its own upstream can take: the rest of it
- * goes to the others. */
+/* Bits of the hosts that have callers: d0 and d1. Each gets more load than its
+ * own upstream can take, so that the excess goes to the other hosts. */
 #define CALLER_MASK 3u
 #define DETECT_TIMEOUT_MS 30000
 #define POLL_MS 10
-/* Until the others send it work: one that nothing is known of gets little. */
+/* Time until the other hosts send work to a restarted host: a host whose load
+ * is unknown gets little. */
 #define IN_USE_MS 7000
 #define EVENT_TAKEN 1500
 #define EVENT_SENT 1501
@@ -49,11 +51,11 @@
 };
 
 struct round {
-	int64_t killed_us; /* wall clock, as the time lines' */
-	int64_t last_sent_us; /* 0: none */
+	int64_t killed_us; /* wall clock, like the times of the time lines */
+	int64_t last_sent_us; /* last call sent to the killed host; 0: none */
 	int64_t detected_us[HOSTS];
-	unsigned int sent_before; /* in the last second before */
-	unsigned int sent;
+	unsigned int sent_before; /* calls in the last second before the kill */
+	unsigned int sent; /* calls after the kill */
 	unsigned int ended[2][ENDINGS]; /* [0]: GET, [1]: POST */
 };
 
@@ -133,8 +135,11 @@
 		round->ended[post][ending]++;
 }
 
-/* First what was sent and taken; only then the window is known. A daemon's
- * answer holds events of the others as well, which tell theirs themselves. */
+/* Reads the sent and taken calls if ends is false, and the ends of calls
+ * otherwise. The ends are read in a second pass, since their time window
+ * depends on the last call that any daemon sent. A time line also has events of
+ * other daemons, which are skipped here, since each daemon's own time line is
+ * read. */
 static void read_time_line(struct round *round, struct json_object *line,
 			   const char *process, GHashTable *posts, bool ends)
 {
@@ -190,15 +195,16 @@
 		first = MIN(first, round->detected_us[i]);
 		last = MAX(last, round->detected_us[i]);
 	}
-	printf("round %d: %u calls sent to it in the second before\n",
+	printf("round %d: %u calls sent to the host in the second before the "
+	       "kill\n",
 	       round_number, round->sent_before);
 	if (round->sent)
-		printf("  last call sent to it after %.0f ms, %u sent by "
-		       "then\n",
+		printf("  last call sent to it %.0f ms after the kill, %u sent "
+		       "until then\n",
 		       (double)(round->last_sent_us - round->killed_us) / 1000,
 		       round->sent);
 	else
-		printf("  no call sent to it after that\n");
+		printf("  no call sent to it after the kill\n");
 	printf("  known dead to the first after %.0f ms, to all after %.0f "
 	       "ms\n",
 	       (double)(first - round->killed_us) / 1000,
--- a/bench/path/overhead.c
+++ b/bench/path/overhead.c
@@ -1,7 +1,7 @@
 /*
- * What entry and owner add to a call: time, processor time and memory. Direct
- * calls and calls through both daemons alternate in one run, so that whatever
- * else the machine does meets both alike.
+ * Measures what the entry and the owner add to a call in latency, processor
+ * time and memory. Direct calls and calls through both daemons alternate in one
+ * run, so that other load on the machine affects both alike.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -48,7 +48,7 @@
 	printf(" us\n");
 }
 
-/* Of several owners, the processor time of all is counted together. */
+/* RETURN VALUE: the processor time of the entry, or of all owners together. */
 static int64_t cpu_us_of(const struct bench_result *result, int role)
 {
 	int64_t sum_us = 0;
@@ -66,9 +66,9 @@
 		int64_t cpu_us = cpu_us_of(result, i);
 		double per_call = (double)cpu_us / (double)MAX(result->served, 1);
 
-		printf("  %-8s %.0f us of processor time a call", host_names[i],
-		       per_call);
-		printf(", %.0f calls/s a core", 1e6 / MAX(per_call, 1e-3));
+		printf("  %-8s %.0f us of processor time per call",
+		       host_names[i], per_call);
+		printf(", %.0f calls/s per core", 1e6 / MAX(per_call, 1e-3));
 		printf(", %.0f%% of a core used\n",
 		       (double)cpu_us / result->elapsed_s / 1e4);
 	}
@@ -111,7 +111,7 @@
 	       (double)result->served < SERVED_SHARE * (double)result->scheduled;
 }
 
-/* RETURN VALUE: the last rate at which the entry's core was not yet full. */
+/* RETURN VALUE: the highest rate that did not saturate the entry's core. */
 static double find_saturation_rate(struct cluster *cluster)
 {
 	double rate = FIRST_RATE;
@@ -138,7 +138,8 @@
 	}
 }
 
-/* One core for the entry, and enough of all else that it fills first. */
+/* The entry has one core, and there are enough owners and load generators that
+ * the entry saturates first. */
 static void measure_saturation(void)
 {
 	struct cluster cluster;
@@ -170,7 +171,7 @@
 	rig_sleep_ms(SETTLE_MS);
 }
 
-/* Each size starts with fresh daemons: freed memory stays with a process. */
+/* Starts new daemons for each size, since a process keeps freed memory. */
 static void print_memory(const char *name, const char *request,
 			 const char *service_us)
 {
@@ -215,12 +216,12 @@
 int main(int argc, char **argv)
 {
 	bench_print_head("bench/overhead");
-	printf("upstream: %s us a call\n", SERVICE_US);
+	printf("upstream: %s us per call\n", SERVICE_US);
 	measure_design_rate(ROUNDS);
 	if (argc > 1 && strcmp(argv[1], "--latency") == 0)
 		return 0;
 	measure_saturation();
-	print_memory("idle connections of callers",
+	print_memory("idle connections from callers",
 		     "GET /idle HTTP/1.1\r\nHost: h\r\n\r\n", SERVICE_US);
 	print_memory("attempts that run, each with its caller's connection",
 		     "GET /run HTTP/1.1\r\nHost: h\r\n\r\n", "20000000");
--- a/bench/path/patterns.c
+++ b/bench/path/patterns.c
@@ -1,8 +1,8 @@
 /*
- * The patterns of docs/design/decisions.md with real processes on loopback:
- * seven upstreams with the slots of lookup-desk. Service times are four times
- * those of the replay, so that 2,100 calls a second fill all slots and one
- * machine can carry the load beside the daemons.
+ * Runs the patterns of docs/design/decisions.md with real processes on
+ * loopback: seven upstreams with the slots of lookup-desk. Service times are
+ * four times those of the replay, so that 2,100 calls per second fill all slots
+ * and one machine can run the load generators beside the daemons.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +12,7 @@
 #define UPSTREAMS 7
 #define SLOTS "12"
 #define SERVICE_US "40000"
-#define CAPACITY 2100.0 /* calls a second */
+#define CAPACITY 2100.0 /* calls per second */
 #define GENERATORS 2
 #define SETTLE_MS 2500
 #define WAIT_LOAD_MS 60000
@@ -31,12 +31,14 @@
 
 struct pattern {
 	const char *title;
-	double load; /* of all slots */
+	double load; /* share of all slots */
 	const char *seconds;
-	const char *burst; /* of standin-load; NULL: none */
+	const char *burst; /* option of standin-load; NULL: none */
 	const char *fault; /* of one upstream; NULL: none */
-	unsigned int faulty; /* which one: a new one, still thought well of */
-	bool hot; /* and two thirds of the load are one caller's */
+	/* Number of the faulty upstream. Each pattern takes another one, which
+	 * the daemons still regard as healthy. */
+	unsigned int faulty;
+	bool hot; /* one caller makes two thirds of the load */
 };
 
 static const struct pattern patterns[] = {
@@ -82,7 +84,8 @@
 	return process;
 }
 
-/* A number of a member of the summary's object of that name. */
+/* RETURN VALUE: a number in an object of the summary of standin-load, or -1 if
+ * there is no such object. */
 static int64_t summary_int(const char *json, const char *object, const char *name)
 {
 	char *mark = g_strdup_printf("\"%s\":", object);
@@ -111,7 +114,7 @@
 	       (double)summary_int(json, "refused_us", "p50") / 1000,
 	       (double)summary_int(json, "refused_us", "p99") / 1000);
 	if (rig_json_int(json, "wrong") != 0)
-		g_error("an answer was another caller's");
+		g_error("a caller got the response to another request");
 }
 
 static void finish_load(struct rig_process *process, const char *title,
@@ -169,7 +172,7 @@
 	};
 
 	bench_print_head("bench/patterns");
-	printf("%d upstreams of %s slots, %s us a call, deadline 1000 ms; "
+	printf("%d upstreams of %s slots, %s us per call, deadline 1000 ms; "
 	       "shares of the calls, times in ms\n\n",
 	       UPSTREAMS, SLOTS, SERVICE_US);
 	printf("%-30s %-7s %6s %7s %7s %7s %6s %7s %7s %8s %8s\n", "pattern",
--- a/bench/path/process.c
+++ b/bench/path/process.c
@@ -13,7 +13,7 @@
 	char *path = g_strdup_printf("/proc/%d/%s", (int)pid, name);
 
 	if (!g_file_get_contents(path, text, NULL, NULL))
-		g_error("%s can't be read", path);
+		g_error("can't read %s", path);
 	g_free(path);
 }
 
@@ -25,13 +25,13 @@
 	const char *rest;
 
 	read_proc(pid, "stat", &text);
-	/* The name, in parentheses, may hold anything. */
+	/* The program's name, in parentheses, may contain any character. */
 	rest = strrchr(text, ')');
 	if (!rest || sscanf(rest,
 			    ") %*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u "
 			    "%lu %lu",
 			    &user, &kernel) != 2)
-		g_error("/proc/%d/stat can't be read", (int)pid);
+		g_error("can't parse /proc/%d/stat", (int)pid);
 	g_free(text);
 	return (int64_t)(user + kernel) * SECOND_US / sysconf(_SC_CLK_TCK);
 }
--- a/bench/path/streaming.c
+++ b/bench/path/streaming.c
@@ -1,8 +1,9 @@
 /*
- * A caller takes a long answer slowly, beside callers with short calls.
- * What goes wrong without a window for each answer: the daemons read it from
- * the upstream as fast as that can write, and keep in memory what the caller
- * has not taken; and short answers wait behind it in the same connection.
+ * A caller reads a long response slowly while other callers make short calls.
+ * This benchmark guards the flow-control window of each response. Without it,
+ * the daemons would read the response as fast as the upstream writes, and
+ * buffer in memory what the caller has not read. Short responses on the same
+ * connection would wait behind it (head-of-line blocking).
  */
 #include <stdlib.h>
 #include <string.h>
@@ -35,11 +36,11 @@
 	raw_send_text(fd, request);
 	g_free(request);
 	if (!raw_read_marks(fd, head, "\r\n\r\n", 1, 10000))
-		g_error("no answer to the long call");
+		g_error("no response to the long call");
 	return fd;
 }
 
-/* The body repeats the request's id from end to end. */
+/* The body must repeat the request's id throughout. */
 static bool bytes_match_id(const char *bytes, size_t size, size_t position)
 {
 	static const char id[] = "stream";
@@ -59,7 +60,7 @@
 	return own;
 }
 
-/* Runs beside the short calls. */
+/* Thread function that runs while the short calls are made. */
 static void *read_slowly(void *data)
 {
 	struct slow_caller *caller = data;
@@ -139,8 +140,8 @@
 	int64_t most;
 
 	bench_print_head("bench/streaming");
-	printf("answer of %d bytes, taken at %d bytes/s; %d short calls/s of 1 "
-	       "ms"
+	printf("response of %d bytes, read at %d bytes/s; %d short calls/s of "
+	       "1 ms"
 	       " for %d s\n",
 	       ANSWER_BYTES, SLOW_BYTES_PER_S, SHORT_RATE, SHORT_SECONDS);
 	bench_start(&cluster, 1, "12", "1000");
@@ -152,8 +153,8 @@
 	run_short(&cluster, "beside the stream");
 	g_thread_join(thread);
 	most = print_memory(&cluster, "after the stream");
-	printf("long answer: %zu bytes, %s\n", caller.received,
-	       caller.whole ? "whole and the caller's own" : "NOT WHOLE");
+	printf("long response: %zu bytes, %s\n", caller.received,
+	       caller.whole ? "complete and correct" : "INCOMPLETE OR INCORRECT");
 	printf("memory limit of %d KiB: %s\n", LIMIT_KIB,
 	       most <= LIMIT_KIB ? "kept" : "EXCEEDED");
 	cluster_stop(&cluster);
--- a/include/bench/capacity/usage.h
+++ b/include/bench/capacity/usage.h
@@ -1,6 +1,6 @@
 /*
  * NAME
- *	usage - what a process costs, and a line through measured points
+ *	usage - processor time and memory of a process, and a linear fit
  */
 #ifndef BENCH_CAPACITY_USAGE_H
 #define BENCH_CAPACITY_USAGE_H
@@ -10,23 +10,25 @@
 
 #define USAGE_POINTS_MAX 16
 
-/* y = base + slope * x by least squares. */
+/* A least-squares fit of y = base + slope * x. */
 struct usage_fit {
 	double x[USAGE_POINTS_MAX];
 	double y[USAGE_POINTS_MAX];
 	unsigned int count;
 };
 
-/* RETURN VALUE: processor time so far in nanoseconds, or 0. */
+/* RETURN VALUE: the processor time used so far in nanoseconds, or 0 if it can't
+ * be read. */
 int64_t usage_cpu_ns(pid_t pid);
 
-/* RETURN VALUE: resident memory in KiB, or 0. */
+/* RETURN VALUE: the resident memory in KiB, or 0 if it can't be read. */
 int64_t usage_rss_kib(pid_t pid);
 
-/* More points than USAGE_POINTS_MAX are left out. */
+/* Adds a point. Points beyond USAGE_POINTS_MAX are ignored. */
 void usage_fit_add(struct usage_fit *fit, double x, double y);
 
-/* Prints the line, its farthest point, and its value at a size. */
+/* Prints the fitted line, the largest deviation of a point from it, and its
+ * value at x = at. */
 void usage_fit_print(const struct usage_fit *fit, const char *what, double at);
 
 #endif
--- a/include/bench/decide/doc_tables.h
+++ b/include/bench/decide/doc_tables.h
@@ -1,19 +1,20 @@
 /*
  * NAME
- *	table - the tables of the documentation
+ *	doc_tables - the tables of replays in the documentation
  *
  * DESCRIPTION
  *	Replays each pattern for both deployments with each policy, and with
- *	the chosen one less a module at a time. Writes all rows to
- *	docs/measurements/decisions.txt, and the table between the markers in
- *	docs/design/decisions.md; both below the current folder.
+ *	the default policy without one module at a time. Writes all rows to
+ *	docs/measurements/decisions.txt, and the tables between the markers in
+ *	docs/design/decisions.md. Both paths are relative to the current folder.
  */
 #ifndef BENCH_DECIDE_DOC_TABLES_H
 #define BENCH_DECIDE_DOC_TABLES_H
 
 #include <stdbool.h>
 
-/* RETURN VALUE: false, with a message, if a file can't be read or written. */
+/* RETURN VALUE: false if a file can't be read or written; a message is printed
+ * then. */
 bool doc_tables_write(void);
 
 #endif
--- a/include/bench/decide/events.h
+++ b/include/bench/decide/events.h
@@ -1,10 +1,10 @@
 /*
  * NAME
- *	events - a heap of events in place of a clock
+ *	events - event queue of a discrete-event simulation
  *
  * DESCRIPTION
- *	Events run in order of time, those of one time in the order in which
- *	they were added. now_us stands still while a handler runs.
+ *	Events run in order of time, and those of the same time in the order in
+ *	which they were added. now_us does not change while a handler runs.
  */
 #ifndef BENCH_DECIDE_EVENTS_H
 #define BENCH_DECIDE_EVENTS_H
@@ -23,7 +23,7 @@
 struct events {
 	int64_t now_us;
 	uint64_t added;
-	void *context; /* handed to each handler */
+	void *context; /* passed to each handler */
 	GArray *heap; /* of struct event_item */
 };
 
@@ -32,7 +32,7 @@
 void events_add(struct events *events, int64_t at_us,
 		void (*handle)(void *context, void *data), void *data);
 
-/* Runs until there is no event left. */
+/* Runs until no event is left. */
 void events_run(struct events *events);
 
 #endif
--- a/include/bench/decide/replay_internal.h
+++ b/include/bench/decide/replay_internal.h
@@ -1,10 +1,11 @@
 /*
  * NAME
- *	replay_internal - what the parts of a replay share
+ *	replay_internal - state and functions shared within a replay
  *
  * DESCRIPTION
- *	replay.c sets up and keeps the result, entry.c and owner.c are the two
- *	roles of a daemon, central.c is the one queue for all.
+ *	replay.c sets up the simulation and collects the result. entry.c and
+ *	call.c are the entry role of a daemon, owner.c and gate.c its owner
+ *	role. central.c is the single queue for all hosts.
  */
 #ifndef BENCH_DECIDE_REPLAY_INTERNAL_H
 #define BENCH_DECIDE_REPLAY_INTERNAL_H
@@ -33,58 +34,58 @@
 	uint32_t upstream;
 	uint32_t epoch;
 	bool is_hedge;
-	bool is_overtaken; /* another was sent as it gave nothing */
+	bool is_overtaken; /* another was sent as it gave no response */
 	bool running;
-	bool held; /* at the owner's gate */
+	bool held; /* waits at the owner's gate */
 	bool arrived; /* at the owner */
-	bool over; /* at the owner */
-	bool dropped; /* by the entry */
-	bool error; /* an answer, and the upstream's own error */
+	bool over; /* the owner has answered or refused it */
+	bool dropped; /* the entry no longer waits for it */
+	bool error; /* answered with an error of the upstream itself */
 	int64_t sent_us;
 	int64_t started_us;
 	int64_t refused_us;
 	enum retry_outcome outcome;
 	int64_t retry_after_us;
-	uint32_t other_pace_percent; /* the best of the others, as sent */
-	uint32_t pace_percent; /* at its start */
-	struct pick_load load; /* travels with the answer */
+	uint32_t other_pace_percent; /* best pace of other hosts when sent */
+	uint32_t pace_percent; /* of the host when it started */
+	struct pick_load load; /* returned with the answer */
 };
 
 struct replay_call {
 	const struct trace_call *trace;
 	int64_t deadline_us;
 	struct pick_tried tried;
-	struct pick_tried tried_busy; /* refused by a host that had no room now */
-	bool has_returned_to_busy; /* to these */
-	uint32_t uncounted; /* attempts that count for nothing; see retry.h */
+	struct pick_tried tried_busy; /* hosts that refused for lack of room */
+	bool has_returned_to_busy; /* the hosts in tried_busy are tried again */
+	uint32_t uncounted; /* attempts that retry_counts() leaves out */
 	struct replay_attempt *active[2]; /* the attempt and its hedge */
 	uint32_t attempts;
-	uint32_t busy;
+	uint32_t busy; /* busy refusals */
 	uint32_t hedges;
-	uint32_t turn; /* grows with each attempt; old timers do nothing */
+	uint32_t turn; /* unused */
 	bool may_have_run;
-	bool is_impatient; /* waits for the owner's verdict */
-	bool closed; /* the caller has its answer */
+	bool is_impatient; /* waits for the reply if it is overdue */
+	bool closed; /* the caller has its response */
 	int64_t refused_us;
-	int64_t come_back_us;
+	int64_t come_back_us; /* time to retry that the caller is told */
 };
 
 struct replay_owner {
 	uint32_t running;
 	enum trace_fault_kind fault;
-	double factor; /* work takes so many times as long */
+	double factor; /* multiplies the service time */
 	struct limit limit;
 	struct warm warm;
 	struct queue *queue;
 	struct measure measure;
 	struct speed speed;
-	int64_t stale_us; /* of the timer that is set */
-	/* The gate. */
+	int64_t stale_us; /* expiry of the stale timer; INT64_MAX: none */
+	/* State of the gate. */
 	struct pace pace;
 	TAILQ_HEAD(, replay_attempt) held;
 	bool is_asking;
-	int64_t ask_us; /* of the timer that is set; INT64_MAX: none */
-	double tokens;
+	int64_t ask_us; /* expiry of the gate's timer; INT64_MAX: none */
+	double tokens; /* of the token bucket for pace queries */
 	int64_t refilled_us;
 };
 
@@ -99,7 +100,7 @@
 	int64_t ticked_us;
 };
 
-/* What an owner tells an entry by itself. */
+/* A load report that an owner sends to an entry unasked. */
 struct replay_report {
 	uint32_t entry;
 	uint32_t upstream;
@@ -114,8 +115,8 @@
 	struct replay_entry *entries;
 	struct replay_owner *owners;
 	struct replay_call *calls;
-	struct queue *central; /* where options->policy is NULL */
-	GPtrArray *attempts; /* all that were made */
+	struct queue *central; /* used if options->policy is NULL */
+	GPtrArray *attempts; /* of all struct replay_attempt */
 	GPtrArray *reports; /* of struct replay_report */
 	struct random_state random;
 };
@@ -132,10 +133,11 @@
 					  struct replay_call *call);
 bool replay_is_judged(const struct replay *r, int64_t at_us);
 
-/* Counts an attempt that begins at the upstream. */
+/* Counts an attempt that starts on the upstream. */
 void replay_note_start(struct replay *r, uint32_t upstream);
 
-/* The caller's end; at most one for each call. */
+/* Count how a call ended for its caller. One of them runs at most once for each
+ * call. */
 void replay_note_answer(struct replay *r, struct replay_call *call, bool error);
 void replay_note_not_run(struct replay *r, struct replay_call *call);
 void replay_note_unknown(struct replay *r, struct replay_call *call);
@@ -148,25 +150,28 @@
 struct replay_entry *replay_entry_of(struct replay *r,
 				     const struct replay_call *call);
 
-/* Tells pick and health how the attempt ended, and takes it from its call. */
+/* Reports to pick and health how the attempt ended, and removes it from its
+ * call. */
 void replay_entry_note_end(struct replay *r, struct replay_attempt *attempt,
 			   bool timed_out);
 
-/* Takes over what health and the ramps say, as a daemon does between events. */
+/* Updates the candidates from health and from the warm-up of upstreams, as a
+ * daemon does between events. */
 void replay_entry_refresh(struct replay *r, struct replay_entry *entry);
 
-/* An event: data is the struct replay_report. */
+/* Event handler; data is a struct replay_report. */
 void replay_handle_report(void *replay, void *data);
 
 /* call.c */
 
-/* An event: data is the struct replay_call. */
+/* Event handler; data is a struct replay_call. */
 void replay_handle_call(void *replay, void *data);
 
-/* An event: data is the struct replay_attempt, which has its outcome. */
+/* Event handler; data is a struct replay_attempt with its outcome set. */
 void replay_handle_answer(void *replay, void *data);
 
-/* An event: the struct replay_attempt is overdue; or it is not. */
+/* Event handlers for the owner's reply whether an attempt is overdue; data is a
+ * struct replay_attempt. */
 void replay_handle_overdue(void *replay, void *data);
 void replay_handle_waiting(void *replay, void *data);
 
@@ -175,25 +180,27 @@
 void replay_owner_init(struct replay *r, struct replay_owner *owner);
 void replay_owner_finish(struct replay_owner *owner);
 
-/* Events: data is the struct replay_attempt. */
+/* Event handlers; data is a struct replay_attempt. */
 void replay_handle_arrival(void *replay, void *data);
 void replay_handle_cancel(void *replay, void *data);
 
-/* The entry asks whether it is overdue. */
+/* Event handler for the entry's query whether an attempt is overdue; data is a
+ * struct replay_attempt. */
 void replay_handle_ask(void *replay, void *data);
 
-/* An event: data is the struct replay_owner. */
+/* Event handler; data is a struct replay_owner. */
 void replay_handle_probe(void *replay, void *data);
 
-/* Counts the slot time of an attempt at its end. */
+/* Counts the slot time of an attempt at its end. is_useful says whether the
+ * caller gets the result in time. */
 void replay_note_run(struct replay *r, const struct replay_attempt *attempt,
 		     bool is_useful);
 
-/* What the owner tells of itself. */
+/* RETURN VALUE: the load that the owner reports to entries. */
 struct pick_load replay_owner_load(const struct replay *r,
 				   const struct replay_owner *owner);
 
-/* An attempt has passed the gate, or is refused there. */
+/* Queue an attempt that passed the gate, or refuse one. */
 void replay_owner_offer(struct replay *r, struct replay_attempt *attempt);
 void replay_owner_refuse(struct replay *r, struct replay_attempt *attempt,
 			 enum retry_outcome outcome);
@@ -203,20 +210,21 @@
 void replay_gate_init(struct replay *r, struct replay_owner *owner);
 void replay_gate_offer(struct replay *r, struct replay_attempt *attempt);
 
-/* Its turn has come; as gate_may_start() of comfreydockd. */
+/* Decides about an attempt that would start now, like gate_may_start() of
+ * comfreydockd. RETURN VALUE: false if it was held or refused. */
 bool replay_gate_may_start(struct replay *r, struct replay_attempt *attempt);
 
-/* The upstream tells its pace with an answer. */
+/* Takes the pace that the upstream reports with an answer. */
 void replay_gate_note(struct replay *r, struct replay_owner *owner);
 
-/* RETURN VALUE: true if it was held; it isn't any more. */
+/* Releases an attempt from the gate. RETURN VALUE: true if it was held. */
 bool replay_gate_forget(struct replay *r, struct replay_attempt *attempt);
 
 /* central.c */
 
 void replay_handle_central(void *replay, void *data);
 
-/* A host has become quick: what waits may begin. */
+/* Starts waiting calls after a host has become faster. */
 void replay_central_dispatch(struct replay *r);
 
 #endif
--- a/include/bench/decide/row.h
+++ b/include/bench/decide/row.h
@@ -1,24 +1,31 @@
 /*
  * NAME
- *	row - one line of a comparison
+ *	row - summary of a replay as one row of a table
  *
  * DESCRIPTION
- *	row_print() writes a line for a replay. Its columns, in shares of the
- *	calls unless they say otherwise:
+ *	row_print() writes one row for a replay. Its columns are shares of the
+ *	calls unless noted otherwise:
  *
- *	in time		answered within the deadline
- *	refused		not run, and told so
- *	failed		the upstream's own error, or no answer until the deadline
- *	p50, p99, p99.9	of the answered, ms
- *	refusal		half of the refusals had come after so long, ms
- *	wasted		slot time of runs whose answer reached nobody in time,
- *			of the slot time used
- *	extra		attempts a call beyond the first
- *	probes		slot time of probes, of all slot time
- *	target		share of calls answered within the trace's target
- *	slow		share of starts on a host that was slow while a quicker
- *			one had a free slot
- *	gauges		questions to upstreams for their pace, a call
+ *	in_time		answered within the deadline
+ *	refused		answered "not run"
+ *	failed		error of the upstream itself, or no response until the
+ *			deadline
+ *	p50, p99, p99.9	latencies of the answered calls, ms
+ *	refusal		median time until a refusal, ms
+ *	wasted		share of the used slot time spent on runs whose result
+ *			no caller got in time
+ *	extra		attempts per call beyond the first
+ *	probes		share of all slot time spent on probes
+ *	goodput		share of all slot time spent on calls answered in time
+ *	unrecov		share of the calls not answered in time after the
+ *			trace's recovery time
+ *	told		longest time for a refusal to reach its caller, ms
+ *	o_time, o_p99	of all callers but the hot one: share of their calls
+ *			that were answered, and p99 of the latencies, ms
+ *	target		answered within the trace's latency target
+ *	slow		share of the starts on a host that was slow while a
+ *			faster one had a free slot
+ *	gauges		pace queries to upstreams per call
  */
 #ifndef BENCH_DECIDE_ROW_H
 #define BENCH_DECIDE_ROW_H
--- a/include/bench/decide/trace.h
+++ b/include/bench/decide/trace.h
@@ -1,37 +1,42 @@
 /*
  * NAME
- *	trace - recorded calls and what happened to the upstreams meanwhile
+ *	trace - calls, and the changes of their upstreams meanwhile
  *
  * DESCRIPTION
- *	A text file, one item a line, in order of time; # begins a comment.
+ *	A text file with one item per line, in order of time. # starts a
+ *	comment.
  *
- *	set NAME VALUE	  upstreams, slots, entries, domains, delay_us (one way
- *			  between domains), deadline_us and target_us (of each
- *			  call; 0: no target), tells_pace (1: upstreams tell
- *			  how fast their host is at the moment), usual_work_us
- *			  (mean work of what generate makes of slow-spells);
- *			  judge_from_us, judge_until_us: results are of calls
- *			  of this window; recover_from_us: from here on all
- *			  should be well again
+ *	set NAME VALUE	  sets one of these:
+ *			  upstreams, slots (of each upstream), entries, domains
+ *			  delay_us: one-way delay between failure domains
+ *			  deadline_us, target_us: of each call; 0: no target
+ *			  tells_pace: 1: upstreams report the current pace of
+ *			  their host
+ *			  usual_work_us: mean work of calls that "generate
+ *			  slow-spells" makes
+ *			  judge_from_us, judge_until_us: the results cover the
+ *			  calls of this window
+ *			  recover_from_us: from this time on, calls should be
+ *			  answered in time again
  *	call AT ENTRY CALLER WORK [post]
- *			  a call at AT us that takes WORK us at an upstream of
- *			  usual speed; post: it is not idempotent
+ *			  a call at AT us that takes WORK us on an upstream of
+ *			  normal speed; post: the call is not idempotent
  *	generate KIND LOAD SECONDS SEED
- *			  what trace_generate() makes of this, where a file of
- *			  all calls would be large
+ *			  adds the calls and changes of trace_generate(), for
+ *			  traces whose file would otherwise be large
  *	speed AT UPSTREAM FACTOR
  *			  from AT us on, work there takes FACTOR times as long
  *
  *	start AT UPSTREAM WARM_MS
- *			  a cold start: work takes five times as long at first
- *			  and less and less so for WARM_MS
+ *			  a cold start: work takes five times as long at first,
+ *			  and the factor falls to 1 within WARM_MS
  *
  *	fault AT UPSTREAM KIND
  *			  from AT us on, work there fails within 100 us (fast),
- *			  is never answered (silent), or is done (none)
+ *			  is never answered (silent), or succeeds (none)
  *
- *	A file is written by trace_generate() from a fixed seed, or taken from
- *	a daemon's time line.
+ *	A file is written by trace_generate() from a fixed seed, or made from a
+ *	daemon's time line.
  */
 #ifndef BENCH_DECIDE_TRACE_H
 #define BENCH_DECIDE_TRACE_H
@@ -81,8 +86,8 @@
 	int64_t delay_us;
 	int64_t deadline_us;
 	int64_t target_us; /* 0: none */
-	int64_t tells_pace; /* not 0: upstreams tell how fast they are now */
-	int64_t usual_work_us; /* of the shape's requests, in slow spells */
+	int64_t tells_pace; /* not 0: upstreams report their current pace */
+	int64_t usual_work_us; /* mean work per call, for slow-spells */
 	int64_t judge_from_us;
 	int64_t judge_until_us;
 	int64_t recover_from_us;
@@ -99,23 +104,24 @@
 	TRACE_UNKNOWN_KIND,
 };
 
-/* With the sizes of lookup-desk. */
+/* Sets the sizes to those of lookup-desk. */
 void trace_init(struct trace *trace);
 
-/* The sizes of a deployment: "lookup-desk" is 7 upstreams of 12 slots in 4
- * domains 0.5 ms apart, "reservas" 7 of 9 in 3 domains 1.5 ms apart. RETURN
- * VALUE: false if the name is neither. */
+/* Sets the sizes to those of a deployment: "lookup-desk" has 7 upstreams of 12
+ * slots in 4 failure domains 0.5 ms apart, "reservas" 7 of 9 in 3 domains 1.5
+ * ms apart. RETURN VALUE: false if the name is neither. */
 bool trace_set_shape(struct trace *trace, const char *name);
 void trace_finish(struct trace *trace);
 
-/* Fills an initialised trace from a file; *line is where it went wrong. */
+/* Fills an initialised trace from a file. *line is the last line read, which is
+ * the faulty one on an error. */
 enum trace_status trace_load(struct trace *trace, const char *path, int *line);
 void trace_write(const struct trace *trace, FILE *out);
 
 struct trace_plan {
 	const char *kind; /* see trace_kinds() */
 	double load; /* mean share of all slots in use */
-	uint32_t calls; /* at most; 0: for so many seconds */
+	uint32_t calls; /* number of calls; 0: as many as fill the seconds */
 	double seconds;
 	uint64_t seed;
 };
@@ -127,7 +133,7 @@
 /* RETURN VALUE: the time of the last call. */
 int64_t trace_length_us(const struct trace *trace);
 
-/* The kinds, separated by commas. */
+/* RETURN VALUE: the names of the kinds, separated by commas. */
 const char *trace_kinds(void);
 
 #endif
--- a/standin/platform/platform.h
+++ b/standin/platform/platform.h
@@ -17,8 +17,8 @@
 	gboolean silent; /* requests stay open without a response */
 	int64_t status; /* status sent to every request; 0: no such fault */
 	int64_t slow_ms; /* delay before every request is handled */
-	/* Share of writes, and number of next writes, that are applied without a
-	 * response. */
+	/* Share of writes, and number of next writes, that are applied without
+	 * a response. */
 	double lose_answer_share;
 	int64_t lose_next;
 	int64_t late_ms; /* delay before such a transaction is applied */
--- a/tests/test_histogram.c
+++ b/tests/test_histogram.c
@@ -16,8 +16,8 @@
 	g_free(histogram);
 }
 
-/* Whatever is recorded below the largest bucket is read back as itself or up
- * to one part in 128 more, and never as less. */
+/* A value below the largest bucket is read back as itself or as at most 1/128
+ * more, and never as less. */
 static void test_error_is_bounded(void)
 {
 	for (int round = 0; round < 1000; round++) {
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -38,7 +38,7 @@
 	g_free(rig_http_ok("POST", f->relay->control_port, "/set", command));
 }
 
-/* RETURN VALUE: the size of the whole answer, or -1. */
+/* RETURN VALUE: the body size of a complete response, or -1. */
 static int64_t fetch(struct fixture *f, const char *path, int timeout_ms)
 {
 	char *url =
@@ -69,7 +69,7 @@
 	g_assert_cmpint(fetch(f, "/bytes/10", 2000), ==, 10);
 }
 
-/* RETURN VALUE: the size of the datagram that came, or -1. */
+/* RETURN VALUE: the size of the received datagram, or -1. */
 static ssize_t ping(int fd, uint16_t port)
 {
 	struct sockaddr_in to = {
@@ -83,7 +83,7 @@
 	return recv(fd, data, sizeof(data), 0);
 }
 
-/* The relay passes on to the very socket that the test sends from. */
+/* The relay's target is the socket that the test sends from. */
 static void test_udp(struct fixture *f, gconstpointer data)
 {
 	struct timeval wait = {.tv_usec = 100000};
--- a/tests/test_rig.c
+++ b/tests/test_rig.c
@@ -3,7 +3,7 @@
 
 #include "rig.h"
 
-/* In place of a daemon: it stands still early, and tells much afterwards. */
+/* Runs in place of a daemon: logs a freeze early and many lines after it. */
 #define SCRIPT                                                               \
 	"echo '{\"name\":\"owner.frozen\",\"ms\":1223,\"waited_ms\":1140}';" \
 	"echo '{\"name\":\"entry.first\"}';"                                 \
@@ -11,8 +11,10 @@
 	"i=$((i + 1)); done; echo '{\"name\":\"entry.last\"}'"
 
 /*
- * A test fails as its calls came late, and the daemon's line that says why lies
- * far before the end of its log. Without it the failure looks like the daemon's.
+ * If a test fails since its calls were late, the daemon's owner.frozen line
+ * that explains it may be far before the end of the log. If the report of the
+ * failure left that line out, the failure would look like a fault of the
+ * daemon.
  */
 static void test_failure_shows_freeze_lines(void)
 {
--- a/tests/test_standin_platform.c
+++ b/tests/test_standin_platform.c
@@ -3,7 +3,8 @@
 
 #include "table.h"
 
-/* The judge of all tests on configuration: it must itself be right. */
+/* All configuration tests rely on the table of the platform stand-in, so a
+ * fault in it would hide faults of the daemon. */
 
 #define ROW(key) "{\"table\":\"t\",\"part\":\"\",\"key\":\"" key "\"}"
 #define ROW_AT(key, version) \
@@ -59,13 +60,13 @@
 	g_assert_cmpint(run_as(&table, ROW_AT("b", "0") "," ROW_AT("a", "7"),
 			       PUT("b"), "", false, &answer),
 			==, TABLE_CONFLICT);
-	/* The answer shows how the rows of the conditions are. */
+	/* The answer has the current rows of the conditions. */
 	g_assert_cmpuint(json_object_array_length(
 				 json_object_object_get(answer, "rows")),
 			 ==, 1);
 	json_object_put(answer);
 	g_assert_cmpuint(version_of(&table, "b"), ==, 0);
-	/* Nor is anything where one entry makes no sense. */
+	/* Nothing is written either if one operation is malformed. */
 	g_assert_cmpint(run(&table, "", PUT("b") "," ROW("a"), ""), ==,
 			TABLE_MALFORMED);
 	g_assert_cmpint(run(&table, "", "", ""), ==, TABLE_MALFORMED);
@@ -82,7 +83,8 @@
 	run(&table, "", PUT("a"), "");
 	run(&table, ROW_AT("a", "1"), "", ROW("a"));
 	g_assert_cmpuint(version_of(&table, "a"), ==, 0);
-	/* Whoever saw version 1 before the delete can't overwrite what is new. */
+	/* A client that read version 1 before the delete can't overwrite the
+	 * new row. */
 	g_assert_cmpint(run(&table, ROW_AT("a", "0"), PUT("a"), ""), ==,
 			TABLE_APPLIED);
 	g_assert_cmpuint(version_of(&table, "a"), ==, 3);
@@ -149,7 +151,7 @@
 	table_finish(&table);
 }
 
-/* Each row once, by its last change, and the deleted ones as such. */
+/* The changes list each row once, at its last change, and mark deleted rows. */
 static void test_changes(void)
 {
 	struct json_object *changes;
--- a/tests/test_standin_upstream.c
+++ b/tests/test_standin_upstream.c
@@ -39,8 +39,9 @@
 	return arrived;
 }
 
-/* The judge counts each run by its id, a second one as a double; a request
- * dropped after it ran counts, one dropped before doesn't. */
+/* The upstream counts the runs of each id, and a second run of an id as a
+ * double. A request dropped after its run counts; one dropped before it runs
+ * does not. */
 static void test_counts_runs(void)
 {
 	struct rig *rig = rig_create();
@@ -70,7 +71,8 @@
 	return status;
 }
 
-/* What is shed or fails fast is answered at once, and not counted as run. */
+/* A request that is shed or fails fast gets a response at once and does not
+ * count as run. */
 static void test_refuses_without_running(void)
 {
 	struct rig *rig = rig_create();
@@ -107,9 +109,9 @@
 }
 
 /*
- * The only slot is frozen and four calls wait for it. A fifth passes its
- * deadline there and the caller of a sixth hangs up: neither ever runs. SIGTERM
- * then cuts off none of the others.
+ * The only slot is frozen and four calls wait for it. A further waiting call
+ * passes its deadline, and the caller of another closes its connection: neither
+ * may run. SIGTERM must then let the other calls finish.
  */
 static void test_cancels_waiting_requests(void)
 {
@@ -144,8 +146,8 @@
 	rig_destroy(rig);
 }
 
-/* 400 calls, GET and POST, streams among them: each answer is its caller's own
- * and the upstream ran each call once. */
+/* About 400 calls, GET and POST, some of them streams: each response belongs to
+ * its request, and the upstream ran each call once. */
 static void test_load_checks_answers(void)
 {
 	struct rig *rig = rig_create();
--- a/tests/test_traces.c
+++ b/tests/test_traces.c
@@ -2,8 +2,7 @@
 
 #include "bench/decide/outcome.h"
 
-/* Each trace tells in its outcome file what happens in it and what a caller
- * notices. */
+/* Replays each trace and checks the statements of its outcome file. */
 static void test_trace(const void *data)
 {
 	const char *path = data;
