--- a/bench/decide/main.c
+++ b/bench/decide/main.c
@@ -46,8 +46,7 @@
 	{"calls", 'c', 0, G_OPTION_ARG_INT, &calls,
 	 "Number of calls, instead of a length", "N"},
 	{"entries", 'e', 0, G_OPTION_ARG_INT, &entries, "Number of entries", "N"},
-	{"seed", 's', 0, G_OPTION_ARG_INT, &seed, "Seed of the random numbers",
-	 "N"},
+	{"seed", 's', 0, G_OPTION_ARG_INT, &seed, "Seed", "N"},
 	{0},
 };
 
