--- a/bench/capacity/bench_cluster.c
+++ b/bench/capacity/bench_cluster.c
@@ -224,7 +224,8 @@
 		      (double)(to.bytes_out - from.bytes_out) / s / n);
 }
 
-static double await(struct bench *bench, const char *text, unsigned int times)
+static double time_until_known(struct bench *bench, const char *text,
+			       unsigned int times)
 {
 	gint64 began = g_get_monotonic_time();
 
@@ -243,9 +244,9 @@
 	double death_s;
 
 	g_free(rig_http_ok("POST", drained->admin_port, "/v1/upstream/drain", ""));
-	drain_s = await(bench, "\"service\":\"draining\"", 1);
+	drain_s = time_until_known(bench, "\"service\":\"draining\"", 1);
 	rig_kill(killed);
-	death_s = await(bench, "\"state\":\"dead\"", 1);
+	death_s = time_until_known(bench, "\"state\":\"dead\"", 1);
 	printf("daemons %u: a drain is known to %u others after %.2f s, a kill "
 	       "after %.1f s\n",
 	       bench->count, MIN(SAMPLES, bench->count - 2), drain_s, death_s);
--- a/bench/capacity/bench_links.c
+++ b/bench/capacity/bench_links.c
@@ -30,7 +30,7 @@
 #define FRAME_BYTES 1000
 #define DEPLOYMENT_SIZE 1264 /* see docs/CAPACITY.md */
 
-struct end {
+struct endpoint {
 	struct settings settings;
 	struct daemon daemon;
 	char host[24];
@@ -70,11 +70,11 @@
 
 static void handle_entry_frame(struct peer *peer, Cfd__Frame *frame, void *data)
 {
-	struct end *end = data;
+	struct endpoint *endpoint = data;
 
 	(void)peer;
 	(void)frame;
-	(*end->frames)++;
+	(*endpoint->frames)++;
 }
 
 static void handle_lost(struct peer *peer, const char *error, void *data)
@@ -84,33 +84,33 @@
 	(void)data;
 }
 
-static void end_init(struct end *end, size_t number, size_t *frames)
+static void endpoint_init(struct endpoint *endpoint, size_t number, size_t *frames)
 {
-	struct peers_role owner = {handle_owner_frame, handle_lost, end};
-	struct peers_role entry = {handle_entry_frame, handle_lost, end};
-
-	snprintf(end->host, sizeof(end->host), "host-%zu", number);
-	end->frames = frames;
-	end->settings.host = end->host;
-	end->settings.peer.address = "127.0.0.1";
-	end->settings.peer_key = (uint8_t *)"a key for measurements";
-	end->settings.peer_key_size = 22;
-	end->daemon.loop = loop;
-	end->daemon.settings = &end->settings;
-	end->daemon.members = member_table_create();
-	end->daemon.peers = peers_create(&end->daemon);
-	g_assert_nonnull(end->daemon.peers);
-	peers_set_owner(end->daemon.peers, &owner);
-	peers_set_entry(end->daemon.peers, &entry);
+	struct peers_role owner = {handle_owner_frame, handle_lost, endpoint};
+	struct peers_role entry = {handle_entry_frame, handle_lost, endpoint};
+
+	snprintf(endpoint->host, sizeof(endpoint->host), "host-%zu", number);
+	endpoint->frames = frames;
+	endpoint->settings.host = endpoint->host;
+	endpoint->settings.peer.address = "127.0.0.1";
+	endpoint->settings.peer_key = (uint8_t *)"a key for measurements";
+	endpoint->settings.peer_key_size = 22;
+	endpoint->daemon.loop = loop;
+	endpoint->daemon.settings = &endpoint->settings;
+	endpoint->daemon.members = member_table_create();
+	endpoint->daemon.peers = peers_create(&endpoint->daemon);
+	g_assert_nonnull(endpoint->daemon.peers);
+	peers_set_owner(endpoint->daemon.peers, &owner);
+	peers_set_entry(endpoint->daemon.peers, &entry);
 }
 
-static void end_finish(struct end *end)
+static void endpoint_finish(struct endpoint *endpoint)
 {
-	peers_destroy(end->daemon.peers);
-	member_table_destroy(end->daemon.members);
+	peers_destroy(endpoint->daemon.peers);
+	member_table_destroy(endpoint->daemon.members);
 }
 
-static struct peer *connect_to(struct end *from, const struct end *to)
+static struct peer *connect_to(struct endpoint *from, const struct endpoint *to)
 {
 	struct member member = {.peer_port = peers_port(to->daemon.peers)};
 
@@ -125,15 +125,15 @@
 		ev_run(loop, EVRUN_ONCE);
 }
 
-static void exchange(struct end *ends, size_t count, size_t *frames)
+static void exchange(struct endpoint *endpoints, size_t count, size_t *frames)
 {
 	for (size_t i = 1; i <= count; i++) {
-		send_body(connect_to(&ends[0], &ends[i]));
+		send_body(connect_to(&endpoints[0], &endpoints[i]));
 		run_until(frames, *frames + 1);
 	}
 	for (size_t round = 1; round < FRAMES; round++) {
 		for (size_t i = 1; i <= count; i++)
-			send_body(connect_to(&ends[0], &ends[i]));
+			send_body(connect_to(&endpoints[0], &endpoints[i]));
 		run_until(frames, (round + 1) * count);
 	}
 }
@@ -141,18 +141,18 @@
 static void run_size(size_t count, struct usage_fit *resident,
 		     struct usage_fit *allocated)
 {
-	struct end *ends = g_new0(struct end, count + 1);
+	struct endpoint *endpoints = g_new0(struct endpoint, count + 1);
 	size_t frames = 0;
 	double began;
 	double rss_kib;
 	double heap_kib;
 
 	for (size_t i = 0; i <= count; i++)
-		end_init(&ends[i], i, &frames);
+		endpoint_init(&endpoints[i], i, &frames);
 	rss_kib = (double)usage_rss_kib(getpid());
 	heap_kib = (double)mallinfo2().uordblks / 1024;
 	began = now_s();
-	exchange(ends, count, &frames);
+	exchange(endpoints, count, &frames);
 	began = now_s() - began;
 	rss_kib = (double)usage_rss_kib(getpid()) - rss_kib;
 	heap_kib = (double)mallinfo2().uordblks / 1024 - heap_kib;
@@ -163,8 +163,8 @@
 	usage_fit_add(resident, (double)count, rss_kib / 1024);
 	usage_fit_add(allocated, (double)count, heap_kib / 1024);
 	for (size_t i = 0; i <= count; i++)
-		end_finish(&ends[i]);
-	g_free(ends);
+		endpoint_finish(&endpoints[i]);
+	g_free(endpoints);
 	malloc_trim(0);
 }
 
--- a/bench/capacity/bench_services.c
+++ b/bench/capacity/bench_services.c
@@ -29,7 +29,7 @@
 #define LARGE_HOSTS 600
 #define ROUNDS 20000
 #define TICKS 100
-#define LATER_US (60 * US_PER_S)
+#define IDLE_AFTER_US (60 * US_PER_S)
 #define DEPLOYMENT_SIZE 22000
 
 struct bench {
@@ -165,7 +165,7 @@
 	       "lookup %.2f us, after a change elsewhere %.2f us\n",
 	       hosts, change_us, table_us, find_us, both_us - change_us);
 	busy_us = time_ticks(&bench, clock_mono_us());
-	idle_us = time_ticks(&bench, clock_mono_us() + LATER_US);
+	idle_us = time_ticks(&bench, clock_mono_us() + IDLE_AFTER_US);
 	printf("hosts %d: a tick %.1f us with all services in use, %.2f us "
 	       "one minute after the last call\n",
 	       hosts, busy_us, idle_us);
--- a/bench/capacity/bench_subset.c
+++ b/bench/capacity/bench_subset.c
@@ -54,7 +54,8 @@
 	return (double)now.tv_sec + (double)now.tv_nsec / 1e9;
 }
 
-static void choose(struct bench *bench, size_t entry, size_t first, size_t count)
+static void choose_subset(struct bench *bench, size_t entry, size_t first,
+			  size_t count)
 {
 	char name[24];
 
@@ -68,16 +69,16 @@
 }
 
 /* RETURN VALUE: the mean number of upstreams that are new in a subset. */
-static double changed(struct bench *bench, size_t first, size_t count)
+static double mean_changes(struct bench *bench, size_t first, size_t count)
 {
 	size_t changes = 0;
 	size_t entries = MIN(bench->entries, 300);
 
 	for (size_t entry = 0; entry < entries; entry++) {
-		choose(bench, entry, 0, bench->count);
+		choose_subset(bench, entry, 0, bench->count);
 		for (size_t i = 0; i <= bench->count; i++)
 			bench->before[i] = bench->upstreams[i].chosen;
-		choose(bench, entry, first, count);
+		choose_subset(bench, entry, first, count);
 		for (size_t i = 0; i <= bench->count; i++)
 			changes +=
 				bench->upstreams[i].chosen && !bench->before[i];
@@ -147,7 +148,7 @@
 			   "upstream-%zu", i);
 	began = now_s();
 	for (size_t entry = 0; entry < entries; entry++) {
-		choose(bench, entry, 0, count);
+		choose_subset(bench, entry, 0, count);
 		note_choice(bench, entry);
 	}
 	began = now_s() - began;
@@ -157,8 +158,8 @@
 	print_spread(bench->chosen_by, count, "chosen by");
 	print_spread(bench->load, count, "load");
 	printf("%.2f members change on a leave, %.2f on a join, %.1f us\n",
-	       changed(bench, 1, count - 1), changed(bench, 0, count + 1),
-	       began / (double)entries * 1e6);
+	       mean_changes(bench, 1, count - 1),
+	       mean_changes(bench, 0, count + 1), began / (double)entries * 1e6);
 }
 
 int main(int argc, char **argv)
--- a/bench/capacity/fake_peers.c
+++ b/bench/capacity/fake_peers.c
@@ -221,7 +221,8 @@
 	send_message(peers, &ack);
 }
 
-static void take_body(struct fake_peers *peers, const uint8_t *body, size_t size)
+static void handle_message(struct fake_peers *peers, const uint8_t *body,
+			   size_t size)
 {
 	Cfd__Gossip *message = cfd__gossip__unpack(NULL, size, body);
 	bool for_another;
@@ -249,14 +250,14 @@
 				       strlen(FAKE_PEERS_KEY), data,
 				       (size_t)size, &packet) != GOSSIP_PACKET_OK)
 			continue;
-		take_body(peers, packet->body.data, packet->body.len);
+		handle_message(peers, packet->body.data, packet->body.len);
 		cfd__packet__free_unpacked(packet, NULL);
 	}
 }
 
 /* Sends the ping and the sync request that a daemon receives each second from
  * one or another of its peers. */
-static void send_each_second(struct fake_peers *peers)
+static void send_periodic_messages(struct fake_peers *peers)
 {
 	uint64_t digests[64];
 	char from[] = "host-00007";
@@ -376,7 +377,7 @@
 	peers->pending_ack_size = 0;
 	if (now >= peers->next_second_us) {
 		peers->next_second_us = now + G_USEC_PER_SEC;
-		send_each_second(peers);
+		send_periodic_messages(peers);
 	}
 	if (now >= peers->next_push_us) {
 		peers->next_push_us =
--- a/bench/config_spread.c
+++ b/bench/config_spread.c
@@ -238,9 +238,9 @@
 	char *text = file_text(name, base);
 	char *path = g_strdup_printf(
 		"/v1/config/apply?who=bench&base=%" G_GUINT64_FORMAT, base);
-	unsigned int by = (unsigned int)bench->head % bench->count;
+	unsigned int target = (unsigned int)bench->head % bench->count;
 
-	g_free(rig_http_ok("POST", bench->daemons[by]->admin_port, path, text));
+	g_free(rig_http_ok("POST", bench->daemons[target]->admin_port, path, text));
 	bench->head++;
 	g_free(path);
 	g_free(text);
--- a/bench/decide/replay.c
+++ b/bench/decide/replay.c
@@ -5,7 +5,7 @@
 #include "bench/decide/replay_internal.h"
 
 /* The delay between domains is this many times the delay inside a domain. */
-#define LOCAL_DELAY_PART 5
+#define LOCAL_DELAY_DIVISOR 5
 /* The caller with most of the calls in a trace of a hot caller. */
 #define HOT_CALLER 0
 
@@ -45,7 +45,7 @@
 			const struct replay_attempt *attempt)
 {
 	if (replay_is_local(r, attempt->call->trace->entry, attempt->upstream))
-		return r->trace->delay_us / LOCAL_DELAY_PART;
+		return r->trace->delay_us / LOCAL_DELAY_DIVISOR;
 	return r->trace->delay_us;
 }
 
--- a/bench/path/failover.c
+++ b/bench/path/failover.c
@@ -141,7 +141,7 @@
  * other daemons, which are skipped here, since each daemon's own time line is
  * read. */
 static void read_time_line(struct round *round, struct json_object *line,
-			   const char *process, GHashTable *posts, bool ends)
+			   const char *process, GHashTable *posts, bool read_ends)
 {
 	struct json_object *entries = NULL;
 
@@ -152,11 +152,11 @@
 
 		if (strcmp(json_text(entry, "process"), process) != 0)
 			continue;
-		if (ends && event == EVENT_ENDED)
+		if (read_ends && event == EVENT_ENDED)
 			read_ended(round, entry, posts);
-		else if (!ends && event == EVENT_SENT)
+		else if (!read_ends && event == EVENT_SENT)
 			read_sent(round, entry);
-		else if (!ends && event == EVENT_TAKEN &&
+		else if (!read_ends && event == EVENT_TAKEN &&
 			 strstr(json_text(entry, "note"), "rule=post"))
 			g_hash_table_add(posts,
 					 g_strdup(json_text(entry, "trace")));
--- a/bench/path/streaming.c
+++ b/bench/path/streaming.c
@@ -22,7 +22,7 @@
 struct slow_caller {
 	uint16_t port;
 	size_t received;
-	bool whole;
+	bool is_complete;
 };
 
 static int open_stream(uint16_t port, GString *head)
@@ -82,7 +82,7 @@
 		if (due_us > g_get_monotonic_time())
 			g_usleep((gulong)(due_us - g_get_monotonic_time()));
 	}
-	caller->whole = own && caller->received == ANSWER_BYTES;
+	caller->is_complete = own && caller->received == ANSWER_BYTES;
 	close(fd);
 	g_free(block);
 	g_string_free(head, TRUE);
@@ -154,9 +154,10 @@
 	g_thread_join(thread);
 	most = print_memory(&cluster, "after the stream");
 	printf("long response: %zu bytes, %s\n", caller.received,
-	       caller.whole ? "complete and correct" : "INCOMPLETE OR INCORRECT");
+	       caller.is_complete ? "complete and correct" :
+				    "INCOMPLETE OR INCORRECT");
 	printf("memory limit of %d KiB: %s\n", LIMIT_KIB,
 	       most <= LIMIT_KIB ? "kept" : "EXCEEDED");
 	cluster_stop(&cluster);
-	return caller.whole && most <= LIMIT_KIB ? 0 : 1;
+	return caller.is_complete && most <= LIMIT_KIB ? 0 : 1;
 }
--- a/standin/platform/main.c
+++ b/standin/platform/main.c
@@ -92,11 +92,11 @@
 }
 
 static const char *argument(const struct http_request *request,
-			    const char *name, const char *missing)
+			    const char *name, const char *fallback)
 {
 	const char *value = http_request_argument(request, name);
 
-	return value ? value : missing;
+	return value ? value : fallback;
 }
 
 static void get_rows(struct platform *platform, struct http_request *request)
--- a/standin/platform/table.c
+++ b/standin/platform/table.c
@@ -5,7 +5,7 @@
 #include "platform/wire.h"
 
 #define SEPARATOR "\1"
-#define ENTRIES_MAX 100
+#define OPERATIONS_MAX 100
 #define NAME_MAX_BYTES 200
 
 static int compare_names(const void *a, const void *b, void *data)
@@ -158,7 +158,7 @@
 }
 
 /* One entry of a transaction. */
-struct entry {
+struct operation {
 	const char *table;
 	const char *part;
 	const char *key;
@@ -176,20 +176,20 @@
 	return text;
 }
 
-static bool read_entry(struct json_object *object, struct entry *entry)
+static bool read_operation(struct json_object *object, struct operation *operation)
 {
-	entry->table = read_text(object, WIRE_TABLE);
-	entry->part = read_text(object, WIRE_PART);
-	entry->key = read_text(object, WIRE_KEY);
-	entry->value = read_text(object, WIRE_VALUE);
-	entry->version =
+	operation->table = read_text(object, WIRE_TABLE);
+	operation->part = read_text(object, WIRE_PART);
+	operation->key = read_text(object, WIRE_KEY);
+	operation->value = read_text(object, WIRE_VALUE);
+	operation->version =
 		json_object_get_uint64(json_object_object_get(object, WIRE_VER));
-	if (!entry->part)
-		entry->part = "";
-	return entry->table && entry->key &&
-	       strlen(entry->table) <= NAME_MAX_BYTES &&
-	       strlen(entry->part) <= NAME_MAX_BYTES &&
-	       strlen(entry->key) <= NAME_MAX_BYTES;
+	if (!operation->part)
+		operation->part = "";
+	return operation->table && operation->key &&
+	       strlen(operation->table) <= NAME_MAX_BYTES &&
+	       strlen(operation->part) <= NAME_MAX_BYTES &&
+	       strlen(operation->key) <= NAME_MAX_BYTES;
 }
 
 static size_t length_of(struct json_object *transaction, const char *name)
@@ -201,12 +201,12 @@
 		       0;
 }
 
-static bool get_entry(struct json_object *transaction, const char *name,
-		      size_t index, struct entry *entry)
+static bool get_operation(struct json_object *transaction, const char *name,
+			  size_t index, struct operation *operation)
 {
 	struct json_object *list = json_object_object_get(transaction, name);
 
-	return read_entry(json_object_array_get_idx(list, index), entry);
+	return read_operation(json_object_array_get_idx(list, index), operation);
 }
 
 static bool is_for_operators(const char *table)
@@ -215,8 +215,8 @@
 }
 
 /* All entries must be well-formed and belong to the same part. */
-static enum table_status check_entries(struct json_object *transaction,
-				       bool is_operator)
+static enum table_status check_operations(struct json_object *transaction,
+					  bool is_operator)
 {
 	static const char *const lists[] = {WIRE_EXPECT, WIRE_SET_KEYS,
 					    WIRE_REMOVE};
@@ -225,22 +225,23 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(lists); i++) {
 		for (size_t j = 0; j < length_of(transaction, lists[i]); j++) {
-			struct entry entry;
+			struct operation operation;
 
-			if (!get_entry(transaction, lists[i], j, &entry))
+			if (!get_operation(transaction, lists[i], j, &operation))
 				return TABLE_MALFORMED;
-			if (i == 1 && !entry.value)
+			if (i == 1 && !operation.value)
 				return TABLE_MALFORMED;
-			if (i > 0 && !is_operator && is_for_operators(entry.table))
+			if (i > 0 && !is_operator &&
+			    is_for_operators(operation.table))
 				return TABLE_FORBIDDEN;
-			if (part && strcmp(part, entry.part) != 0)
+			if (part && strcmp(part, operation.part) != 0)
 				return TABLE_MALFORMED;
-			part = entry.part;
+			part = operation.part;
 			total++;
 		}
 	}
-	return total > 0 && total <= ENTRIES_MAX ? TABLE_APPLIED :
-						   TABLE_MALFORMED;
+	return total > 0 && total <= OPERATIONS_MAX ? TABLE_APPLIED :
+						      TABLE_MALFORMED;
 }
 
 static bool conditions_hold(const struct table *table,
@@ -248,11 +249,12 @@
 {
 	for (size_t i = 0; i < length_of(transaction, WIRE_EXPECT); i++) {
 		const struct table_row *row;
-		struct entry entry;
+		struct operation operation;
 
-		get_entry(transaction, WIRE_EXPECT, i, &entry);
-		row = table_get(table, entry.table, entry.part, entry.key);
-		if (entry.version != (row ? row->version : 0))
+		get_operation(transaction, WIRE_EXPECT, i, &operation);
+		row = table_get(table, operation.table, operation.part,
+				operation.key);
+		if (operation.version != (row ? row->version : 0))
 			return false;
 	}
 	return true;
@@ -266,10 +268,11 @@
 
 	for (size_t i = 0; i < length_of(transaction, WIRE_EXPECT); i++) {
 		const struct table_row *row;
-		struct entry entry;
+		struct operation operation;
 
-		get_entry(transaction, WIRE_EXPECT, i, &entry);
-		row = table_get(table, entry.table, entry.part, entry.key);
+		get_operation(transaction, WIRE_EXPECT, i, &operation);
+		row = table_get(table, operation.table, operation.part,
+				operation.key);
 		if (row)
 			json_object_array_add(rows, row_to_json(row));
 	}
@@ -278,19 +281,20 @@
 	return object;
 }
 
-static void write_row(struct table *table, const struct entry *entry,
+static void write_row(struct table *table, const struct operation *operation,
 		      const char *value)
 {
-	struct table_row *row =
-		find_row(table, entry->table, entry->part, entry->key);
+	struct table_row *row = find_row(table, operation->table,
+					 operation->part, operation->key);
 
 	if (!row) {
 		row = g_new0(struct table_row, 1);
-		row->table = g_strdup(entry->table);
-		row->part = g_strdup(entry->part);
-		row->key = g_strdup(entry->key);
+		row->table = g_strdup(operation->table);
+		row->part = g_strdup(operation->part);
+		row->key = g_strdup(operation->key);
 		g_tree_insert(table->rows,
-			      full_name(entry->table, entry->part, entry->key),
+			      full_name(operation->table, operation->part,
+					operation->key),
 			      row);
 	}
 	g_free(row->value);
@@ -300,16 +304,16 @@
 
 static void apply(struct table *table, struct json_object *transaction)
 {
-	struct entry entry;
+	struct operation operation;
 
 	table->version++;
 	for (size_t i = 0; i < length_of(transaction, WIRE_SET_KEYS); i++) {
-		get_entry(transaction, WIRE_SET_KEYS, i, &entry);
-		write_row(table, &entry, entry.value);
+		get_operation(transaction, WIRE_SET_KEYS, i, &operation);
+		write_row(table, &operation, operation.value);
 	}
 	for (size_t i = 0; i < length_of(transaction, WIRE_REMOVE); i++) {
-		get_entry(transaction, WIRE_REMOVE, i, &entry);
-		write_row(table, &entry, NULL);
+		get_operation(transaction, WIRE_REMOVE, i, &operation);
+		write_row(table, &operation, NULL);
 	}
 	json_object_array_add(table->history, json_object_get(transaction));
 }
@@ -331,7 +335,7 @@
 				 struct json_object *transaction,
 				 bool is_operator, struct json_object **answer)
 {
-	enum table_status status = check_entries(transaction, is_operator);
+	enum table_status status = check_operations(transaction, is_operator);
 
 	*answer = NULL;
 	if (status != TABLE_APPLIED)
--- a/standin/upstream/upstream.h
+++ b/standin/upstream/upstream.h
@@ -175,7 +175,7 @@
 /* server.c */
 struct http_server *upstream_listen(struct upstream *upstream);
 
-/* work.c: accepts or refuses a request that was read completely. Afterwards
+/* job.c: accepts or refuses a request that was read completely. Afterwards
  * either its state is JOB_ANSWERING, or it waits or runs and the caller of this
  * function must suspend its connection. */
 void job_submit(struct job *job);
