--- a/bench/config_spread.c
+++ b/bench/config_spread.c
@@ -42,7 +42,7 @@
 	GArray *last_adoption_us;
 };
 
-/* Sums over all daemons. */
+/* Sums over all daemons since their start. */
 struct totals {
 	int64_t gossip_bytes;
 	int64_t config_bytes;
@@ -240,7 +240,8 @@
 		"/v1/config/apply?who=bench&base=%" G_GUINT64_FORMAT, base);
 	unsigned int target = (unsigned int)bench->head % bench->count;
 
-	g_free(rig_http_ok("POST", bench->daemons[target]->admin_port, path, text));
+	g_free(rig_http_ok("POST", bench->daemons[target]->admin_port, path,
+			   text));
 	bench->head++;
 	g_free(path);
 	g_free(text);
--- a/bench/decide/generate.c
+++ b/bench/decide/generate.c
@@ -45,12 +45,12 @@
 	struct trace *trace;
 	struct random_state random;
 	double mean_gap_us;
-	int64_t length_us; /* expected */
+	int64_t length_us; /* expected length of the trace */
 };
 
 struct kind {
 	const char *name;
-	double mean_work_us; /* 0: the shape's usual work */
+	double mean_work_us; /* 0: usual_work_us of the trace's shape */
 	double (*work_us)(struct generator *g);
 	double (*rate)(const struct generator *g, int64_t at_us);
 	uint32_t (*caller)(struct generator *g);
--- a/bench/path/failover.c
+++ b/bench/path/failover.c
@@ -135,7 +135,7 @@
 		round->ended[post][ending]++;
 }
 
-/* Reads the sent and taken calls if ends is false, and the ends of calls
+/* Reads the sent and taken calls if read_ends is false, and the ends of calls
  * otherwise. The ends are read in a second pass, since their time window
  * depends on the last call that any daemon sent. A time line also has events of
  * other daemons, which are skipped here, since each daemon's own time line is
@@ -243,7 +243,7 @@
 int main(void)
 {
 	bench_print_head("bench/run failover");
-	printf("%d hosts of %s slots, %s us a call, 240 calls a second at "
+	printf("%d hosts of %s slots, %s us per call, 240 calls per second at "
 	       "two "
 	       "of them, half GET and half POST, deadline %d ms; the fourth is "
 	       "killed\n",
--- a/bench/path/streaming.c
+++ b/bench/path/streaming.c
@@ -1,6 +1,6 @@
 /*
  * A caller reads a long response slowly while other callers make short calls.
- * This benchmark guards the flow-control window of each response. Without it,
+ * Measures the effect of the flow-control window of each response. Without it,
  * the daemons would read the response as fast as the upstream writes, and
  * buffer in memory what the caller has not read. Short responses on the same
  * connection would wait behind it (head-of-line blocking).
--- a/include/bench/decide/replay_internal.h
+++ b/include/bench/decide/replay_internal.h
@@ -28,7 +28,7 @@
 struct replay_call;
 
 struct replay_attempt {
-	struct queue_item item; /* first; see owner.c */
+	struct queue_item item; /* must be first; owner.c casts it back */
 	TAILQ_ENTRY(replay_attempt) held_link;
 	struct replay_call *call;
 	uint32_t upstream;
@@ -37,7 +37,7 @@
 	bool is_overtaken; /* another was sent as it gave no response */
 	bool running;
 	bool held; /* waits at the owner's gate */
-	bool arrived; /* at the owner */
+	bool arrived; /* the owner has received it */
 	bool over; /* the owner has answered or refused it */
 	bool dropped; /* the entry no longer waits for it */
 	bool error; /* answered with an error of the upstream itself */
--- a/standin/platform/table.c
+++ b/standin/platform/table.c
@@ -157,7 +157,7 @@
 	return object;
 }
 
-/* One entry of a transaction. */
+/* A condition, a write or a removal of a transaction. */
 struct operation {
 	const char *table;
 	const char *part;
--- a/standin/upstream/upstream.h
+++ b/standin/upstream/upstream.h
@@ -104,13 +104,13 @@
 struct upstream_counts {
 	uint64_t started;
 	uint64_t finished;
-	uint64_t doubles;
-	uint64_t shed;
+	uint64_t doubles; /* runs of an id that had run before */
+	uint64_t shed; /* 503 since the backlog was full */
 	uint64_t failed_fast;
 	uint64_t dropped;
-	uint64_t cancelled_waiting;
-	uint64_t cancelled_running;
-	uint64_t late;
+	uint64_t cancelled_waiting; /* caller closed the connection */
+	uint64_t cancelled_running; /* the same, during the run */
+	uint64_t late; /* deadline passed while waiting */
 	uint64_t probes; /* GET /health and GET /load */
 	uint64_t misdirected; /* requests to another instance */
 	uint64_t acknowledged; /* heartbeats and deregistrations */
@@ -137,9 +137,9 @@
 	GString *body; /* only for /echo and control requests */
 	uint64_t body_size;
 	unsigned int status;
-	bool drop;
+	bool drop; /* close the connection without a response */
 	bool has_run;
-	bool suspended;
+	bool suspended; /* libmicrohttpd doesn't poll the connection */
 	struct precise_timer service;
 	ev_timer deadline;
 	ev_io closed;
@@ -186,7 +186,7 @@
 /* Sends the responses that the freeze fault held back. */
 void job_answer_held(struct upstream *upstream);
 
-/* control.c */
+/* control.c: control requests of tests, and /health and /load */
 bool control_is_command(const struct job *job);
 enum MHD_Result control_answer(struct job *job);
 
