--- a/bench/bench_swim.c
+++ b/bench/bench_swim.c
@@ -1,15 +1,16 @@
 /*
  * NAME
- *	bench_swim - what membership costs one daemon
+ *	bench_swim - cost of SWIM membership for one daemon
  *
  * SYNOPSIS
  *	bench-swim [HOSTS [CHANGES_PER_S]]
  *
  * DESCRIPTION
- *	Fills a table, then runs one machine for ten simulated minutes against
- *	peers that answer at once: each second one ping and one sync request
- *	come in besides, and the changes, each as often as others would send
- *	it. Prints memory a host, and processor time and bytes out a second.
+ *	Fills a member table, then runs one SWIM state machine for ten
+ *	simulated minutes against peers that acknowledge at once. Each second it
+ *	also receives one ping, one sync request and the changes, each change
+ *	as often as a real cluster would send it to one host. Prints the memory
+ *	per host, and the processor time and the bytes sent per second.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -31,8 +32,8 @@
 	uint64_t bytes_out;
 	uint64_t packets_out;
 	uint64_t incarnation;
-	uint8_t answer[SWIM_BODY_MAX];
-	size_t answer_size;
+	uint8_t pending_ack[SWIM_BODY_MAX];
+	size_t pending_ack_size;
 };
 
 static void fill_member(struct member *member, int i)
@@ -53,7 +54,8 @@
 		 i / 250, i % 250);
 }
 
-/* Keeps the ack to a ping until the machine has returned. */
+/* Keeps the ack to a ping. deliver_ack() passes it on after the state machine
+ * has returned. */
 static void bench_send(const char *address, uint16_t port, const uint8_t *body,
 		       size_t size, void *data)
 {
@@ -69,7 +71,8 @@
 		ack.kind = CFD__GOSSIP_KIND__GOSSIP_ACK;
 		ack.seq = message->seq;
 		ack.from = message->target;
-		bench->answer_size = cfd__gossip__pack(&ack, bench->answer);
+		bench->pending_ack_size =
+			cfd__gossip__pack(&ack, bench->pending_ack);
 	}
 	if (message)
 		cfd__gossip__free_unpacked(message, NULL);
@@ -84,17 +87,17 @@
 		     bench->now_us);
 }
 
-static void bench_answer(struct bench *bench)
+static void deliver_ack(struct bench *bench)
 {
-	size_t size = bench->answer_size;
+	size_t size = bench->pending_ack_size;
 
-	bench->answer_size = 0;
+	bench->pending_ack_size = 0;
 	if (size > 0)
-		swim_receive(bench->swim, "10.1.0.7", PEER_PORT, bench->answer,
-			     size, bench->now_us);
+		swim_receive(bench->swim, "10.1.0.7", PEER_PORT,
+			     bench->pending_ack, size, bench->now_us);
 }
 
-static void bench_change(struct bench *bench, int host)
+static void receive_change(struct bench *bench, int host)
 {
 	struct member member;
 	Cfd__MemberRecord record = CFD__MEMBER_RECORD__INIT;
@@ -121,7 +124,7 @@
 		bench_receive(bench, &push);
 }
 
-static void bench_second(struct bench *bench, int second)
+static void receive_periodic_messages(struct bench *bench, int second)
 {
 	uint64_t digests[64];
 	Cfd__Gossip ping = CFD__GOSSIP__INIT;
@@ -153,11 +156,11 @@
 	for (int tick = 0; tick < RUN_S * 20; tick++) {
 		bench->now_us += SWIM_TICK_US;
 		swim_tick(bench->swim, bench->now_us);
-		bench_answer(bench);
+		deliver_ack(bench);
 		if (tick % 20 == 0)
-			bench_second(bench, tick / 20);
+			receive_periodic_messages(bench, tick / 20);
 		for (changes += changes_per_s / 20; changes >= 1; changes--)
-			bench_change(bench, tick % hosts);
+			receive_change(bench, tick % hosts);
 	}
 }
 
@@ -196,14 +199,14 @@
 		fill_member(&member, i);
 		member_table_update(bench.table, &member, bench.now_us);
 	}
-	printf("memory: %zu bytes, %.0f a host of %d\n",
+	printf("memory: %zu bytes, %.0f per host with %d hosts\n",
 	       mallinfo2().uordblks - before,
 	       (double)(mallinfo2().uordblks - before) / hosts, hosts);
-	/* Let the news of the filling run out. */
+	/* Lets the dissemination of the filled-in members finish. */
 	while (bench.now_us < 4 * 3600 * (int64_t)1000000) {
 		bench.now_us += SWIM_TICK_US;
 		swim_tick(bench.swim, bench.now_us);
-		bench_answer(&bench);
+		deliver_ack(&bench);
 	}
 	bench.bytes_out = bench.packets_out = 0;
 	began = clock();
--- a/bench/capacity/bench_daemon.c
+++ b/bench/capacity/bench_daemon.c
@@ -1,38 +1,39 @@
 /*
  * NAME
- *	bench_daemon - what one daemon costs among many hosts
+ *	bench_daemon - cost of one daemon, by the number of hosts
  *
  * SYNOPSIS
  *	bench-daemon SECONDS HOSTS...
  *
  * DESCRIPTION
  *	For each size: starts a real daemon with a configuration of one service
- *	for each eight hosts, lets it join a crowd of so many hosts by gossip,
- *	and measures memory at each step, then processor time and bytes for so
- *	many seconds at rest and at several rates of changes. Then it calls
- *	each service once, so that the entry keeps state for it, and lists the
- *	hosts. The bytes count 28 a packet for IP and UDP.
+ *	per eight hosts and lets it join that number of simulated hosts by
+ *	gossip. Measures the memory after each step, then processor time and
+ *	bytes for SECONDS seconds without changes and at several rates of
+ *	changes. Then it calls each service once, so that the entry keeps state
+ *	for it, and lists the hosts. The bytes include 28 per packet for the IP
+ *	and UDP headers.
  */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "bench/capacity/crowd.h"
+#include "bench/capacity/fake_peers.h"
 #include "bench/capacity/usage.h"
 #include "rig.h"
 
 #define HOSTS_PER_SERVICE 8
 #define HEADERS_BYTES 28
-#define FULL_SIZE 22000
+#define DEPLOYMENT_SIZE 22000
 #define SETTLE_MS 5000
-#define JOIN_TURNS 600
-#define JOIN_TURN_MS 100
+#define JOIN_ROUNDS 600
+#define JOIN_ROUND_MS 100
 
 struct fits {
 	struct usage_fit config;
 	struct usage_fit members;
-	struct usage_fit whole;
-	struct usage_fit rest;
+	struct usage_fit with_services;
+	struct usage_fit idle;
 	struct usage_fit busy;
 	struct usage_fit join;
 	struct usage_fit list;
@@ -41,7 +42,7 @@
 struct bench {
 	struct rig *rig;
 	struct rig_process *daemon;
-	struct crowd *crowd;
+	struct fake_peers *peers;
 	int hosts;
 	int services;
 };
@@ -73,7 +74,7 @@
 {
 	struct rig_process *platform = rig_start_standin(
 		bench->rig, "standin/platform/standin-platform", NULL);
-	const char *key = rig_write_file(bench->rig, "peer.key", CROWD_KEY);
+	const char *key = rig_write_file(bench->rig, "peer.key", FAKE_PEERS_KEY);
 	const char *config = write_config(bench);
 	const char *settings = rig_write_file(
 		bench->rig, "daemon.json",
@@ -85,11 +86,11 @@
 		"\"config_file\": \"%s\",\n"
 		"\"peer\": {\"address\": \"127.0.0.1\", \"port\": 0,\n"
 		" \"key_file\": \"%s\", \"join\": [\"127.0.0.1:%u\"]}}\n",
-		CROWD_DAEMON, platform->port, config, key,
-		crowd_port(bench->crowd));
+		FAKE_PEERS_DAEMON, platform->port, config, key,
+		fake_peers_port(bench->peers));
 
 	bench->daemon = rig_start_daemon(bench->rig, "daemon", settings);
-	crowd_set_daemon(bench->crowd, bench->daemon->peer_port);
+	fake_peers_set_daemon(bench->peers, bench->daemon->peer_port);
 }
 
 static double rss_mib(const struct bench *bench)
@@ -109,10 +110,10 @@
 
 static int64_t read_counter(struct bench *bench, const char *name)
 {
-	char *whole = g_strconcat("comfreydock_", name, NULL);
-	int64_t value = rig_metric(bench->daemon->admin_port, whole);
+	char *full_name = g_strconcat("comfreydock_", name, NULL);
+	int64_t value = rig_metric(bench->daemon->admin_port, full_name);
 
-	g_free(whole);
+	g_free(full_name);
 	return MAX(value, 0);
 }
 
@@ -134,11 +135,11 @@
 	int64_t cpu = usage_cpu_ns(bench->daemon->pid);
 	double seconds;
 
-	for (int i = 0; i < JOIN_TURNS && count_hosts(bench) <= bench->hosts; i++)
-		crowd_run(bench->crowd, JOIN_TURN_MS);
+	for (int i = 0; i < JOIN_ROUNDS && count_hosts(bench) <= bench->hosts; i++)
+		fake_peers_run(bench->peers, JOIN_ROUND_MS);
 	seconds = (double)(g_get_monotonic_time() - began) / 1e6;
 	cpu = usage_cpu_ns(bench->daemon->pid) - cpu;
-	printf("hosts %d: joined with %d known after %.1f s, %.0f bytes in, "
+	printf("hosts %d: joined, %d known after %.1f s, %.0f bytes in, "
 	       "%.0f bytes out, %.2f s of processor time\n",
 	       bench->hosts, (int)count_hosts(bench), seconds,
 	       wire_bytes(bench, "in"), wire_bytes(bench, "out"),
@@ -146,7 +147,7 @@
 	usage_fit_add(&fits->join, bench->hosts, seconds);
 }
 
-/* RETURN VALUE: percent of a core. */
+/* RETURN VALUE: the processor time in percent of a core. */
 static double measure(struct bench *bench, int seconds, double changes_per_s)
 {
 	double in;
@@ -156,13 +157,13 @@
 	double spent_s;
 	double percent;
 
-	crowd_set_changes(bench->crowd, changes_per_s);
-	crowd_run(bench->crowd, SETTLE_MS);
+	fake_peers_set_changes(bench->peers, changes_per_s);
+	fake_peers_run(bench->peers, SETTLE_MS);
 	in = wire_bytes(bench, "in");
 	out = wire_bytes(bench, "out");
 	began = g_get_monotonic_time();
 	cpu = usage_cpu_ns(bench->daemon->pid);
-	crowd_run(bench->crowd, seconds * 1000);
+	fake_peers_run(bench->peers, seconds * 1000);
 	cpu = usage_cpu_ns(bench->daemon->pid) - cpu;
 	spent_s = (double)(g_get_monotonic_time() - began) / 1e6;
 	percent = (double)cpu / 1e9 / spent_s * 100;
@@ -174,7 +175,8 @@
 	return percent;
 }
 
-/* The daemon makes each page in one turn of its loop. */
+/* Measures each page by itself, since the daemon renders a page in one
+ * iteration of its event loop. */
 static void list_hosts(struct bench *bench, struct fits *fits)
 {
 	char *path = g_strdup("/v1/hosts");
@@ -201,8 +203,8 @@
 		}
 		g_free(page);
 	}
-	printf("hosts %d: listed in %u pages, %zu bytes, %.1f ms of processor "
-	       "time for a page at most\n",
+	printf("hosts %d: listed in %u pages, %zu bytes, at most %.1f ms of "
+	       "processor time per page\n",
 	       bench->hosts, pages, bytes, most_ms);
 	usage_fit_add(&fits->list, bench->hosts, most_ms);
 }
@@ -215,7 +217,7 @@
 
 		rig_answer_free(rig_http("GET", url, NULL, NULL, 2000));
 		g_free(url);
-		crowd_run(bench->crowd, 1);
+		fake_peers_run(bench->peers, 1);
 	}
 }
 
@@ -227,29 +229,30 @@
 	double members_mib;
 
 	bench.rig = rig_create();
-	bench.crowd = crowd_create(hosts, bench.services);
+	bench.peers = fake_peers_create(hosts, bench.services);
 	start_daemon(&bench);
 	config_mib = rss_mib(&bench);
 	join(&bench, fits);
 	members_mib = rss_mib(&bench);
-	usage_fit_add(&fits->rest, hosts, measure(&bench, seconds, 0));
+	usage_fit_add(&fits->idle, hosts, measure(&bench, seconds, 0));
 	usage_fit_add(&fits->busy, hosts, measure(&bench, seconds, 0.2));
 	measure(&bench, seconds, 2);
 	measure(&bench, seconds, 20);
-	crowd_set_changes(bench.crowd, 0);
+	fake_peers_set_changes(bench.peers, 0);
 	call_services(&bench);
-	printf("hosts %d: resident with %d services' configuration %.2f MiB, "
-	       "and all members %.2f MiB, and all services called %.2f MiB\n",
+	printf("hosts %d: resident with the configuration of %d services %.2f "
+	       "MiB, with all members %.2f MiB, with all services called %.2f "
+	       "MiB\n",
 	       hosts, bench.services, config_mib, members_mib, rss_mib(&bench));
 	fflush(stdout);
 	usage_fit_add(&fits->config, hosts, config_mib);
 	usage_fit_add(&fits->members, hosts, members_mib);
-	usage_fit_add(&fits->whole, hosts, rss_mib(&bench));
+	usage_fit_add(&fits->with_services, hosts, rss_mib(&bench));
 	list_hosts(&bench, fits);
 	printf("hosts %d: resident after the list %.2f MiB\n", hosts,
 	       rss_mib(&bench));
 	fflush(stdout);
-	crowd_destroy(bench.crowd);
+	fake_peers_destroy(bench.peers);
 	rig_destroy(bench.rig);
 }
 
@@ -263,15 +266,18 @@
 		return 2;
 	}
 	for (int i = 2; i < argc; i++)
-		run_size(MAX(atoi(argv[i]), CROWD_LARGE_HOSTS * 2), seconds,
-			 &fits);
-	usage_fit_print(&fits.config, "MiB with the configuration", FULL_SIZE);
-	usage_fit_print(&fits.members, "MiB with the members", FULL_SIZE);
-	usage_fit_print(&fits.whole, "MiB with the services", FULL_SIZE);
-	usage_fit_print(&fits.join, "s to join", FULL_SIZE);
-	usage_fit_print(&fits.rest, "percent of a core at rest", FULL_SIZE);
+		run_size(MAX(atoi(argv[i]), FAKE_PEERS_LARGE_HOSTS * 2),
+			 seconds, &fits);
+	usage_fit_print(&fits.config, "MiB with the configuration",
+			DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.members, "MiB with the members", DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.with_services, "MiB with the services",
+			DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.join, "s to join", DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.idle, "percent of a core when idle",
+			DEPLOYMENT_SIZE);
 	usage_fit_print(&fits.busy, "percent of a core at 0.2 changes/s",
-			FULL_SIZE);
-	usage_fit_print(&fits.list, "ms for a page of hosts", FULL_SIZE);
+			DEPLOYMENT_SIZE);
+	usage_fit_print(&fits.list, "ms for a page of hosts", DEPLOYMENT_SIZE);
 	return 0;
 }
--- a/bench/decide/gate.c
+++ b/bench/decide/gate.c
@@ -1,11 +1,11 @@
 #include "bench/decide/replay_internal.h"
 #include "common/clock.h"
 
-/* Of a question to the upstream, its answer included. */
+/* Round trip of a pace query to the upstream. */
 #define GAUGE_US 500
 #define GAUGES_PER_S 60.0
 #define GAUGES_AT_ONCE 15.0
-/* As in comfreydockd/upstream/gate.c. */
+/* The same values as in comfreydockd/upstream/gate.c. */
 #define ASK_HELD_US ((int64_t)20 * 1000)
 #define ASK_SLOW_US ((int64_t)40 * 1000)
 
@@ -32,7 +32,7 @@
 	return true;
 }
 
-static void tell_entries(struct replay *r, const struct replay_owner *owner)
+static void send_load_reports(struct replay *r, const struct replay_owner *owner)
 {
 	uint32_t upstream = (uint32_t)(owner - r->owners);
 
@@ -62,7 +62,7 @@
 		return;
 	if (pace_note(&owner->pace, percent, r->events.now_us) &&
 	    replay_has(r, REPLAY_TELL))
-		tell_entries(r, owner);
+		send_load_reports(r, owner);
 }
 
 static void handle_gauge(void *replay, void *data)
--- a/bench/decide/main.c
+++ b/bench/decide/main.c
@@ -2,10 +2,10 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "bench/decide/doc_tables.h"
 #include "bench/decide/outcome.h"
 #include "bench/decide/replay.h"
 #include "bench/decide/row.h"
-#include "bench/decide/table.h"
 
 static const char *const compared[] = {
 	"one-queue",	   "random+all",
@@ -29,7 +29,8 @@
 static const GOptionEntry options[] = {
 	{"table", 0, 0, G_OPTION_ARG_NONE, &write_table,
 	 "Write the tables of docs/ in this folder", NULL},
-	{"trace", 't', 0, G_OPTION_ARG_FILENAME, &path, "Replay FILE", "FILE"},
+	{"trace", 't', 0, G_OPTION_ARG_FILENAME, &path,
+	 "Replay the trace in FILE", "FILE"},
 	{"kind", 'k', 0, G_OPTION_ARG_STRING, &kind,
 	 "Generate a trace of this KIND", "KIND"},
 	{"write", 'w', 0, G_OPTION_ARG_NONE, &write_trace,
@@ -38,12 +39,13 @@
 	 "Replay POLICY[+[no-]MODULE...]; may be repeated", "POLICY"},
 	{"shape", 'd', 0, G_OPTION_ARG_STRING, &shape,
 	 "Sizes of a deployment: lookup-desk or reservas", "NAME"},
-	{"load", 'l', 0, G_OPTION_ARG_DOUBLE, &load, "Share of all slots",
-	 "SHARE"},
-	{"seconds", 'n', 0, G_OPTION_ARG_DOUBLE, &seconds, "How long", "S"},
+	{"load", 'l', 0, G_OPTION_ARG_DOUBLE, &load,
+	 "Mean share of all slots in use", "SHARE"},
+	{"seconds", 'n', 0, G_OPTION_ARG_DOUBLE, &seconds,
+	 "Length of the generated trace", "S"},
 	{"calls", 'c', 0, G_OPTION_ARG_INT, &calls,
-	 "How many calls, in place of how long", "N"},
-	{"entries", 'e', 0, G_OPTION_ARG_INT, &entries, "How many entries", "N"},
+	 "Number of calls, instead of a length", "N"},
+	{"entries", 'e', 0, G_OPTION_ARG_INT, &entries, "Number of entries", "N"},
 	{"seed", 's', 0, G_OPTION_ARG_INT, &seed, "Seed", "N"},
 	{0},
 };
@@ -55,7 +57,8 @@
 	struct row row;
 
 	if (!outcome_parse_policy(policy, &run)) {
-		g_printerr("bench-decide: no policy %s\n", policy);
+		g_printerr("bench-decide: unknown policy or module in %s\n",
+			   policy);
 		return false;
 	}
 	replay_run(trace, &run, &result);
@@ -108,7 +111,9 @@
 	if (good && entries > 0 && calls >= 0 && load > 0 && seconds > 0)
 		return true;
 	g_printerr("bench-decide: %s\n",
-		   error ? error->message : "sizes must be above 0");
+		   error ? error->message :
+			   "entries, load and seconds must be positive, calls "
+			   "must not be negative");
 	g_clear_error(&error);
 	return false;
 }
@@ -123,7 +128,8 @@
 	trace_init(&trace);
 	status = get_trace(&trace, &line);
 	if (status != TRACE_OK)
-		g_printerr("bench-decide: no trace (line %d); kinds: %s\n",
+		g_printerr("bench-decide: can't read or generate the trace "
+			   "(line %d); known kinds: %s\n",
 			   line, trace_kinds());
 	else if (write_trace)
 		trace_write(&trace, stdout);
@@ -139,7 +145,7 @@
 
 	if (!parse(&argc, &argv))
 		return EXIT_FAILURE;
-	good = write_table ? table_write() : run();
+	good = write_table ? doc_tables_write() : run();
 	g_strfreev(policies);
 	g_free(kind);
 	g_free(path);
--- a/bench/path/streaming.c
+++ b/bench/path/streaming.c
@@ -1,8 +1,9 @@
 /*
- * A caller takes a long answer slowly, beside callers with short calls.
- * What goes wrong without a window for each answer: the daemons read it from
- * the upstream as fast as that can write, and keep in memory what the caller
- * has not taken; and short answers wait behind it in the same connection.
+ * A caller reads a long response slowly while other callers make short calls.
+ * Measures the effect of the flow-control window of each response. Without it,
+ * the daemons would read the response as fast as the upstream writes, and
+ * buffer in memory what the caller has not read. Short responses on the same
+ * connection would wait behind it (head-of-line blocking).
  */
 #include <stdlib.h>
 #include <string.h>
@@ -21,7 +22,7 @@
 struct slow_caller {
 	uint16_t port;
 	size_t received;
-	bool whole;
+	bool is_complete;
 };
 
 static int open_stream(uint16_t port, GString *head)
@@ -35,12 +36,12 @@
 	raw_send_text(fd, request);
 	g_free(request);
 	if (!raw_read_marks(fd, head, "\r\n\r\n", 1, 10000))
-		g_error("no answer to the long call");
+		g_error("no response to the long call");
 	return fd;
 }
 
-/* The body repeats the request's id from end to end. */
-static bool is_own(const char *bytes, size_t size, size_t position)
+/* The body must repeat the request's id throughout. */
+static bool bytes_match_id(const char *bytes, size_t size, size_t position)
 {
 	static const char id[] = "stream";
 
@@ -51,16 +52,16 @@
 	return true;
 }
 
-static bool take_part(struct slow_caller *caller, const char *bytes, size_t size)
+static bool check_part(struct slow_caller *caller, const char *bytes, size_t size)
 {
-	bool own = is_own(bytes, size, caller->received);
+	bool own = bytes_match_id(bytes, size, caller->received);
 
 	caller->received += size;
 	return own;
 }
 
-/* Runs beside the short calls. */
-static void *take_slowly(void *data)
+/* Thread function that runs while the short calls are made. */
+static void *read_slowly(void *data)
 {
 	struct slow_caller *caller = data;
 	GString *head = g_string_new(NULL);
@@ -68,20 +69,20 @@
 	gint64 began_us = g_get_monotonic_time();
 	const char *body = strstr(head->str, "\r\n\r\n") + 4;
 	bool own =
-		take_part(caller, body, head->len - (size_t)(body - head->str));
+		check_part(caller, body, head->len - (size_t)(body - head->str));
 	char *block = g_malloc(READ_BYTES);
 	ssize_t got;
 
 	while ((got = read(fd, block, READ_BYTES)) > 0) {
 		gint64 due_us;
 
-		own &= take_part(caller, block, (size_t)got);
+		own &= check_part(caller, block, (size_t)got);
 		due_us = began_us + (gint64)((double)caller->received * 1e6 /
 					     SLOW_BYTES_PER_S);
 		if (due_us > g_get_monotonic_time())
 			g_usleep((gulong)(due_us - g_get_monotonic_time()));
 	}
-	caller->whole = own && caller->received == ANSWER_BYTES;
+	caller->is_complete = own && caller->received == ANSWER_BYTES;
 	close(fd);
 	g_free(block);
 	g_string_free(head, TRUE);
@@ -139,23 +140,24 @@
 	int64_t most;
 
 	bench_print_head("bench/streaming");
-	printf("answer of %d bytes, taken at %d bytes/s; %d short calls/s of 1 "
-	       "ms"
+	printf("response of %d bytes, read at %d bytes/s; %d short calls/s of "
+	       "1 ms"
 	       " for %d s\n",
 	       ANSWER_BYTES, SLOW_BYTES_PER_S, SHORT_RATE, SHORT_SECONDS);
 	bench_start(&cluster, 1, "12", "1000");
 	run_short(&cluster, "without the stream");
 	print_memory(&cluster, "before the stream");
 	caller.port = cluster.daemons[BENCH_ENTRY]->caller_port;
-	thread = g_thread_new("slow", take_slowly, &caller);
+	thread = g_thread_new("slow", read_slowly, &caller);
 	rig_sleep_ms(500);
 	run_short(&cluster, "beside the stream");
 	g_thread_join(thread);
 	most = print_memory(&cluster, "after the stream");
-	printf("long answer: %zu bytes, %s\n", caller.received,
-	       caller.whole ? "whole and the caller's own" : "NOT WHOLE");
+	printf("long response: %zu bytes, %s\n", caller.received,
+	       caller.is_complete ? "complete and correct" :
+				    "INCOMPLETE OR INCORRECT");
 	printf("memory limit of %d KiB: %s\n", LIMIT_KIB,
 	       most <= LIMIT_KIB ? "kept" : "EXCEEDED");
 	cluster_stop(&cluster);
-	return caller.whole && most <= LIMIT_KIB ? 0 : 1;
+	return caller.is_complete && most <= LIMIT_KIB ? 0 : 1;
 }
--- a/standin/platform/main.c
+++ b/standin/platform/main.c
@@ -1,12 +1,18 @@
 /*
- * The platform's stand-in: the store that is described by the names in
- * platform/wire.h, with its table service and its objects, in memory.
+ * The platform stand-in: an in-memory implementation of the store whose
+ * protocol is named in platform/wire.h, with its table service and objects.
  *
- * For the test: POST /standin/fault {"down", "silent", "status", "slow_ms",
- * "lose_answer_share", "lose_next", "late_ms", "seed"}, POST /standin/compact,
- * POST /standin/restore {"transactions"}, which takes back the last ones, POST
- * /standin/operator with a transaction that may write to every table, GET
- * /standin/history, GET /standin/stats.
+ * A test controls it by these requests:
+ *
+ *	POST /standin/fault	sets members of struct faults: "down", "silent",
+ *				"status", "slow_ms", "lose_answer_share",
+ *				"lose_next", "late_ms"; and "seed"
+ *	POST /standin/compact	discards the change history
+ *	POST /standin/restore	undoes the last {"transactions"} transactions
+ *	POST /standin/operator	applies a transaction that may write to every
+ *				table
+ *	GET /standin/history	lists the applied transactions
+ *	GET /standin/stats	shows counts of reads, writes and lost answers
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -23,10 +29,10 @@
 
 #define MAX_BODY_BYTES ((size_t)(64 * 1024 * 1024))
 #define WAIT_MAX_MS 30000
-/* Nobody waits so long for an answer. */
+/* Longer than any client waits for a response. */
 #define SILENCE_MS 3600000
 
-/* A request that is held up: by a fault, or because it waits for a change. */
+/* A request that a fault holds back, or a watch that waits for a change. */
 struct delayed {
 	LIST_ENTRY(delayed) link;
 	struct platform *platform;
@@ -35,7 +41,7 @@
 	ev_timer timer;
 };
 
-/* A transaction that is applied after its caller was given up. */
+/* A transaction that is applied after its connection was aborted. */
 struct late_write {
 	LIST_ENTRY(late_write) link;
 	struct platform *platform;
@@ -70,7 +76,7 @@
 	platform_reply_text(platform, request, status, "{}");
 }
 
-static bool answer_is_lost(struct platform *platform)
+static bool should_lose_answer(struct platform *platform)
 {
 	struct faults *faults = &platform->faults;
 	bool lost = faults->lose_next > 0;
@@ -86,11 +92,11 @@
 }
 
 static const char *argument(const struct http_request *request,
-			    const char *name, const char *missing)
+			    const char *name, const char *fallback)
 {
 	const char *value = http_request_argument(request, name);
 
-	return value ? value : missing;
+	return value ? value : fallback;
 }
 
 static void get_rows(struct platform *platform, struct http_request *request)
@@ -111,13 +117,15 @@
 static void delay(struct platform *platform, struct http_request *request,
 		  int64_t ms, bool is_watch);
 
-/* RETURN VALUE: false while there is nothing to tell. */
-static bool feed_now(struct platform *platform, struct http_request *request)
+/* RETURN VALUE: false, without a reply, if nothing has changed yet. */
+static bool reply_with_changes(struct platform *platform,
+			       struct http_request *request)
 {
 	uint64_t after = strtoull(argument(request, WIRE_AFTER, "0"), NULL, 10);
 	struct json_object *changes;
 
-	if (after < platform->table.dropped || after > platform->table.version) {
+	if (after < platform->table.compacted_version ||
+	    after > platform->table.version) {
 		platform_reply_status(platform, request, 410);
 		return true;
 	}
@@ -129,7 +137,8 @@
 	return true;
 }
 
-static void feed_nothing(struct platform *platform, struct http_request *request)
+static void reply_without_changes(struct platform *platform,
+				  struct http_request *request)
 {
 	struct json_object *object = json_object_new_object();
 
@@ -139,26 +148,27 @@
 	platform_reply_json(platform, request, 200, object);
 }
 
-static void feed(struct platform *platform, struct http_request *request)
+static void handle_feed(struct platform *platform, struct http_request *request)
 {
 	int64_t wait_ms =
 		g_ascii_strtoll(argument(request, WIRE_WAIT_MS, "0"), NULL, 10);
 
 	platform->reads++;
-	if (!feed_now(platform, request))
+	if (!reply_with_changes(platform, request))
 		delay(platform, request, MIN(wait_ms, WAIT_MAX_MS), true);
 }
 
 static void delayed_free(struct delayed *delayed);
 
-static void tell_watchers(struct platform *platform)
+static void notify_watchers(struct platform *platform)
 {
 	struct delayed *delayed = LIST_FIRST(&platform->delayed);
 
 	while (delayed) {
 		struct delayed *next = LIST_NEXT(delayed, link);
 
-		if (delayed->is_watch && feed_now(platform, delayed->request))
+		if (delayed->is_watch &&
+		    reply_with_changes(platform, delayed->request))
 			delayed_free(delayed);
 		delayed = next;
 	}
@@ -185,7 +195,7 @@
 	else
 		platform_reply_status(platform, request, statuses[status]);
 	json_object_put(body);
-	tell_watchers(platform);
+	notify_watchers(platform);
 }
 
 static void late_write_free(struct late_write *late)
@@ -207,10 +217,11 @@
 	table_transact(&platform->table, late->transaction, false, &answer);
 	json_object_put(answer);
 	late_write_free(late);
-	tell_watchers(platform);
+	notify_watchers(platform);
 }
 
-/* Applied, now or later, and never answered. */
+/* Applies the transaction, now or later, and aborts the request without a
+ * response. */
 static void transact_unanswered(struct platform *platform,
 				struct http_request *request)
 {
@@ -232,7 +243,7 @@
 static void transact(struct platform *platform, struct http_request *request)
 {
 	platform->writes++;
-	if (answer_is_lost(platform))
+	if (should_lose_answer(platform))
 		transact_unanswered(platform, request);
 	else
 		transact_as(platform, request, false);
@@ -251,7 +262,7 @@
 	platform->writes++;
 	if (!good)
 		platform_reply_status(platform, request, 400);
-	else if (answer_is_lost(platform))
+	else if (should_lose_answer(platform))
 		http_request_abort(request);
 	else
 		platform_reply_status(platform, request, 200);
@@ -268,7 +279,7 @@
 	const char *method;
 	const char *path;
 	bool is_prefix;
-	bool is_command; /* from the test, past all faults */
+	bool is_command; /* from the test; faults don't apply */
 	void (*handle)(struct platform *platform, struct http_request *request);
 } routes[] = {
 	{"POST", "/standin/fault", false, true, command_set_faults},
@@ -279,7 +290,7 @@
 	{"POST", "/standin/operator", false, true, transact_as_operator},
 	{"POST", WIRE_ROWS_TX, false, false, transact},
 	{"GET", WIRE_ROWS_GET, false, false, get_rows},
-	{"GET", WIRE_ROWS_FEED, false, false, feed},
+	{"GET", WIRE_ROWS_FEED, false, false, handle_feed},
 	{"GET", WIRE_BLOB_GET, true, false, get_object},
 	{"PUT", WIRE_BLOB_PUT, true, false, put_object},
 };
@@ -307,7 +318,7 @@
 	g_free(delayed);
 }
 
-/* The server can't be destroyed while requests are held up. */
+/* The HTTP server can't be destroyed while requests are held back. */
 void platform_abort_delayed(struct platform *platform)
 {
 	struct delayed *delayed;
@@ -322,14 +333,14 @@
 		late_write_free(late);
 }
 
-static void handle_delay_over(struct ev_loop *loop, ev_timer *timer, int events)
+static void handle_delay_expired(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct delayed *delayed = timer->data;
 
 	(void)loop;
 	(void)events;
 	if (delayed->is_watch)
-		feed_nothing(delayed->platform, delayed->request);
+		reply_without_changes(delayed->platform, delayed->request);
 	else
 		find_route(delayed->request)
 			->handle(delayed->platform, delayed->request);
@@ -344,8 +355,8 @@
 	delayed->platform = platform;
 	delayed->request = request;
 	delayed->is_watch = is_watch;
-	ev_timer_init(&delayed->timer, handle_delay_over, (double)ms / 1000.0,
-		      0.0);
+	ev_timer_init(&delayed->timer, handle_delay_expired,
+		      (double)ms / 1000.0, 0.0);
 	delayed->timer.data = delayed;
 	LIST_INSERT_HEAD(&platform->delayed, delayed, link);
 	ev_timer_start(platform->loop, &delayed->timer);
--- a/standin/platform/objects.c
+++ b/standin/platform/objects.c
@@ -14,8 +14,9 @@
 	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_bytes);
 }
 
-/* Percent-encoding undone; NULL where it is wrong. */
-static char *name_after(const struct http_request *request, const char *prefix)
+/* RETURN VALUE: the percent-decoded rest of the path, or NULL if the encoding
+ * is invalid. */
+static char *object_name(const struct http_request *request, const char *prefix)
 {
 	return g_uri_unescape_string(http_request_path(request) + strlen(prefix),
 				     NULL);
@@ -24,7 +25,7 @@
 bool objects_put(GHashTable *objects, const struct http_request *request)
 {
 	const GString *body = http_request_body(request);
-	char *name = name_after(request, WIRE_BLOB_PUT);
+	char *name = object_name(request, WIRE_BLOB_PUT);
 
 	if (!name)
 		return false;
@@ -34,7 +35,7 @@
 
 bool objects_reply(GHashTable *objects, struct http_request *request)
 {
-	char *name = name_after(request, WIRE_BLOB_GET);
+	char *name = object_name(request, WIRE_BLOB_GET);
 	GBytes *bytes = name ? g_hash_table_lookup(objects, name) : NULL;
 	const char *data;
 	gsize size;
--- a/standin/upstream/server.c
+++ b/standin/upstream/server.c
@@ -39,8 +39,8 @@
 }
 
 /*
- * A streamed answer repeats the request's id from end to end, so that its
- * caller can tell every byte for its own.
+ * A streamed response repeats the request's id throughout, so that the caller
+ * can check that each byte belongs to its own request.
  */
 static ssize_t read_stream(void *data, uint64_t position, char *buffer, size_t max)
 {
@@ -64,14 +64,14 @@
 }
 
 static struct MHD_Response *create_stream(const struct job *job,
-					  const char *prefix, bool tells_size)
+					  const char *prefix, bool size_known)
 {
 	struct stream *stream = g_new0(struct stream, 1);
 
 	stream->id = g_strdup(job->id ? job->id : "-");
 	stream->size = strtoull(job->path + strlen(prefix), NULL, 10);
 	return MHD_create_response_from_callback(
-		tells_size ? stream->size : MHD_SIZE_UNKNOWN,
+		size_known ? stream->size : MHD_SIZE_UNKNOWN,
 		STREAM_BLOCK_BYTES, read_stream, stream, stream_free);
 }
 
@@ -98,7 +98,8 @@
 	return response;
 }
 
-/* What upstreams on the users' platform tell with each answer. */
+/* Adds the headers that upstreams on the users' platform send with each
+ * response. */
 static void add_platform_headers(struct job *job, struct MHD_Response *response,
 				 const char *id)
 {
@@ -114,11 +115,12 @@
 	if (job->status == MHD_HTTP_SERVICE_UNAVAILABLE && !job->has_run)
 		MHD_add_response_header(response, "X-Comfreydock-Not-Executed",
 					"1");
-	control_add_load(upstream, response);
+	control_add_load_headers(upstream, response);
 }
 
-/* RETURN VALUE: the id that the answer bears; NULL: none. */
-static const char *answered_id(struct job *job)
+/* RETURN VALUE: the request id to put into the response, or NULL for none. The
+ * strange_next fault replaces it by another one. */
+static const char *response_id(struct job *job)
 {
 	struct upstream_faults *faults = &job->upstream->faults;
 
@@ -138,7 +140,7 @@
 	if (job->drop)
 		return MHD_NO;
 	response = create_body(job);
-	id = answered_id(job);
+	id = response_id(job);
 	if (id)
 		MHD_add_response_header(response, "X-Request-Id", id);
 	g_snprintf(number, sizeof(number), "%" G_GUINT64_FORMAT, job->body_size);
