--- a/comfreydockd/caller/attempts.c
+++ b/comfreydockd/caller/attempts.c
@@ -25,7 +25,7 @@
 static void fill_attempt(const struct call *call, Cfd__Attempt *out,
 			 const struct service_upstream *upstream)
 {
-	int64_t path_us = deadline_rtt_us(&upstream->path);
+	int64_t path_us = deadline_rtt_us(&upstream->rtt);
 
 	out->trace = (char *)call->trace;
 	out->group = (char *)call->group;
@@ -44,7 +44,7 @@
 	out->body.data = call->body->data;
 	out->body.len = call->body->len;
 	out->body_ends = call->body_ends;
-	out->content_key = call->content;
+	out->content_key = call->content_key;
 	out->depth = call->depth;
 	out->holds_others = call->holds_others;
 	out->answer_window = call->answer_blocked ? PIPELINE_WINDOW_BYTES : 0;
@@ -67,18 +67,18 @@
 					     struct peer *peer)
 {
 	struct entry_attempt_list *list =
-		g_hash_table_lookup(entry->by_peer, peer);
+		g_hash_table_lookup(entry->attempts_by_peer, peer);
 
 	if (!list) {
 		list = g_new0(struct entry_attempt_list, 1);
 		LIST_INIT(list);
-		g_hash_table_insert(entry->by_peer, peer, list);
+		g_hash_table_insert(entry->attempts_by_peer, peer, list);
 	}
 	return list;
 }
 
 void entry_attempt_send(struct call *call, struct service_upstream *upstream,
-			bool may_queue, bool is_hedge)
+			bool may_queue, bool is_parallel)
 {
 	struct entry *entry = call->entry;
 	struct entry_attempt *attempt = g_new0(struct entry_attempt, 1);
@@ -92,7 +92,7 @@
 	attempt->call = call;
 	attempt->upstream = service_upstream_ref(upstream);
 	attempt->seq = ++entry->next_seq;
-	attempt->is_hedge = is_hedge;
+	attempt->is_parallel = is_parallel;
 	attempt->has_small_window = call->answer_blocked;
 	attempt->sent_us = clock_mono_us();
 	attempt->state = ENTRY_PICKED;
@@ -108,11 +108,11 @@
 	out.other_pace_percent =
 		pick_other_pace(&upstream->service->picks, &upstream->candidate,
 				&call->tried, attempt->sent_us);
-	out.last_resort = !is_hedge &&
-			  (call->returned_to_busy || call_untried(call) == 0);
+	out.last_resort = !is_parallel &&
+			  (call->has_retried_refused || call_untried(call) == 0);
 	out.shed_statuses = shed;
-	out.n_shed_statuses =
-		fill_shed_statuses(call->config, shed, G_N_ELEMENTS(shed));
+	out.n_shed_statuses = fill_shed_statuses(call->service_config, shed,
+						 G_N_ELEMENTS(shed));
 	out.time = timeline_now(&entry->daemon->timeline);
 	frame.kind_case = CFD__FRAME__KIND_ATTEMPT;
 	frame.attempt = &out;
@@ -123,9 +123,9 @@
 					  &upstream->health, attempt->sent_us);
 	counters.entry_attempts++;
 	call_log_event(
-		call, is_hedge ? EV_ENTRY_HEDGED : EV_ENTRY_SENT,
+		call, is_parallel ? EV_ENTRY_HEDGED : EV_ENTRY_SENT,
 		LOG_INT("seq", attempt->seq), LOG_STR("to", upstream->host),
-		LOG_STR("content", key_text(call->content, content)),
+		LOG_STR("content", key_text(call->content_key, content)),
 		LOG_INT("may_queue", may_queue),
 		LOG_INT("outstanding", upstream->candidate.outstanding),
 		LOG_INT("running", upstream->candidate.load.running),
@@ -185,8 +185,8 @@
 					  ATTEMPT_CANCELLED,
 				  NULL);
 	}
-	if (call->answering == attempt)
-		call->answering = NULL;
+	if (call->answering_attempt == attempt)
+		call->answering_attempt = NULL;
 	g_hash_table_remove(call->entry->attempts, &attempt->seq);
 	LIST_REMOVE(attempt, link);
 	LIST_REMOVE(attempt, peer_link);
--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -17,10 +17,10 @@
 /*
  * A daemon knows most upstreams within this time after its start. A caller that
  * comes back sooner is refused again and has few retries. The wait is at most
- * 1/NO_UPSTREAM_LEFT_SHARE of the time left to the deadline.
+ * 1/NO_UPSTREAM_LEFT_DIVISOR of the time left to the deadline.
  */
 #define NO_UPSTREAM_COME_BACK_MS 200
-#define NO_UPSTREAM_LEFT_SHARE 4
+#define NO_UPSTREAM_LEFT_DIVISOR 4
 
 /* Records how the attempt ended, for the log line of a failed call. */
 static void call_append_history(struct call *call,
@@ -46,7 +46,7 @@
 	ev_timer_stop(loop, &call->patience_timer);
 	ev_timer_stop(loop, &call->queue_timer);
 	LIST_REMOVE(call, link);
-	call->entry->count--;
+	call->entry->call_count--;
 	config_snapshot_unref(call->snapshot);
 	fields_finish(&call->fields);
 	g_byte_array_unref(call->body);
@@ -58,7 +58,7 @@
 
 /* Breaks the caller's connection: an answer that just ended here would look
  * complete. */
-static void call_abort(struct call *call)
+static void call_abort_answer(struct call *call)
 {
 	counters.caller_aborted++;
 	call->sink->handle_abort(call->sink_data);
@@ -81,12 +81,12 @@
  * "not run" although upstreams that could serve it within milliseconds are up,
  * and callers would see that for as long as a crashed upstream looks idle.
  */
-static bool call_return_to_busy(struct call *call)
+static bool call_retry_refused(struct call *call)
 {
-	if (call->returned_to_busy || call->tried_busy.count == 0)
+	if (call->has_retried_refused || call->refused_for_now.count == 0)
 		return false;
-	call->returned_to_busy = true;
-	pick_tried_remove(&call->tried, &call->tried_busy);
+	call->has_retried_refused = true;
+	pick_tried_remove(&call->tried, &call->refused_for_now);
 	return true;
 }
 
@@ -97,7 +97,7 @@
 
 	call->reason = CFD__REASON__REASON_NO_UPSTREAM;
 	call->come_back_ms = (uint32_t)MIN(NO_UPSTREAM_COME_BACK_MS,
-					   left_ms / NO_UPSTREAM_LEFT_SHARE);
+					   left_ms / NO_UPSTREAM_LEFT_DIVISOR);
 }
 
 void call_send_attempt(struct call *call)
@@ -107,7 +107,7 @@
 	bool may_queue;
 
 	if (call->attempts == 0 &&
-	    !service_may_try(call->service, call->rule->idempotent, now)) {
+	    !service_may_send(call->service, call->rule->idempotent, now)) {
 		call->reason = CFD__REASON__REASON_UNREACHABLE;
 		call->come_back_ms = UNREACHABLE_COME_BACK_MS;
 		call_finish_unanswered(call);
@@ -118,7 +118,7 @@
 		call_finish_unanswered(call);
 		return;
 	}
-	if (!upstream && call_return_to_busy(call))
+	if (!upstream && call_retry_refused(call))
 		upstream = service_choose(call->service, &call->tried, now);
 	if (!upstream) {
 		if (call->attempts == 0)
@@ -126,7 +126,7 @@
 		call_finish_unanswered(call);
 		return;
 	}
-	may_queue = call->returned_to_busy ||
+	may_queue = call->has_retried_refused ||
 		    pick_may_queue(&call->service->picks, &upstream->candidate,
 				   &call->tried,
 				   call->busy_refusals >= RETRY_BUSY_MAX, now);
@@ -165,7 +165,7 @@
 			      enum attempt_entry_state state)
 {
 	struct retry_context question;
-	struct retry_decision answer;
+	struct retry_decision decision;
 	int64_t now = clock_mono_us();
 
 	if (outcome == RETRY_OUTCOME_BUSY)
@@ -174,20 +174,20 @@
 		call->uncounted_attempts++;
 	call_fill_retry_question(call, outcome, &question);
 	if ((outcome == RETRY_OUTCOME_BUSY || !retry_counts(outcome)) &&
-	    question.untried == 0 && call_return_to_busy(call))
+	    question.untried == 0 && call_retry_refused(call))
 		question.untried = call_untried(call);
-	answer = retry_decide(&call->service->retry, &question,
-			      &call->entry->random, now);
+	decision = retry_decide(&call->service->retry, &question,
+				&call->entry->random, now);
 	/* A body that exceeds the buffer can't be sent again. */
-	if (answer.verdict == RETRY_GO && !call->body_exceeds_buffer &&
+	if (decision.verdict == RETRY_GO && !call->body_exceeds_buffer &&
 	    !call->no_more_attempts &&
 	    attempt_allows_another(state, call->rule->idempotent)) {
 		counters.entry_retries++;
-		call_start_timer(call, &call->retry_timer, answer.delay_us);
+		call_start_timer(call, &call->retry_timer, decision.delay_us);
 		return;
 	}
 	call->come_back_ms = MAX(call->come_back_ms,
-				 (uint32_t)(answer.come_back_us / US_PER_MS));
+				 (uint32_t)(decision.come_back_us / US_PER_MS));
 	call_finish_unanswered(call);
 }
 
@@ -196,12 +196,12 @@
 {
 	struct call *call = attempt->call;
 	enum attempt_entry_state state = attempt->state;
-	bool was_hedge = attempt->is_hedge;
+	bool was_parallel = attempt->is_parallel;
 
 	if (reason == CFD__REASON__REASON_BUSY ||
 	    reason == CFD__REASON__REASON_SLOW ||
 	    reason == CFD__REASON__REASON_FAILING)
-		pick_tried_add(&call->tried_busy,
+		pick_tried_add(&call->refused_for_now,
 			       attempt->upstream->candidate.id);
 	call_log_event(call, EV_ENTRY_NOT_RUN,
 		       LOG_STR("from", attempt->upstream->host),
@@ -212,7 +212,7 @@
 	entry_attempt_destroy(attempt);
 	if (!LIST_EMPTY(&call->active))
 		return; /* the parallel attempt is still out */
-	if (!was_hedge || call->reason == CFD__REASON__REASON_UNSPECIFIED)
+	if (!was_parallel || call->reason == CFD__REASON__REASON_UNSPECIFIED)
 		call->reason = reason;
 	call->come_back_ms = MAX(retry_after_ms, call->min_come_back_ms);
 	call_stop_patience(call);
@@ -223,7 +223,7 @@
 {
 	struct call *call = attempt->call;
 	enum attempt_entry_state state = attempt->state;
-	bool answering = call->answering == attempt;
+	bool was_answering = call->answering_attempt == attempt;
 
 	call_log_event(call, EV_ENTRY_UNKNOWN,
 		       LOG_STR("from", attempt->upstream->host),
@@ -231,12 +231,12 @@
 		       LOG_INT("after_us", clock_mono_us() - attempt->sent_us));
 	call_append_history(call, attempt, lost ? "lost" : "timeout");
 	entry_attempt_destroy(attempt);
-	if (answering) {
-		call_abort(call);
+	if (was_answering) {
+		call_abort_answer(call);
 		return;
 	}
 	call->may_have_run = true;
-	call->lost = lost;
+	call->connection_lost = lost;
 	if (!LIST_EMPTY(&call->active))
 		return;
 	call_stop_patience(call);
@@ -262,7 +262,7 @@
 	call_log_event(call, EV_ENTRY_FAILED, LOG_STR("outcome", "aborted"),
 		       LOG_STR("reason", "the answer stopped"),
 		       LOG_STR("attempts", call->history));
-	call_abort(call);
+	call_abort_answer(call);
 }
 
 void call_note_head(struct entry_attempt *attempt, const Cfd__Answer *answer)
@@ -272,7 +272,7 @@
 	struct entry_attempt *other;
 	struct fields fields;
 
-	call->answering = attempt;
+	call->answering_attempt = attempt;
 	call->status = answer->status;
 	call->heard_us = attempt->head_us;
 	call_check_stalled_answer(call);
@@ -298,7 +298,7 @@
 				answer->length);
 	fields_finish(&fields);
 	if (LIST_NEXT(LIST_FIRST(&call->active), link))
-		hedge_note_race(&call->service->hedge, attempt->is_hedge);
+		hedge_note_race(&call->service->hedge, attempt->is_parallel);
 	/* Cancels the slower of two parallel attempts. */
 	while ((other = LIST_FIRST(&call->active)) != attempt ||
 	       (other = LIST_NEXT(attempt, link)))
@@ -347,7 +347,7 @@
 
 	(void)loop;
 	(void)events;
-	if (call->answering) {
+	if (call->answering_attempt) {
 		call_check_stalled_answer(call);
 		return;
 	}
@@ -367,7 +367,7 @@
 	call_finish_unanswered(call);
 }
 
-void call_give_up(struct call *call)
+void call_stop_retrying(struct call *call)
 {
 	struct entry_attempt *attempt;
 
@@ -380,20 +380,20 @@
 
 void call_end_now(struct call *call)
 {
-	if (call->answering) {
-		call_abort(call);
+	if (call->answering_attempt) {
+		call_abort_answer(call);
 		return;
 	}
 	if (!LIST_EMPTY(&call->active)) {
 		call->may_have_run = true;
-		call->lost = true;
+		call->connection_lost = true;
 	}
 	call_finish_unanswered(call);
 }
 
 void call_start(struct call *call)
 {
-	call->content = call_content_key(call);
+	call->content_key = call_content_key(call);
 	call->is_started = true;
 	hedge_note_request(&call->service->hedge);
 	retry_note_request(&call->service->retry, clock_mono_us());
@@ -447,7 +447,7 @@
 		entry_attempt_send_body(attempt, NULL, 0, true);
 }
 
-void call_open_window(struct call *call)
+void call_open_answer_window(struct call *call)
 {
 	struct entry_attempt *attempt;
 
@@ -465,13 +465,14 @@
 {
 	call->consumed += size;
 	call->unread -= size;
-	if (call->consumed < CALL_WINDOW_UPDATE_BYTES || !call->answering)
+	if (call->consumed < CALL_WINDOW_UPDATE_BYTES || !call->answering_attempt)
 		return;
-	entry_attempt_send_window(call->answering, (uint32_t)call->consumed);
+	entry_attempt_send_window(call->answering_attempt,
+				  (uint32_t)call->consumed);
 	call->consumed = 0;
 }
 
-void call_abandon(struct call *call)
+void call_note_caller_gone(struct call *call)
 {
 	counters.caller_gone++;
 	call_log_event(call, EV_ENTRY_CALLER_GONE,
--- a/comfreydockd/caller/call_quarantine.c
+++ b/comfreydockd/caller/call_quarantine.c
@@ -20,7 +20,7 @@
 uint64_t call_content_key(const struct call *call)
 {
 	struct content content = {
-		.service = call->config->name,
+		.service = call->service_config->name,
 		.method = call->method,
 		.target = call->target,
 		.caller = content_caller(call),
@@ -39,14 +39,14 @@
 	call->come_back_ms = (uint32_t)(left_us / US_PER_MS);
 	counters.quarantine_refused++;
 	call_log_event(call, EV_QUARANTINE_REFUSED,
-		       LOG_STR("content", key_text(call->content, content)),
+		       LOG_STR("content", key_text(call->content_key, content)),
 		       LOG_INT("left_us", left_us));
 }
 
 struct service_upstream *call_choose_upstream(struct call *call, int64_t now_us)
 {
 	struct quarantine_decision answer = quarantine_judge(
-		call->entry->daemon->quarantine, call->content, now_us);
+		call->entry->daemon->quarantine, call->content_key, now_us);
 	struct service_upstream *upstream = NULL;
 
 	if (answer.verdict == QUARANTINE_FREE)
--- a/comfreydockd/caller/call_state.c
+++ b/comfreydockd/caller/call_state.c
@@ -24,7 +24,7 @@
 	*question = (struct hedge_context){
 		.enabled = call->rule->hedge,
 		.idempotent = call->rule->idempotent,
-		.answer_begun = call->answering != NULL,
+		.answer_begun = call->answering_attempt != NULL,
 		.hedges = call->hedges,
 		.untried = call_untried(call),
 		.depth = call->depth,
@@ -40,7 +40,7 @@
 	*question = (struct retry_context){
 		.outcome = outcome,
 		.idempotent = call->rule->idempotent,
-		.answer_begun = call->answering != NULL,
+		.answer_begun = call->answering_attempt != NULL,
 		.attempts = busy ? call->busy_refusals :
 				   call_counted_attempts(call),
 		.max_attempts = busy ? RETRY_BUSY_MAX + 1 : call->max_attempts,
--- a/comfreydockd/caller/connection.c
+++ b/comfreydockd/caller/connection.c
@@ -167,13 +167,13 @@
 	       TAILQ_NEXT(request, link) == NULL;
 }
 
-static void connection_open_window(struct caller_request *request)
+static void request_note_turn(struct caller_request *request)
 {
-	if (!request->is_ahead)
+	if (!request->runs_ahead)
 		return;
-	connection_end_ahead(request);
+	request_end_ahead(request);
 	if (request->call)
-		call_open_window(request->call);
+		call_open_answer_window(request->call);
 }
 
 /* RETURN VALUE: false if the connection ends after what was written. */
@@ -184,7 +184,7 @@
 	bool closes;
 
 	while ((request = TAILQ_FIRST(&connection->requests))) {
-		connection_open_window(request);
+		request_note_turn(request);
 		progress = request_write(
 			request, connection->out, OUTPUT_BUFFER_MAX,
 			connection_closes_after(connection, request));
--- a/comfreydockd/caller/connection_input.c
+++ b/comfreydockd/caller/connection_input.c
@@ -20,7 +20,7 @@
 
 	TAILQ_FOREACH (request, &connection->requests, link) {
 		if (request->call)
-			call_hold_others(request->call);
+			call_note_holds_others(request->call);
 	}
 }
 
@@ -40,10 +40,10 @@
 	return request;
 }
 
-void connection_end_ahead(struct caller_request *request)
+void request_end_ahead(struct caller_request *request)
 {
-	request->connection->listener->ahead -= request->is_ahead;
-	request->is_ahead = false;
+	request->connection->listener->ahead -= request->runs_ahead;
+	request->runs_ahead = false;
 }
 
 void connection_remove_request(struct connection *connection,
@@ -53,7 +53,7 @@
 		connection->waiting = NULL;
 	if (connection->in_body == request)
 		connection->in_body = NULL;
-	connection_end_ahead(request);
+	request_end_ahead(request);
 	TAILQ_REMOVE(&connection->requests, request, link);
 	connection->unanswered--;
 	request_destroy(request);
@@ -131,9 +131,9 @@
 	call.arrived_us = arrived_us;
 	call.in_front = connection->unanswered - 1;
 	call.holds_others = connection->is_pipelined;
-	request->is_ahead = call.in_front > 0;
-	listener->ahead += request->is_ahead;
-	counters.caller_ahead += request->is_ahead;
+	request->runs_ahead = call.in_front > 0;
+	listener->ahead += request->runs_ahead;
+	counters.caller_ahead += request->runs_ahead;
 	request->call = entry_begin(listener->daemon->entry, &call,
 				    &request_sink, request);
 	if (head->awaits_continue && !head->ends && request->call) {
@@ -156,7 +156,8 @@
 	if (question.unanswered == 0)
 		return true;
 	connection_fill_call(connection, head, &call);
-	question.idempotent = entry_may_repeat(listener->daemon->entry, &call);
+	question.idempotent =
+		entry_request_is_idempotent(listener->daemon->entry, &call);
 	return pipeline_may_start(&question);
 }
 
--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -18,7 +18,7 @@
 #define STATUS_NO_ROUTE 404
 #define STATUS_TOO_DEEP 508
 #define STATUS_UNAVAILABLE 503
-#define NO_CONFIG_COME_BACK_MS 1000
+#define CONFIG_UNCONFIRMED_COME_BACK_MS 1000
 /* A version that is being fetched has usually arrived after this time. */
 #define CONFIG_BEHIND_COME_BACK_MS 300
 /* For a rule without a deadline, so that no call stays forever. */
@@ -44,8 +44,8 @@
 	entry->services = services_create(daemon);
 	LIST_INIT(&entry->calls);
 	entry->attempts = g_hash_table_new(g_int64_hash, g_int64_equal);
-	entry->by_peer = g_hash_table_new_full(g_direct_hash, g_direct_equal,
-					       NULL, g_free);
+	entry->attempts_by_peer = g_hash_table_new_full(
+		g_direct_hash, g_direct_equal, NULL, g_free);
 	entry->random.state = id_random_u64();
 	entry->content_seed = content_seed(daemon->settings->peer_key,
 					   daemon->settings->peer_key_size);
@@ -71,7 +71,7 @@
 	peers_set_entry(entry->daemon->peers, &none);
 	ev_timer_stop(entry->daemon->loop, &entry->tick);
 	g_hash_table_unref(entry->attempts);
-	g_hash_table_unref(entry->by_peer);
+	g_hash_table_unref(entry->attempts_by_peer);
 	services_destroy(entry->services);
 	g_free(entry);
 }
@@ -173,7 +173,7 @@
 
 static struct call *call_create(struct entry *entry,
 				const struct call_request *request,
-				const struct config_service *config,
+				const struct config_service *service_config,
 				const struct config_rule *rule, uint32_t depth)
 {
 	struct call *call = g_new0(struct call, 1);
@@ -181,7 +181,7 @@
 	call->entry = entry;
 	call->snapshot =
 		config_snapshot_ref(config_store_current(entry->daemon->config));
-	call->config = config;
+	call->service_config = service_config;
 	call->rule = rule;
 	call->depth = depth;
 	call->group = call_draw_group(entry, rule);
@@ -199,21 +199,21 @@
 	call_copy_fields(call, request->fields);
 	LIST_INIT(&call->active);
 	LIST_INSERT_HEAD(&entry->calls, call, link);
-	entry->count++;
+	entry->call_count++;
 	call_init_timers(call);
-	call_log_event(
-		call, EV_ENTRY_TAKEN, LOG_STR("method", request->method),
-		LOG_STR("service", config->name), LOG_STR("rule", rule->name),
-		LOG_STR("group", call->group), LOG_INT("class", rule->class),
-		LOG_INT("head", config_store_head(entry->daemon->config)),
-		LOG_INT("left_us", call->deadline_us - call->began_us),
-		LOG_INT("in_front", request->in_front));
+	call_log_event(call, EV_ENTRY_TAKEN, LOG_STR("method", request->method),
+		       LOG_STR("service", service_config->name),
+		       LOG_STR("rule", rule->name), LOG_STR("group", call->group),
+		       LOG_INT("class", rule->class),
+		       LOG_INT("head", config_store_head(entry->daemon->config)),
+		       LOG_INT("left_us", call->deadline_us - call->began_us),
+		       LOG_INT("in_front", request->in_front));
 	return call;
 }
 
 static bool entry_match(const struct entry *entry,
 			const struct call_request *request,
-			const struct config_service **config,
+			const struct config_service **service_config,
 			const struct config_rule **rule)
 {
 	char host[256];
@@ -222,39 +222,41 @@
 
 	copy_host(request->host, host, sizeof(host));
 	found = config_snapshot_match(config_store_current(entry->daemon->config),
-				      host, request->method, path, config, rule);
+				      host, request->method, path,
+				      service_config, rule);
 	g_free(path);
 	return found;
 }
 
-bool entry_may_repeat(const struct entry *entry,
-		      const struct call_request *request)
+bool entry_request_is_idempotent(const struct entry *entry,
+				 const struct call_request *request)
 {
-	const struct config_service *config;
+	const struct config_service *service_config;
 	const struct config_rule *rule;
 
 	return config_store_is_ready(entry->daemon->config) &&
-	       entry_match(entry, request, &config, &rule) && rule->idempotent;
+	       entry_match(entry, request, &service_config, &rule) &&
+	       rule->idempotent;
 }
 
 static void log_unmatched(struct entry *entry, const struct call_request *request,
 			  unsigned int status, const char *reason)
 {
-	const struct config_store *config = entry->daemon->config;
+	const struct config_store *store = entry->daemon->config;
 	char trace[TIMELINE_TRACE_MAX];
-	char service[LOGGED_NAME_MAX];
+	char host[LOGGED_NAME_MAX];
 	char path[LOGGED_NAME_MAX];
 
 	copy_trace(entry->daemon, request->fields, trace);
-	copy_host(request->host, service, sizeof(service));
+	copy_host(request->host, host, sizeof(host));
 	g_strlcpy(path, request->target, sizeof(path));
 	path[strcspn(path, "?#")] = '\0';
 	timeline_log(&entry->daemon->timeline, trace, EV_ENTRY_NO_RULE,
-		     LOG_STR("service", service), LOG_STR("path", path),
+		     LOG_STR("service", host), LOG_STR("path", path),
 		     LOG_STR("reason", reason), LOG_INT("status", status),
-		     LOG_INT("head", config_store_head(config)),
-		     LOG_INT("known_head", config_store_known_head(config)),
-		     LOG_INT("told_age_us", config_store_told_age_us(config)));
+		     LOG_INT("head", config_store_head(store)),
+		     LOG_INT("known_head", config_store_known_head(store)),
+		     LOG_INT("told_age_us", config_store_told_age_us(store)));
 }
 
 /*
@@ -283,7 +285,7 @@
 	case CONFIG_DOUBT_UNTOLD:
 		status = STATUS_UNAVAILABLE;
 		reason = "configuration-untold";
-		come_back_ms = NO_CONFIG_COME_BACK_MS;
+		come_back_ms = CONFIG_UNCONFIRMED_COME_BACK_MS;
 		break;
 	case CONFIG_DOUBT_NONE:
 		break;
@@ -300,7 +302,7 @@
 struct call *entry_begin(struct entry *entry, const struct call_request *request,
 			 const struct call_sink *sink, void *data)
 {
-	const struct config_service *config = NULL;
+	const struct config_service *service_config = NULL;
 	const struct config_rule *rule = NULL;
 	uint32_t depth = (uint32_t)read_number(
 		request->fields, entry->daemon->headers->depth, INT32_MAX, 0);
@@ -310,13 +312,14 @@
 	if (!config_store_is_ready(entry->daemon->config)) {
 		outcome_refuse(entry->daemon->headers, sink, data,
 			       STATUS_UNAVAILABLE, "no-configuration",
-			       NO_CONFIG_COME_BACK_MS, "not run: not ready\n");
+			       CONFIG_UNCONFIRMED_COME_BACK_MS,
+			       "not run: not ready\n");
 		return NULL;
 	}
-	if (!entry_match(entry, request, &config, &rule)) {
+	if (!entry_match(entry, request, &service_config, &rule)) {
 		entry_refuse_unmatched(entry, request,
-				       config ? "no-rule" : "no-service", sink,
-				       data);
+				       service_config ? "no-rule" : "no-service",
+				       sink, data);
 		return NULL;
 	}
 	if (deadline_is_too_deep(depth)) {
@@ -326,7 +329,7 @@
 			       "not run: calls are nested too deep\n");
 		return NULL;
 	}
-	call = call_create(entry, request, config, rule, depth);
+	call = call_create(entry, request, service_config, rule, depth);
 	call->sink = sink;
 	call->sink_data = data;
 	if (request->has_body)
@@ -336,14 +339,14 @@
 	return LIST_FIRST(&entry->calls) == call ? call : NULL;
 }
 
-void entry_cancel_all(struct entry *entry)
+void entry_cancel_waiting(struct entry *entry)
 {
 	struct call *call = LIST_FIRST(&entry->calls);
 
 	while (call) {
 		struct call *next = LIST_NEXT(call, link);
 
-		call_give_up(call);
+		call_stop_retrying(call);
 		call = next;
 	}
 }
@@ -356,9 +359,9 @@
 		call_end_now(call);
 }
 
-size_t entry_count(const struct entry *entry)
+size_t entry_call_count(const struct entry *entry)
 {
-	return entry->count;
+	return entry->call_count;
 }
 
 void entry_append_metrics(const struct entry *entry, GString *text)
--- a/comfreydockd/caller/frames.c
+++ b/comfreydockd/caller/frames.c
@@ -46,7 +46,7 @@
 	feedback_note_end(attempt, end, not_run->load);
 	/* A refusal does no work, so its duration is the network round trip. */
 	if (busy)
-		deadline_rtt_note(&attempt->upstream->path,
+		deadline_rtt_note(&attempt->upstream->rtt,
 				  clock_mono_us() - attempt->sent_us);
 	call_note_not_run(attempt, not_run->reason, false,
 			  not_run->retry_after_ms);
@@ -124,7 +124,7 @@
 	if (!attempt)
 		return;
 	feedback_note_load(attempt, report->load, clock_mono_us());
-	call_note_verdict(attempt, report->overdue);
+	call_note_overdue_reply(attempt, report->overdue);
 }
 
 static void handle_frame(struct peer *peer, Cfd__Frame *frame, void *data)
@@ -183,7 +183,7 @@
 	(void)error;
 	while ((attempt = LIST_FIRST(list)))
 		attempt_handle_link_lost(attempt);
-	g_hash_table_remove(entry->by_peer, peer);
+	g_hash_table_remove(entry->attempts_by_peer, peer);
 }
 
 void entry_fill_role(struct entry *entry, struct peers_role *role)
--- a/comfreydockd/caller/outcome.c
+++ b/comfreydockd/caller/outcome.c
@@ -118,9 +118,9 @@
 
 void outcome_reply_unknown(struct call *call)
 {
-	const char *reason = call->lost ? "lost" : "timeout";
+	const char *reason = call->connection_lost ? "lost" : "timeout";
 	struct call_reply reply = {
-		.status = call->lost ? STATUS_LOST : STATUS_TIMEOUT,
+		.status = call->connection_lost ? STATUS_LOST : STATUS_TIMEOUT,
 		.text = "it is not known whether this ran\n",
 	};
 
--- a/comfreydockd/caller/parallel.c
+++ b/comfreydockd/caller/parallel.c
@@ -6,7 +6,7 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-static int64_t call_typical_service_us(const struct call *call)
+static int64_t call_typical_service_time_us(const struct call *call)
 {
 	return (int64_t)call->service->picks.typical_service_us;
 }
@@ -26,7 +26,7 @@
 void call_stop_patience(struct call *call)
 {
 	ev_timer_stop(call->entry->daemon->loop, &call->patience_timer);
-	call->awaits_verdict = false;
+	call->awaits_overdue_reply = false;
 }
 
 /* Restarts the time after which the owner is asked whether the attempt is
@@ -80,7 +80,7 @@
 	enum retry_verdict verdict;
 	int64_t now = clock_mono_us();
 
-	call->awaits_verdict = false;
+	call->awaits_overdue_reply = false;
 	if (!slow || LIST_NEXT(slow, link) || call->body_exceeds_buffer ||
 	    !call->body_ends)
 		return;
@@ -108,11 +108,11 @@
 	entry_attempt_send(call, upstream, false, true);
 }
 
-void call_note_verdict(struct entry_attempt *attempt, bool is_overdue)
+void call_note_overdue_reply(struct entry_attempt *attempt, bool is_overdue)
 {
 	struct call *call = attempt->call;
 
-	if (!call->awaits_verdict)
+	if (!call->awaits_overdue_reply)
 		return;
 	if (is_overdue)
 		call_overtake(call);
@@ -124,10 +124,10 @@
 {
 	struct entry_attempt *attempt = LIST_FIRST(&call->active);
 
-	call->awaits_verdict = true;
+	call->awaits_overdue_reply = true;
 	entry_attempt_query_overdue(attempt);
 	call_start_timer(call, &call->patience_timer,
-			 deadline_overdue_reply_us(&attempt->upstream->path));
+			 deadline_overdue_reply_us(&attempt->upstream->rtt));
 }
 
 /* Asks the owner whether the attempt is overdue. If the owner has not replied
@@ -140,7 +140,7 @@
 	(void)events;
 	if (LIST_EMPTY(&call->active))
 		return;
-	if (!call->awaits_verdict) {
+	if (!call->awaits_overdue_reply) {
 		call_query_owner(call);
 		return;
 	}
@@ -155,12 +155,12 @@
 
 	(void)loop;
 	(void)events;
-	if (call->answering)
+	if (call->answering_attempt)
 		return;
 	/* A slot that is busy now is most likely free after a typical run. */
 	call->min_come_back_ms =
-		(uint32_t)(call_typical_service_us(call) / US_PER_MS);
-	call_give_up(call);
+		(uint32_t)(call_typical_service_time_us(call) / US_PER_MS);
+	call_stop_retrying(call);
 }
 
 /*
@@ -171,15 +171,17 @@
  * far beyond the target, and late answers that an upstream gave in time. An
  * attempt that already runs is not cancelled.
  */
-void call_hold_others(struct call *call)
+void call_note_holds_others(struct call *call)
 {
-	int64_t late_us = call->began_us + call->rule->target_ms * US_PER_MS -
-			  call_typical_service_us(call);
+	int64_t queue_until_us = call->began_us +
+				 call->rule->target_ms * US_PER_MS -
+				 call_typical_service_time_us(call);
 
 	if (call->holds_others || call->rule->target_ms == 0)
 		return;
 	call->holds_others = true;
-	call_start_timer(call, &call->queue_timer, late_us - clock_mono_us());
+	call_start_timer(call, &call->queue_timer,
+			 queue_until_us - clock_mono_us());
 }
 
 void call_init_parallel(struct call *call)
--- a/comfreydockd/caller/request.c
+++ b/comfreydockd/caller/request.c
@@ -23,7 +23,7 @@
 void request_destroy(struct caller_request *request)
 {
 	if (request->call)
-		call_abandon(request->call);
+		call_note_caller_gone(request->call);
 	fields_finish(&request->fields);
 	g_byte_array_unref(request->body);
 	g_free(request);
--- a/comfreydockd/caller/services.c
+++ b/comfreydockd/caller/services.c
@@ -86,8 +86,8 @@
 		g_free(upstream);
 }
 
-static struct service_upstream *service_find(struct service *service,
-					     const char *host)
+static struct service_upstream *service_find_upstream(struct service *service,
+						      const char *host)
 {
 	struct service_upstream *upstream;
 
@@ -98,8 +98,8 @@
 	return NULL;
 }
 
-static struct service_upstream *service_add(struct service *service,
-					    const struct member *member)
+static struct service_upstream *service_add_upstream(struct service *service,
+						     const struct member *member)
 {
 	struct service_upstream *upstream = g_new0(struct service_upstream, 1);
 
@@ -119,11 +119,12 @@
 				    const struct member *member)
 {
 	const struct settings *settings = service->services->daemon->settings;
-	struct service_upstream *upstream = service_find(service, member->host);
+	struct service_upstream *upstream =
+		service_find_upstream(service, member->host);
 	struct warm ramp;
 
 	if (!upstream)
-		upstream = service_add(service, member);
+		upstream = service_add_upstream(service, member);
 	upstream->candidate.local = strcmp(member->domain, settings->domain) == 0;
 	upstream->candidate.slots = member->slots;
 	warm_begin(&ramp, member->warm_ms, member->up_since_us);
@@ -169,7 +170,7 @@
 	return false;
 }
 
-static void service_refresh(struct service *service)
+static void service_refresh_upstreams(struct service *service)
 {
 	struct member_table *members = service->services->daemon->members;
 	const GPtrArray *group = member_table_group(members, service->group);
@@ -184,11 +185,12 @@
 		member_table_group_version(members, service->group);
 	if (group)
 		service_choose_subset(service, group, subset);
-	for (struct subset_upstream *chosen = subset; chosen->host; chosen++) {
-		if (chosen->chosen)
+	for (struct subset_upstream *candidate = subset; candidate->host;
+	     candidate++) {
+		if (candidate->chosen)
 			service_update_upstream(
 				service,
-				member_table_find(members, chosen->host));
+				member_table_find(members, candidate->host));
 	}
 	for (upstream = TAILQ_FIRST(&service->upstreams); upstream;
 	     upstream = next) {
@@ -208,7 +210,7 @@
 	health_tick(&service->health, now_us);
 }
 
-static void service_update(struct service *service)
+static void service_note_used(struct service *service)
 {
 	struct member_table *members = service->services->daemon->members;
 
@@ -218,7 +220,7 @@
 	if (service->stale ||
 	    service->group_version !=
 		    member_table_group_version(members, service->group))
-		service_refresh(service);
+		service_refresh_upstreams(service);
 }
 
 static struct service *service_new(struct services *services, const char *group)
@@ -266,7 +268,7 @@
 	if (!service)
 		service = service_new(services, group);
 	service_configure(service);
-	service_update(service);
+	service_note_used(service);
 	return service;
 }
 
@@ -278,7 +280,7 @@
 	struct pick_candidate *chosen;
 
 	/* Between two attempts of a call, a host may have left for good. */
-	service_update(service);
+	service_note_used(service);
 	TAILQ_FOREACH (upstream, &service->upstreams, link)
 		upstream->candidate.usable = health_is_usable(&upstream->health);
 	chosen = pick_choose(&service->picks, tried, now_us);
@@ -297,7 +299,7 @@
 	return NULL;
 }
 
-bool service_may_try(struct service *service, bool idempotent, int64_t now_us)
+bool service_may_send(struct service *service, bool idempotent, int64_t now_us)
 {
 	return health_may_try(&service->health, idempotent, now_us);
 }
@@ -350,7 +352,8 @@
 	struct service *service;
 
 	LIST_FOREACH (service, &services->active, active_link) {
-		struct service_upstream *upstream = service_find(service, host);
+		struct service_upstream *upstream =
+			service_find_upstream(service, host);
 
 		if (!upstream)
 			continue;
--- a/comfreydockd/stop.c
+++ b/comfreydockd/stop.c
@@ -50,7 +50,7 @@
 
 	owner_get_status(stop->daemon->owner, &status);
 	return status.running == 0 && status.queued == 0 &&
-	       entry_count(stop->daemon->entry) == 0;
+	       entry_call_count(stop->daemon->entry) == 0;
 }
 
 static void handle_row_left(bool is_deleted, void *data)
@@ -106,7 +106,7 @@
 	if (stop->has_cancelled)
 		return;
 	stop->has_cancelled = true;
-	entry_cancel_all(stop->daemon->entry);
+	entry_cancel_waiting(stop->daemon->entry);
 }
 
 /* Ends the calls that still run when the stop can't wait any longer. Their
@@ -158,7 +158,7 @@
 	if (!may_exit(stop, now, elapsed_us >= timeout_us + LEAVE_US))
 		return;
 	log_event(EV_DAEMON_STOPPED,
-		  LOG_INT("calls", entry_count(stop->daemon->entry)));
+		  LOG_INT("calls", entry_call_count(stop->daemon->entry)));
 	ev_break(loop, EVBREAK_ALL);
 }
 
--- a/include/comfreydockd/caller/call.h
+++ b/include/comfreydockd/caller/call.h
@@ -50,7 +50,7 @@
 	uint32_t epoch; /* of its upstream's health when it was sent */
 	int64_t head_us; /* when the answer began */
 	uint32_t pace_percent; /* of the host as the run began; 0: unknown */
-	bool is_hedge;
+	bool is_parallel;
 	bool failed; /* its answer is an error of the upstream */
 	bool cancelled;
 	bool has_small_window; /* sent while its answer was blocked */
@@ -65,10 +65,10 @@
 	const struct call_sink *sink;
 	void *sink_data;
 	struct config_snapshot *snapshot;
-	const struct config_service *config;
+	const struct config_service *service_config;
 	const struct config_rule *rule;
 	const char *group; /* of the upstreams that it goes to */
-	uint64_t content; /* see content.h */
+	uint64_t content_key; /* see content.h */
 	struct service *service;
 	char trace[TIMELINE_TRACE_MAX];
 	uint32_t depth;
@@ -85,20 +85,20 @@
 	bool body_ends;
 	bool body_exceeds_buffer; /* no further attempt is possible */
 	struct pick_tried tried;
-	struct pick_tried tried_busy; /* of them, those that had no free slot */
-	bool returned_to_busy; /* to queue at the busy ones */
+	struct pick_tried refused_for_now; /* of them, those that had no free slot */
+	bool has_retried_refused; /* to queue at the busy ones */
 	uint32_t attempts; /* without hedges, but with overtaking attempts */
 	uint32_t busy_refusals; /* of them, refused as busy */
 	uint32_t uncounted_attempts; /* of them, never sent or NOT_HERE */
 	uint32_t hedges;
 	uint32_t max_attempts;
 	bool may_have_run; /* an attempt ended UNKNOWN */
-	bool lost; /* it ended with a lost connection, not by timeout */
+	bool connection_lost; /* it ended with a lost connection, not by timeout */
 	Cfd__Reason reason; /* of the last refusal */
 	uint32_t come_back_ms;
 	char history[CALL_HISTORY_MAX]; /* "HOST:END,..." of its attempts */
 	struct entry_attempt_list active;
-	struct entry_attempt *answering;
+	struct entry_attempt *answering_attempt; /* NULL: no answer yet */
 	size_t consumed; /* sent to the caller, window not yet extended */
 	size_t unread; /* bytes of the answer that wait for the caller */
 	int64_t heard_us; /* when the last part of the answer came */
@@ -106,11 +106,11 @@
 	ev_timer retry_timer;
 	ev_timer hedge_timer;
 	ev_timer patience_timer; /* until the attempt's owner is queried */
-	bool awaits_verdict; /* the owner was asked whether it is overdue */
-	ev_timer queue_timer; /* see call_hold_others() */
+	bool awaits_overdue_reply; /* the owner was asked whether it is overdue */
+	ev_timer queue_timer; /* see call_note_holds_others() */
 	uint32_t min_come_back_ms; /* for a call given up by this entry */
 	bool cancels_sent;
-	bool no_more_attempts; /* see call_give_up() */
+	bool no_more_attempts; /* see call_stop_retrying() */
 	bool is_started;
 	unsigned int status; /* of the answer */
 	bool answered; /* completely */
@@ -122,9 +122,9 @@
 	struct daemon *daemon;
 	struct services *services;
 	struct call_list calls;
-	size_t count;
+	size_t call_count;
 	GHashTable *attempts; /* seq -> struct entry_attempt */
-	GHashTable *by_peer; /* struct peer -> struct entry_attempt_list */
+	GHashTable *attempts_by_peer; /* struct peer -> struct entry_attempt_list */
 	uint64_t next_seq;
 	uint64_t content_seed; /* of the shared key, see content.h */
 	struct random_state random;
@@ -135,7 +135,7 @@
 
 /* Sends the call's request to the owner of an upstream. */
 void entry_attempt_send(struct call *call, struct service_upstream *upstream,
-			bool may_queue, bool is_hedge);
+			bool may_queue, bool is_parallel);
 void entry_attempt_cancel(struct entry_attempt *attempt);
 
 /* Cancels the attempt only if it still waits at its owner, not if it runs. */
@@ -167,7 +167,7 @@
 void call_note_end(struct entry_attempt *attempt);
 
 /* The owner has answered whether the attempt is overdue. */
-void call_note_verdict(struct entry_attempt *attempt, bool is_overdue);
+void call_note_overdue_reply(struct entry_attempt *attempt, bool is_overdue);
 void call_note_body_window(struct entry_attempt *attempt, uint32_t bytes);
 
 /* Adds an event to the time line and to the log. */
--- a/include/comfreydockd/caller/call_internal.h
+++ b/include/comfreydockd/caller/call_internal.h
@@ -18,7 +18,7 @@
 
 /* Makes no further attempt, as the daemon stops or the call's queue timer has
  * expired. Cancels the attempts that wait, but not those that run. */
-void call_give_up(struct call *call);
+void call_stop_retrying(struct call *call);
 
 /* Ends the call with what is known by now. Aborts an answer that has begun. */
 void call_end_now(struct call *call);
--- a/include/comfreydockd/caller/connection_internal.h
+++ b/include/comfreydockd/caller/connection_internal.h
@@ -62,6 +62,6 @@
 void connection_remove_all_requests(struct connection *connection);
 
 /* Called once no answer is in front of this request's. */
-void connection_end_ahead(struct caller_request *request);
+void request_end_ahead(struct caller_request *request);
 
 #endif
--- a/include/comfreydockd/caller/entry.h
+++ b/include/comfreydockd/caller/entry.h
@@ -68,8 +68,8 @@
 void entry_destroy(struct entry *entry);
 
 /* RETURN VALUE: whether the rule that matches the request is idempotent. */
-bool entry_may_repeat(const struct entry *entry,
-		      const struct call_request *request);
+bool entry_request_is_idempotent(const struct entry *entry,
+				 const struct call_request *request);
 
 /*
  * Begins a call.
@@ -87,30 +87,30 @@
 
 /* Gives the owner the full window, once no other answer is in front of this
  * one. */
-void call_open_window(struct call *call);
+void call_open_answer_window(struct call *call);
 
 /*
  * Called when another request of the caller arrives, whose answer waits for
  * this one. From now on the call queues for a slot only as long as it can still
  * meet its target.
  */
-void call_hold_others(struct call *call);
+void call_note_holds_others(struct call *call);
 
 /* Called when size bytes of the answer have gone to the caller. */
 void call_note_consumed(struct call *call, size_t size);
 
 /* Called when the caller has gone away. Calls no function of the sink. */
-void call_abandon(struct call *call);
+void call_note_caller_gone(struct call *call);
 
 /* Ends the calls of which no attempt runs, as not run. */
-void entry_cancel_all(struct entry *entry);
+void entry_cancel_waiting(struct entry *entry);
 
 /* Ends all calls now: aborts answers that have begun, and ends a call as of
  * unknown outcome if an attempt is out or may have run. */
 void entry_end_all(struct entry *entry);
 
 /* RETURN VALUE: the number of calls that have not ended. */
-size_t entry_count(const struct entry *entry);
+size_t entry_call_count(const struct entry *entry);
 
 /* Appends the retry budgets of the services in use as Prometheus text. */
 void entry_append_metrics(const struct entry *entry, GString *text);
--- a/include/comfreydockd/caller/services.h
+++ b/include/comfreydockd/caller/services.h
@@ -35,7 +35,7 @@
 	struct pick_candidate candidate;
 	struct health_upstream health;
 	enum health_state logged_state;
-	struct deadline_rtt path;
+	struct deadline_rtt rtt; /* of the network path to its host */
 };
 
 TAILQ_HEAD(service_upstream_list, service_upstream);
@@ -80,7 +80,7 @@
 						   uint32_t host_hash);
 
 /* RETURN VALUE: false if no owner of the group answers, see health.h. */
-bool service_may_try(struct service *service, bool idempotent, int64_t now_us);
+bool service_may_send(struct service *service, bool idempotent, int64_t now_us);
 
 /* The upstream's owner didn't answer a question in time, or was heard. */
 void service_upstream_note_mute(struct service_upstream *upstream,
