--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -11,13 +11,15 @@
 #include "common/clock.h"
 #include "common/counters.h"
 
-/* Another daemon can most likely take the call. This one knows more after it
- * has tried a silent owner again, see HEALTH_MUTE_TRIAL_US. */
+/* When the caller may retry a call that was refused because no owner of its
+ * group answers. Another daemon can most likely take the call. This one knows
+ * more after it has tried a silent owner again, see HEALTH_MUTE_TRIAL_US. */
 #define UNREACHABLE_COME_BACK_MS 100
 /*
- * A daemon knows most upstreams within this time after its start. A caller that
- * comes back sooner is refused again and has few retries. The wait is at most
- * 1/NO_UPSTREAM_LEFT_DIVISOR of the time left to the deadline.
+ * When the caller may retry a call for which no upstream is known. A daemon
+ * knows most upstreams within this time after its start. A caller that comes
+ * back sooner is refused again and has few retries. The wait is at most the
+ * time left to the deadline, divided by NO_UPSTREAM_LEFT_DIVISOR.
  */
 #define NO_UPSTREAM_COME_BACK_MS 200
 #define NO_UPSTREAM_LEFT_DIVISOR 4
@@ -56,8 +58,9 @@
 	g_free(call);
 }
 
-/* Breaks the caller's connection: an answer that just ended here would look
- * complete. */
+/* Breaks the caller's connection, as the answer can't be completed: after a
+ * normal close, the caller would take the truncated answer for a complete
+ * one. */
 static void call_abort_answer(struct call *call)
 {
 	counters.caller_aborted++;
@@ -75,11 +78,14 @@
 }
 
 /*
- * Sends the call back, once, to queue at the upstreams that refused it as busy.
- * They refused it because another upstream seemed to have room, but that one is
- * gone, drains or has been ejected since. Without this, the call would end as
- * "not run" although upstreams that could serve it within milliseconds are up,
- * and callers would see that for as long as a crashed upstream looks idle.
+ * Allows, once, another attempt at each upstream that refused the call for now.
+ * The call may then queue there. These upstreams refused it because another one
+ * seemed to have room, but that one is gone, drains or has been ejected since.
+ * Without this, the call would end as "not run" although upstreams that could
+ * serve it within milliseconds are up, and callers would see that for as long
+ * as a crashed upstream looks idle.
+ *
+ * RETURN VALUE: false if there is no such upstream, or if it was done before.
  */
 static bool call_retry_refused(struct call *call)
 {
@@ -251,7 +257,8 @@
 	int64_t left_us;
 
 	/* While bytes wait for the caller, the caller causes the silence. The
-	 * owner ends the answer in that case. */
+	 * owner then aborts the answer if the caller reads nothing for too
+	 * long, see upstream/sweep.c. */
 	if (call->unread > 0)
 		call->heard_us = now;
 	left_us = deadline_idle_left_us(call->deadline_us, call->heard_us, now);
@@ -299,7 +306,8 @@
 	fields_finish(&fields);
 	if (LIST_NEXT(LIST_FIRST(&call->active), link))
 		hedge_note_race(&call->service->hedge, attempt->is_parallel);
-	/* Cancels the slower of two parallel attempts. */
+	/* Ends the slower of two parallel attempts, which also cancels it at
+	 * its owner. */
 	while ((other = LIST_FIRST(&call->active)) != attempt ||
 	       (other = LIST_NEXT(attempt, link)))
 		entry_attempt_destroy(other);
--- a/comfreydockd/caller/connection.c
+++ b/comfreydockd/caller/connection.c
@@ -20,8 +20,12 @@
 /* The event loop does not report a hang-up behind unread bytes, so a timer
  * polls for it. */
 #define HANGUP_POLL_S 0.25
-/* For a caller that neither reads nor sends the bytes it owes. Longer than any
- * pause of a live caller. */
+/*
+ * A connection that receives and sends nothing for this time is closed, unless
+ * it only waits for answers. It is either idle, or its caller does not read an
+ * answer or does not send the rest of a body. Longer than any pause of a live
+ * caller.
+ */
 #define IDLE_TIMEOUT_US (60 * US_PER_S)
 /* From the first byte of a head to its last. Without this limit, a head that
  * grows by one byte a second would hold its connection forever. */
@@ -89,9 +93,9 @@
 static void connection_handle_hangup(struct connection *connection)
 {
 	/*
-	 * Counts a request that this daemon, after a pause, read only once its
-	 * caller had gone. The caller may have sent it elsewhere since, so it
-	 * is not begun.
+	 * Counts a request whose caller hung up before this daemon read it,
+	 * for example during a pause of the daemon. The caller may have sent
+	 * it elsewhere since, so it is not begun.
 	 */
 	if (connection->unanswered == 0 && connection->in->len > 0)
 		counters.caller_gone++;
@@ -156,8 +160,8 @@
 
 /* Output. */
 
-/* RETURN VALUE: whether the answer closes the connection. No request that has
- * been begun may be behind such an answer. */
+/* RETURN VALUE: whether the answer closes the connection. Requests behind such
+ * an answer are cancelled, so it must be the answer to the last request. */
 static bool connection_closes_after(const struct connection *connection,
 				    const struct caller_request *request)
 {
@@ -167,6 +171,8 @@
 	       TAILQ_NEXT(request, link) == NULL;
 }
 
+/* Called when no answer is left in front of this request's, so that its owner
+ * may send the answer with the full window. */
 static void request_note_turn(struct caller_request *request)
 {
 	if (!request->runs_ahead)
@@ -241,7 +247,8 @@
 	connection_destroy(connection);
 }
 
-/* Sends what is already in the output buffer and nothing more. */
+/* Removes all requests and drops all further input. Sends only what is already
+ * in the output buffer. */
 static void connection_start_linger(struct connection *connection)
 {
 	connection_remove_all_requests(connection);
@@ -358,7 +365,7 @@
 	struct ev_loop *loop = connection_loop(connection);
 
 	connection_remove_all_requests(connection);
-	/* No request line could be read on this connection. */
+	/* Counts a connection that ended before a request line was read. */
 	counters.caller_empty_connections += !connection->has_request;
 	ev_io_stop(loop, &connection->read);
 	ev_io_stop(loop, &connection->write);
--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -18,6 +18,8 @@
 #define STATUS_NO_ROUTE 404
 #define STATUS_TOO_DEEP 508
 #define STATUS_UNAVAILABLE 503
+/* For a daemon without a configuration, or with one that was not confirmed
+ * lately as the newest (CONFIG_DOUBT_UNTOLD). */
 #define CONFIG_UNCONFIRMED_COME_BACK_MS 1000
 /* A version that is being fetched has usually arrived after this time. */
 #define CONFIG_BEHIND_COME_BACK_MS 300
@@ -161,7 +163,7 @@
 			   daemon->settings->service);
 }
 
-/* Draws the call's service by weight from those of the rule. */
+/* Draws the group of upstreams for a call from the rule's groups, by weight. */
 static const char *call_draw_group(struct entry *entry,
 				   const struct config_rule *rule)
 {
@@ -262,9 +264,9 @@
 /*
  * A caller takes 404 as final and doesn't retry. If a daemon with an old
  * configuration answered 404, requests on every route that was just added would
- * fail there while other daemons serve them. The symptom is entry.no-rule with
- * known_head above head. So a daemon answers 404 only if it has reason to take
- * its configuration for the newest, and 503 otherwise.
+ * fail there while other daemons serve them. So a daemon answers 404 only if it
+ * has reason to take its configuration for the newest, and 503 otherwise. The
+ * symptom of an old configuration is entry.no-rule with known_head above head.
  */
 static void entry_refuse_unmatched(struct entry *entry,
 				   const struct call_request *request,
--- a/comfreydockd/caller/parallel.c
+++ b/comfreydockd/caller/parallel.c
@@ -165,8 +165,8 @@
 
 /*
  * The first request of a connection has no other behind it when its owner takes
- * it, so it may queue there until its deadline. Without this limit, the
- * requests that arrive behind it wait as long, although their answers are
+ * it, so it may queue there until its deadline. Without the queue timer, the
+ * requests that arrive behind it would wait as long, although their answers are
  * ready. The symptoms are entry.failed with the reason deadline and a took_us
  * far beyond the target, and late answers that an upstream gave in time. An
  * attempt that already runs is not cancelled.
--- a/comfreydockd/caller/services.c
+++ b/comfreydockd/caller/services.c
@@ -16,9 +16,9 @@
 #define INACTIVE_AFTER_US (10 * US_PER_S)
 /*
  * The least weight of an upstream that warms up and reports its load. Such an
- * upstream uses all its slots, at about half the speed. If the weight began at
- * a tenth, nearly all calls would be refused for lack of room where all
- * upstreams start together.
+ * upstream uses all its slots, at about half the speed. The ramp of warm.h
+ * begins at a tenth: with that weight, nearly all calls would be refused for
+ * lack of room where all upstreams start together.
  */
 #define WARM_WEIGHT_MIN 0.5
 
@@ -131,6 +131,7 @@
 	upstream->candidate.warm =
 		(double)warm_weight_permille(&ramp, clock_mono_us()) /
 		WARM_FULL_PERMILLE;
+	/* Upstreams report their load if this field has a name. */
 	if (service->services->daemon->headers->load)
 		upstream->candidate.warm =
 			MAX(upstream->candidate.warm, WARM_WEIGHT_MIN);
@@ -170,6 +171,7 @@
 	return false;
 }
 
+/* Adds, updates and removes upstreams to match the member table. */
 static void service_refresh_upstreams(struct service *service)
 {
 	struct member_table *members = service->services->daemon->members;
@@ -210,6 +212,8 @@
 	health_tick(&service->health, now_us);
 }
 
+/* Notes that the service is in use, so that the tick covers it. Refreshes its
+ * upstreams if the group's members have changed. */
 static void service_note_used(struct service *service)
 {
 	struct member_table *members = service->services->daemon->members;
@@ -362,8 +366,8 @@
 	}
 }
 
-/* RETURN VALUE: whether an upstream warms up. Its weight grows with time alone,
- * so the service must be refreshed. */
+/* RETURN VALUE: whether an upstream warms up. Its weight grows although its
+ * member record does not change, so the service must be refreshed each tick. */
 static bool service_is_warming(const struct service *service)
 {
 	const struct service_upstream *upstream;
--- a/include/comfreydockd/caller/call.h
+++ b/include/comfreydockd/caller/call.h
@@ -9,6 +9,9 @@
  *	frames. outcome.c writes the answers that come from this daemon and not
  *	from an upstream.
  *
+ *	The owner of an upstream is the daemon on the upstream's host. It takes
+ *	the attempts of all entries and runs them on the upstream.
+ *
  *	Calls go in one direction only: frames.c calls call.c, call.c calls
  *	parallel.c, and each of them calls attempts.c. call_state.c has what
  *	they share.
@@ -50,7 +53,7 @@
 	uint32_t epoch; /* of its upstream's health when it was sent */
 	int64_t head_us; /* when the answer began */
 	uint32_t pace_percent; /* of the host as the run began; 0: unknown */
-	bool is_parallel;
+	bool is_parallel; /* a hedge, or it overtakes another attempt */
 	bool failed; /* its answer is an error of the upstream */
 	bool cancelled;
 	bool has_small_window; /* sent while its answer was blocked */
@@ -85,15 +88,15 @@
 	bool body_ends;
 	bool body_exceeds_buffer; /* no further attempt is possible */
 	struct pick_tried tried;
-	struct pick_tried refused_for_now; /* of them, those that had no free slot */
-	bool has_retried_refused; /* to queue at the busy ones */
+	struct pick_tried refused_for_now; /* as BUSY, SLOW or FAILING */
+	bool has_retried_refused; /* see call_retry_refused() in call.c */
 	uint32_t attempts; /* without hedges, but with overtaking attempts */
 	uint32_t busy_refusals; /* of them, refused as busy */
 	uint32_t uncounted_attempts; /* of them, never sent or NOT_HERE */
 	uint32_t hedges;
 	uint32_t max_attempts;
 	bool may_have_run; /* an attempt ended UNKNOWN */
-	bool connection_lost; /* it ended with a lost connection, not by timeout */
+	bool connection_lost; /* ended the last UNKNOWN attempt; else a timeout */
 	Cfd__Reason reason; /* of the last refusal */
 	uint32_t come_back_ms;
 	char history[CALL_HISTORY_MAX]; /* "HOST:END,..." of its attempts */
@@ -108,12 +111,12 @@
 	ev_timer patience_timer; /* until the attempt's owner is queried */
 	bool awaits_overdue_reply; /* the owner was asked whether it is overdue */
 	ev_timer queue_timer; /* see call_note_holds_others() */
-	uint32_t min_come_back_ms; /* for a call given up by this entry */
+	uint32_t min_come_back_ms; /* after the queue timer has expired */
 	bool cancels_sent;
 	bool no_more_attempts; /* see call_stop_retrying() */
 	bool is_started;
 	unsigned int status; /* of the answer */
-	bool answered; /* completely */
+	bool answered; /* the sink has the whole answer */
 };
 
 LIST_HEAD(call_list, call);
@@ -133,7 +136,13 @@
 
 /* attempts.c */
 
-/* Sends the call's request to the owner of an upstream. */
+/*
+ * Sends the call's request to the owner of an upstream.
+ *
+ * may_queue: the owner may queue the attempt if no slot is free.
+ * is_parallel: another attempt of the call is out. The time line then has
+ * entry.hedged in place of entry.sent, for overtaking attempts too.
+ */
 void entry_attempt_send(struct call *call, struct service_upstream *upstream,
 			bool may_queue, bool is_parallel);
 void entry_attempt_cancel(struct entry_attempt *attempt);
@@ -144,7 +153,8 @@
 /* Asks the owner whether the attempt is overdue. */
 void entry_attempt_query_overdue(struct entry_attempt *attempt);
 
-/* Takes the attempt out of all lists and frees it. */
+/* Cancels the attempt at its owner if it has not ended, takes it out of all
+ * lists and frees it. */
 void entry_attempt_destroy(struct entry_attempt *attempt);
 void entry_attempt_send_body(struct entry_attempt *attempt, const void *bytes,
 			     size_t size, bool ends);
@@ -162,11 +172,16 @@
 
 void call_note_not_run(struct entry_attempt *attempt, Cfd__Reason reason,
 		       bool never_sent, uint32_t retry_after_ms);
+/*
+ * The attempt may have run, and no complete answer will come.
+ *
+ * lost: the connection to its owner was lost; otherwise the attempt timed out.
+ */
 void call_note_unknown(struct entry_attempt *attempt, bool lost);
 void call_note_head(struct entry_attempt *attempt, const Cfd__Answer *answer);
 void call_note_end(struct entry_attempt *attempt);
 
-/* The owner has answered whether the attempt is overdue. */
+/* The owner has replied to entry_attempt_query_overdue(). */
 void call_note_overdue_reply(struct entry_attempt *attempt, bool is_overdue);
 void call_note_body_window(struct entry_attempt *attempt, uint32_t bytes);
 
--- a/include/comfreydockd/caller/call_internal.h
+++ b/include/comfreydockd/caller/call_internal.h
@@ -17,7 +17,8 @@
 void call_send_attempt(struct call *call);
 
 /* Makes no further attempt, as the daemon stops or the call's queue timer has
- * expired. Cancels the attempts that wait, but not those that run. */
+ * expired. Cancels the attempts that wait, but not those that run: their
+ * answers still go to the caller. */
 void call_stop_retrying(struct call *call);
 
 /* Ends the call with what is known by now. Aborts an answer that has begun. */
@@ -40,6 +41,8 @@
 
 /* parallel.c: attempts that are sent in parallel to an outstanding one, which
  * may be slow (a hedge) or whose owner may be gone (an overtaking attempt). */
+
+/* Initializes the timers of parallel.c: hedge, patience and queue timer. */
 void call_init_parallel(struct call *call);
 void call_arm_hedge(struct call *call);
 void call_arm_patience(struct call *call);
@@ -51,10 +54,12 @@
 uint64_t call_content_key(const struct call *call);
 
 /*
- * Chooses the upstream for the next attempt.
+ * Chooses the upstream for the next attempt. A call is quarantined if its
+ * content is held (see quarantine.h), or may be tried only on an upstream that
+ * this call can't use. call->reason is then REASON_QUARANTINED, and
+ * call->come_back_ms is set, too.
  *
- * RETURN VALUE: NULL if there is none, or if the call is quarantined: its content
- * is held, or may be tried only on an upstream that this call can't use.
+ * RETURN VALUE: NULL if there is no upstream, or if the call is quarantined.
  */
 struct service_upstream *call_choose_upstream(struct call *call, int64_t now_us);
 
--- a/include/comfreydockd/caller/connection.h
+++ b/include/comfreydockd/caller/connection.h
@@ -5,7 +5,7 @@
  * DESCRIPTION
  *	Internal to caller/. Reads requests as they arrive, begins their calls
  *	and writes the answers in the order of the requests. A call begins ahead
- *	of the requests in front of it where ahead.h allows that.
+ *	of the requests in front of it where pipeline.h allows that.
  *
  *	A request that may not begin yet is the last one read: the bytes that
  *	follow it stay in the kernel. The same holds for all bytes behind a
@@ -48,7 +48,8 @@
 /*
  * Takes ownership of the descriptor.
  *
- * is_surplus: the connection is beyond the limit, so its request is refused.
+ * is_surplus: the connection is beyond the listener's limit of connections, so
+ * its request is refused.
  */
 struct connection *connection_create(struct listener *listener, int fd,
 				     const char *address, bool is_surplus);
@@ -59,6 +60,8 @@
 /* Part of an answer has arrived, or more of a request's body may be passed. */
 void connection_wake(struct connection *connection);
 
+/* RETURN VALUE: the names of header fields that the daemon uses, see
+ * headers.h. */
 const struct headers *connection_headers(const struct connection *connection);
 
 #endif
--- a/include/comfreydockd/caller/connection_internal.h
+++ b/include/comfreydockd/caller/connection_internal.h
@@ -36,7 +36,7 @@
 	struct caller_request *waiting; /* the last, if not yet begun */
 	int64_t waiting_since_us;
 	struct caller_request *in_body; /* the last, while its body arrives */
-	bool is_surplus;
+	bool is_surplus; /* beyond the listener's limit of connections */
 	bool is_pipelined; /* its caller has sent requests ahead of answers */
 	bool has_request; /* a request line was read */
 	bool input_ended; /* no request follows those in the list */
@@ -61,7 +61,8 @@
 			       struct caller_request *request);
 void connection_remove_all_requests(struct connection *connection);
 
-/* Called once no answer is in front of this request's. */
+/* Called once no answer is in front of this request's: the request no longer
+ * counts against the limit of requests that run ahead. */
 void request_end_ahead(struct caller_request *request);
 
 #endif
--- a/include/comfreydockd/caller/entry.h
+++ b/include/comfreydockd/caller/entry.h
@@ -80,13 +80,13 @@
 struct call *entry_begin(struct entry *entry, const struct call_request *request,
 			 const struct call_sink *sink, void *data);
 
-/* RETURN VALUE: how many bytes of the body the call accepts now. */
+/* RETURN VALUE: how many bytes of the request's body the call accepts now. */
 size_t call_body_window(const struct call *call);
 void call_add_body(struct call *call, const void *bytes, size_t size);
 void call_end_body(struct call *call);
 
-/* Gives the owner the full window, once no other answer is in front of this
- * one. */
+/* Gives the owner the full window for the answer, once no other answer is in
+ * front of this one. */
 void call_open_answer_window(struct call *call);
 
 /*
@@ -102,7 +102,9 @@
 /* Called when the caller has gone away. Calls no function of the sink. */
 void call_note_caller_gone(struct call *call);
 
-/* Ends the calls of which no attempt runs, as not run. */
+/* Lets no call make further attempts. Cancels the attempts that wait at
+ * their owners, but not those that run, and ends the calls that have no
+ * attempt out. */
 void entry_cancel_waiting(struct entry *entry);
 
 /* Ends all calls now: aborts answers that have begun, and ends a call as of
--- a/include/comfreydockd/caller/request.h
+++ b/include/comfreydockd/caller/request.h
@@ -33,7 +33,7 @@
 	bool is_http_1_0;
 	bool keeps_alive; /* the caller wants a persistent connection */
 	bool body_done;
-	bool runs_ahead; /* begun before those in front were answered */
+	bool runs_ahead; /* begun, and some in front are not answered yet */
 	/* The answer, as far as it has arrived. */
 	bool has_answer; /* at least its head */
 	bool answer_complete; /* its last byte is in the buffer */
--- a/include/comfreydockd/caller/services.h
+++ b/include/comfreydockd/caller/services.h
@@ -79,12 +79,16 @@
 struct service_upstream *service_find_by_host_hash(const struct service *service,
 						   uint32_t host_hash);
 
-/* RETURN VALUE: false if no owner of the group answers, see health.h. */
+/* RETURN VALUE: whether a call may be sent to the group. If all its owners are
+ * mute, only trials may: true then counts as one, see health_may_try(). */
 bool service_may_send(struct service *service, bool idempotent, int64_t now_us);
 
-/* The upstream's owner didn't answer a question in time, or was heard. */
+/* The upstream's owner didn't answer a question in time. After some of these it
+ * counts as mute, see health.h. */
 void service_upstream_note_mute(struct service_upstream *upstream,
 				int64_t now_us);
+
+/* Something was received from the upstream's owner. */
 void service_upstream_note_heard(struct service_upstream *upstream,
 				 int64_t now_us);
 
