--- a/include/comfreydockd/caller/entry.h
+++ b/include/comfreydockd/caller/entry.h
@@ -68,8 +68,8 @@
 void entry_destroy(struct entry *entry);
 
 /* RETURN VALUE: whether the rule that matches the request is idempotent. */
-bool entry_may_repeat(const struct entry *entry,
-		      const struct call_request *request);
+bool entry_request_is_idempotent(const struct entry *entry,
+				 const struct call_request *request);
 
 /*
  * Begins a call.
@@ -80,37 +80,39 @@
 struct call *entry_begin(struct entry *entry, const struct call_request *request,
 			 const struct call_sink *sink, void *data);
 
-/* RETURN VALUE: how many bytes of the body the call accepts now. */
+/* RETURN VALUE: how many bytes of the request's body the call accepts now. */
 size_t call_body_window(const struct call *call);
 void call_add_body(struct call *call, const void *bytes, size_t size);
 void call_end_body(struct call *call);
 
-/* Gives the owner the full window, once no other answer is in front of this
- * one. */
-void call_open_window(struct call *call);
+/* Gives the owner the full window for the answer, once no other answer is in
+ * front of this one. */
+void call_open_answer_window(struct call *call);
 
 /*
  * Called when another request of the caller arrives, whose answer waits for
  * this one. From now on the call queues for a slot only as long as it can still
  * meet its target.
  */
-void call_hold_others(struct call *call);
+void call_note_holds_others(struct call *call);
 
 /* Called when size bytes of the answer have gone to the caller. */
 void call_note_consumed(struct call *call, size_t size);
 
 /* Called when the caller has gone away. Calls no function of the sink. */
-void call_abandon(struct call *call);
+void call_note_caller_gone(struct call *call);
 
-/* Ends the calls of which no attempt runs, as not run. */
-void entry_cancel_all(struct entry *entry);
+/* Lets no call make further attempts. Cancels the attempts that wait at
+ * their owners, but not those that run, and ends the calls that have no
+ * attempt out. */
+void entry_cancel_waiting(struct entry *entry);
 
 /* Ends all calls now: aborts answers that have begun, and ends a call as of
  * unknown outcome if an attempt is out or may have run. */
 void entry_end_all(struct entry *entry);
 
 /* RETURN VALUE: the number of calls that have not ended. */
-size_t entry_count(const struct entry *entry);
+size_t entry_call_count(const struct entry *entry);
 
 /* Appends the retry budgets of the services in use as Prometheus text. */
 void entry_append_metrics(const struct entry *entry, GString *text);
