--- a/comfreydockd/assembly.c
+++ b/comfreydockd/assembly.c
@@ -240,7 +240,7 @@
 {
 	struct assembly *assembly = data;
 
-	rows_note_restored(assembly->rows);
+	rows_note_store_restored(assembly->rows);
 }
 
 static void create_rows(struct assembly *assembly)
--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -86,12 +86,12 @@
 	static const char *const reasons[] = {
 		[GOSSIP_PACKET_MALFORMED] = "malformed",
 		[GOSSIP_PACKET_WRONG_VERSION] = "version",
-		[GOSSIP_PACKET_WRONG_TAG] = "tag",
+		[GOSSIP_PACKET_UNAUTHENTICATED] = "tag",
 	};
 
 	if (status == GOSSIP_PACKET_WRONG_VERSION)
 		counters.gossip_dropped_version++;
-	else if (status == GOSSIP_PACKET_WRONG_TAG)
+	else if (status == GOSSIP_PACKET_UNAUTHENTICATED)
 		counters.gossip_dropped_tag++;
 	else
 		counters.gossip_dropped_malformed++;
@@ -184,8 +184,8 @@
 	freeze_log(EV_GOSSIP_FROZEN, gap_us, &gossip->tick_mark);
 }
 
-static void gossip_handle_refuted(enum member_state state, uint64_t incarnation,
-				  void *data)
+static void gossip_handle_own_refutation(enum member_state state,
+					 uint64_t incarnation, void *data)
 {
 	struct gossip *gossip = data;
 
@@ -195,7 +195,7 @@
 			  LOG_INT("incarnation", incarnation));
 }
 
-static void gossip_handle_member(struct member *member, void *data)
+static void gossip_log_state_change(struct member *member, void *data)
 {
 	static const char *const names[] = {"alive", "suspect", "dead", "left"};
 	struct gossip *gossip = data;
@@ -268,13 +268,13 @@
 		  advertise->address ? advertise->address :
 				       daemon->settings->peer.address,
 		  sizeof(self.address));
-	gossip->ops = (struct swim_ops){.send = gossip_send,
-					.handle_config_head =
-						gossip_handle_config_head,
-					.config_told_age_us = gossip_told_age_us,
-					.handle_freeze = gossip_handle_freeze,
-					.handle_refuted = gossip_handle_refuted,
-					.data = gossip};
+	gossip->ops = (struct swim_ops){
+		.send = gossip_send,
+		.handle_config_head = gossip_handle_config_head,
+		.config_told_age_us = gossip_told_age_us,
+		.handle_freeze = gossip_handle_freeze,
+		.handle_refuted = gossip_handle_own_refutation,
+		.data = gossip};
 	gossip->swim = swim_create(&options, gossip->now_us);
 }
 
@@ -282,7 +282,7 @@
 			     const struct gossip_handlers *handlers)
 {
 	struct member_observer observer = {.handle_changed =
-						   gossip_handle_member};
+						   gossip_log_state_change};
 	int fd = gossip_bind(daemon->settings->peer.address, port);
 	struct gossip *gossip;
 
--- a/comfreydockd/member/gossip_packet.c
+++ b/comfreydockd/member/gossip_packet.c
@@ -57,11 +57,11 @@
 	if (packet->version != GOSSIP_VERSION)
 		return GOSSIP_PACKET_WRONG_VERSION;
 	if (packet->tag.len != GOSSIP_TAG_SIZE)
-		return GOSSIP_PACKET_WRONG_TAG;
+		return GOSSIP_PACKET_UNAUTHENTICATED;
 	tag_compute(key, key_size, packet->version, packet->body.data,
 		    packet->body.len, tag);
 	return tag_equals(tag, packet->tag.data) ? GOSSIP_PACKET_OK :
-						   GOSSIP_PACKET_WRONG_TAG;
+						   GOSSIP_PACKET_UNAUTHENTICATED;
 }
 
 enum gossip_packet_status gossip_packet_open(const uint8_t *key, size_t key_size,
--- a/comfreydockd/member/rows.c
+++ b/comfreydockd/member/rows.c
@@ -113,7 +113,7 @@
 	rows->options = *options;
 	rows->rand = g_rand_new_with_seed((guint32)options->seed);
 	rows->own_key = g_strconcat(ROWS_PREFIX, options->self->host, NULL);
-	rows->own_incarnation = options->self->incarnation;
+	rows->own_row_incarnation = options->self->incarnation;
 	rows->page_start_key = g_strdup(rows->own_key);
 	LIST_INIT(&rows->calls);
 	ev_init(&rows->own_timer, handle_own_timer);
@@ -149,11 +149,12 @@
 }
 
 void rows_leave(struct rows *rows,
-		void (*handle_left)(bool is_deleted, void *data), void *data)
+		void (*handle_leave_done)(bool is_deleted, void *data),
+		void *data)
 {
 	rows->is_leaving = true;
-	rows->handle_left = handle_left;
-	rows->left_data = data;
+	rows->handle_leave_done = handle_leave_done;
+	rows->leave_done_data = data;
 	ev_timer_stop(rows->options.loop, &rows->page_timer);
 	rows_timer_set(rows, &rows->own_timer, 0);
 }
--- a/comfreydockd/member/rows_internal.h
+++ b/comfreydockd/member/rows_internal.h
@@ -30,9 +30,9 @@
 	bool own_was_read;
 	bool own_check_pending; /* a check was requested during another */
 	char *own_key;
-	uint64_t own_incarnation; /* to write to the row */
+	uint64_t own_row_incarnation; /* to write to the row */
 	/* Version of an own row that was last seen with a higher incarnation. */
-	uint64_t higher_row_version;
+	uint64_t higher_incarnation_row_version;
 	int64_t own_backoff_us;
 	/* Pages of other hosts' rows. */
 	ev_timer page_timer;
@@ -44,8 +44,8 @@
 	uint64_t unknown_row_version;
 	int64_t unknown_since_us;
 	bool is_leaving;
-	void (*handle_left)(bool is_deleted, void *data);
-	void *left_data;
+	void (*handle_leave_done)(bool is_deleted, void *data);
+	void *leave_done_data;
 	unsigned int leave_tries;
 };
 
--- a/comfreydockd/member/rows_own.c
+++ b/comfreydockd/member/rows_own.c
@@ -4,7 +4,7 @@
 #include "common/log.h"
 #include "rows_internal.h"
 
-static void own_schedule_check(struct rows *rows, int64_t us)
+static void own_row_end_operation(struct rows *rows, int64_t us)
 {
 	rows->own_in_flight = false;
 	if (rows->own_check_pending)
@@ -13,48 +13,48 @@
 	rows_timer_set(rows, &rows->own_timer, us);
 }
 
-static void own_finish_leave(struct rows *rows, bool is_deleted)
+static void own_row_finish_leave(struct rows *rows, bool is_deleted)
 {
-	void (*handle_left)(bool, void *) = rows->handle_left;
+	void (*handle_leave_done)(bool, void *) = rows->handle_leave_done;
 
 	rows->own_in_flight = false;
-	rows->handle_left = NULL;
+	rows->handle_leave_done = NULL;
 	ev_timer_stop(rows->options.loop, &rows->own_timer);
 	log_event(EV_ROW_LEFT, LOG_INT("deleted", is_deleted));
-	handle_left(is_deleted, rows->left_data);
+	handle_leave_done(is_deleted, rows->leave_done_data);
 }
 
-static void own_handle_failure(struct rows *rows, enum rows_status status)
+static void own_row_handle_failure(struct rows *rows, enum rows_status status)
 {
 	counters.rows_failed++;
 	if (rows->is_leaving) {
 		if (++rows->leave_tries == ROWS_LEAVE_TRIES)
-			own_finish_leave(rows, false);
+			own_row_finish_leave(rows, false);
 		else
-			own_schedule_check(rows, ROWS_BACKOFF_MIN_US / 2);
+			own_row_end_operation(rows, ROWS_BACKOFF_MIN_US / 2);
 		return;
 	}
 	if (rows->own_backoff_us == 0)
 		log_event(EV_ROW_FAILED, LOG_INT("status", status));
-	own_schedule_check(rows, rows_backoff(rows, &rows->own_backoff_us));
+	own_row_end_operation(rows, rows_backoff(rows, &rows->own_backoff_us));
 }
 
-static void own_handle_put(struct rows *rows, enum rows_status status)
+static void own_row_handle_put(struct rows *rows, enum rows_status status)
 {
 	if (status != ROWS_OK) {
-		own_handle_failure(rows, status);
+		own_row_handle_failure(rows, status);
 		return;
 	}
 	counters.rows_written++;
 	log_event(EV_ROW_WRITTEN, LOG_STR("key", rows->own_key),
-		  LOG_INT("incarnation", rows->own_incarnation));
+		  LOG_INT("incarnation", rows->own_row_incarnation));
 	rows->own_backoff_us = 0;
 	/* The first page is read only after the own row was written. Of two
 	 * daemons that start at the same moment, at least one then finds the
 	 * row of the other. */
 	if (!rows->pages_started)
 		rows_timer_set(rows, &rows->page_timer, 0);
-	own_schedule_check(
+	own_row_end_operation(
 		rows,
 		rows->is_leaving ?
 			0 :
@@ -62,12 +62,12 @@
 				rows_random_us(rows, ROWS_CHECK_INTERVAL_US));
 }
 
-static void own_handle_deleted(struct rows *rows, enum rows_status status)
+static void own_row_handle_deleted(struct rows *rows, enum rows_status status)
 {
 	if (status == ROWS_OK)
-		own_finish_leave(rows, true);
+		own_row_finish_leave(rows, true);
 	else
-		own_handle_failure(rows, status);
+		own_row_handle_failure(rows, status);
 }
 
 /*
@@ -80,43 +80,44 @@
  * RETURN VALUE
  *	true if this daemon must leave the row alone.
  */
-static bool own_yields(struct rows *rows, const struct rows_row *row,
-		       uint64_t incarnation)
+static bool own_row_resolve_incarnation(struct rows *rows,
+					const struct rows_row *row,
+					uint64_t incarnation)
 {
-	if (incarnation <= rows->own_incarnation)
+	if (incarnation <= rows->own_row_incarnation)
 		return false;
 	if (rows->options.self->incarnation > incarnation ||
-	    rows->higher_row_version == row->version) {
-		rows->own_incarnation =
+	    rows->higher_incarnation_row_version == row->version) {
+		rows->own_row_incarnation =
 			MAX(rows->options.self->incarnation, incarnation + 1);
 		return false;
 	}
-	rows->higher_row_version = row->version;
+	rows->higher_incarnation_row_version = row->version;
 	log_event(EV_ROW_YIELDED, LOG_INT("incarnation", incarnation));
 	return true;
 }
 
-static void own_leave(struct rows *rows, const struct rows_row *row,
-		      const struct member *written)
+static void own_row_delete(struct rows *rows, const struct rows_row *row,
+			   const struct member *written)
 {
-	if (!row || written->incarnation != rows->own_incarnation)
-		own_finish_leave(rows, true);
+	if (!row || written->incarnation != rows->own_row_incarnation)
+		own_row_finish_leave(rows, true);
 	else
 		rows_delete(rows, rows->own_key, row->version,
-			    own_handle_deleted);
+			    own_row_handle_deleted);
 }
 
-static void own_compare(struct rows *rows, const struct rows_row *row)
+static void own_row_write_if_changed(struct rows *rows, const struct rows_row *row)
 {
-	char *text = rows_encode(rows->options.self, rows->own_incarnation,
+	char *text = rows_encode(rows->options.self, rows->own_row_incarnation,
 				 rows->options.quarantine);
 
 	if (!row || row->size != strlen(text) ||
 	    memcmp(row->value, text, row->size) != 0) {
-		rows_put(rows, text, row ? row->version : 0, own_handle_put);
+		rows_put(rows, text, row ? row->version : 0, own_row_handle_put);
 	} else {
 		rows->own_backoff_us = 0;
-		own_schedule_check(
+		own_row_end_operation(
 			rows,
 			ROWS_CHECK_INTERVAL_US / 2 +
 				rows_random_us(rows, ROWS_CHECK_INTERVAL_US));
@@ -126,37 +127,39 @@
 
 /* The first read restores the records that this host held in quarantine before
  * it restarted, for example after a power loss. */
-static void own_merge_quarantine(struct rows *rows, const struct rows_row *row)
+static void own_row_restore_quarantine(struct rows *rows,
+				       const struct rows_row *row)
 {
 	if (!rows->own_was_read && row)
 		rows_quarantine_merge(rows, row);
 	rows->own_was_read = true;
 }
 
-static void own_handle_read(struct rows *rows, enum rows_status status,
-			    const struct rows_row *found, size_t count)
+static void own_row_handle_read(struct rows *rows, enum rows_status status,
+				const struct rows_row *found, size_t count)
 {
 	const struct rows_row *row = NULL;
 	struct member written = {0};
 
 	if (status != ROWS_OK) {
-		own_handle_failure(rows, status);
+		own_row_handle_failure(rows, status);
 		return;
 	}
 	if (count > 0 && strcmp(found[0].key, rows->own_key) == 0)
 		row = &found[0];
 	if (row)
 		rows_decode(row->value, row->size, &written);
-	own_merge_quarantine(rows, row);
+	own_row_restore_quarantine(rows, row);
 	if (rows->is_leaving)
-		own_leave(rows, row, &written);
-	else if (row && own_yields(rows, row, written.incarnation))
-		own_schedule_check(rows, ROWS_CHECK_INTERVAL_US);
+		own_row_delete(rows, row, &written);
+	else if (row &&
+		 own_row_resolve_incarnation(rows, row, written.incarnation))
+		own_row_end_operation(rows, ROWS_CHECK_INTERVAL_US);
 	else
-		own_compare(rows, row);
+		own_row_write_if_changed(rows, row);
 }
 
-static void own_check_after(struct rows *rows, int64_t us)
+static void own_row_check_after(struct rows *rows, int64_t us)
 {
 	if (rows->is_leaving)
 		return;
@@ -166,9 +169,10 @@
 		rows_timer_set(rows, &rows->own_timer, us);
 }
 
-void rows_note_restored(struct rows *rows)
+void rows_note_store_restored(struct rows *rows)
 {
-	own_check_after(rows, rows_random_us(rows, ROWS_RESTORED_CHECK_MAX_US));
+	own_row_check_after(rows,
+			    rows_random_us(rows, ROWS_RESTORED_CHECK_MAX_US));
 }
 
 void rows_note_quarantine(struct rows *rows,
@@ -181,7 +185,7 @@
 	    !quarantine_record_names(record,
 				     member_host_hash(rows->options.self->host)))
 		return;
-	own_check_after(rows, ROWS_QUARANTINE_DELAY_US);
+	own_row_check_after(rows, ROWS_QUARANTINE_DELAY_US);
 }
 
 void rows_own_check(struct rows *rows)
@@ -194,6 +198,6 @@
 	}
 	rows->own_in_flight = true;
 	end = g_strconcat(rows->own_key, "!", NULL);
-	rows_get(rows, rows->own_key, end, 1, own_handle_read);
+	rows_get(rows, rows->own_key, end, 1, own_row_handle_read);
 	g_free(end);
 }
--- a/comfreydockd/member/swim.c
+++ b/comfreydockd/member/swim.c
@@ -23,9 +23,10 @@
 {
 	const int tries = 16;
 
-	for (int i = 0; i < tries && swim->order->len > 0; i++) {
+	for (int i = 0; i < tries && swim->probe_order->len > 0; i++) {
 		struct swim_node *node = g_ptr_array_index(
-			swim->order, swim_random_below(swim, swim->order->len));
+			swim->probe_order,
+			swim_random_below(swim, swim->probe_order->len));
 		struct member *member = node->member;
 
 		if (member->state <= MEMBER_SUSPECT &&
@@ -57,24 +58,26 @@
 	/* Inserts the node at a random place in the rest of this probe round.
 	 * Appended by all daemons, a new member would be probed by all of them
 	 * at the end of their rounds. */
-	g_ptr_array_add(swim->order, node);
-	swim->probe_cursor = MIN(swim->probe_cursor, swim->order->len - 1);
+	g_ptr_array_add(swim->probe_order, node);
+	swim->probe_cursor = MIN(swim->probe_cursor, swim->probe_order->len - 1);
 	other = swim->probe_cursor +
-		swim_random_below(swim, swim->order->len - swim->probe_cursor);
-	swim->order->pdata[swim->order->len - 1] = swim->order->pdata[other];
-	swim->order->pdata[other] = node;
+		swim_random_below(swim,
+				  swim->probe_order->len - swim->probe_cursor);
+	swim->probe_order->pdata[swim->probe_order->len - 1] =
+		swim->probe_order->pdata[other];
+	swim->probe_order->pdata[other] = node;
 	return node;
 }
 
-static void node_count(struct swim *swim, struct swim_node *node,
-		       enum member_state state)
+static void node_update_counts(struct swim *swim, struct swim_node *node,
+			       enum member_state state)
 {
-	bool is_lost = state == MEMBER_DEAD || state == MEMBER_LEFT;
+	bool is_dead_or_left = state == MEMBER_DEAD || state == MEMBER_LEFT;
 	bool is_live = state <= MEMBER_SUSPECT && node->member != swim->self;
 
-	swim->lost_count += is_lost - node->is_lost;
+	swim->dead_or_left_count += is_dead_or_left - node->is_dead_or_left;
 	swim->live_count += is_live - node->is_live;
-	node->is_lost = is_lost;
+	node->is_dead_or_left = is_dead_or_left;
 	node->is_live = is_live;
 }
 
@@ -87,7 +90,7 @@
 		swim->self = member;
 	if (!node)
 		node = node_add(swim, member);
-	node_count(swim, node, member->state);
+	node_update_counts(swim, node, member->state);
 	if (member->state != MEMBER_SUSPECT)
 		swim_suspect_stop(swim, node);
 	else if (!node->is_suspect ||
@@ -104,11 +107,11 @@
 
 	if (!node)
 		return;
-	swim->lost_count -= node->is_lost;
+	swim->dead_or_left_count -= node->is_dead_or_left;
 	swim->live_count -= node->is_live;
 	swim_suspect_stop(swim, node);
 	swim_rumour_drop(swim, node);
-	g_ptr_array_remove_fast(swim->order, node);
+	g_ptr_array_remove_fast(swim->probe_order, node);
 	member->swim_data = NULL;
 	g_free(node);
 }
@@ -126,7 +129,7 @@
 	swim->random = options->seed;
 	swim->now_us = now_us;
 	swim->ticked_at_us = now_us;
-	swim->order = g_ptr_array_new();
+	swim->probe_order = g_ptr_array_new();
 	TAILQ_INIT(&swim->urgent);
 	TAILQ_INIT(&swim->rumours);
 	TAILQ_INIT(&swim->suspects);
@@ -154,7 +157,7 @@
 		g_free(member->swim_data);
 		member->swim_data = NULL;
 	}
-	g_ptr_array_unref(swim->order);
+	g_ptr_array_unref(swim->probe_order);
 	g_free(swim);
 }
 
@@ -169,8 +172,8 @@
 }
 
 /* Raises this daemon's incarnation above any that other daemons may know. */
-static void self_raise_incarnation(struct swim *swim, struct member *record,
-				   uint64_t above)
+static void self_publish_record(struct swim *swim, struct member *record,
+				uint64_t above)
 {
 	record->incarnation = MAX(above, swim->self->incarnation) + 1;
 	swim->suspected_by = 0;
@@ -190,7 +193,7 @@
 	if (received->state != MEMBER_ALIVE &&
 	    swim->local_health < SWIM_LOCAL_HEALTH_MAX)
 		swim->local_health++;
-	self_raise_incarnation(swim, &record, received->incarnation);
+	self_publish_record(swim, &record, received->incarnation);
 	if (swim->ops->handle_refuted)
 		swim->ops->handle_refuted(received->state,
 					  swim->self->incarnation,
@@ -293,17 +296,17 @@
 	if (swim->now_us < swim->next_unknown_ping_us)
 		return;
 	swim->next_unknown_ping_us = swim->now_us + SWIM_PUSH_INTERVAL_US;
-	swim_seed_ping(swim, from);
+	swim_ping_endpoint(swim, from);
 }
 
 /* Starts a full sync with a peer that may have many records that this daemon
  * lacks. That is any peer while the table is incomplete, and a peer that was
  * considered dead and answers. */
-static void sync_with_new_peer(struct swim *swim,
-			       const struct swim_endpoint *from, bool was_dead)
+static void sync_full_if_due(struct swim *swim,
+			     const struct swim_endpoint *from, bool was_dead)
 {
 	bool sync_is_due =
-		!swim_sync_is_complete(swim) ||
+		!swim_table_is_complete(swim) ||
 		(was_dead && swim->now_us - swim->sync.full_sync_started_us >
 				     MERGE_SYNC_INTERVAL_US);
 
@@ -320,7 +323,7 @@
 		break;
 	case CFD__GOSSIP_KIND__GOSSIP_ACK:
 		swim_probe_handle_ack(swim, message);
-		sync_with_new_peer(swim, from, was_dead);
+		sync_full_if_due(swim, from, was_dead);
 		break;
 	case CFD__GOSSIP_KIND__GOSSIP_NACK:
 		swim_probe_handle_nack(swim, message);
@@ -448,7 +451,7 @@
 		swim->seeds[swim->seed_count++] = seed;
 	else
 		swim->seeds[swim_random_below(swim, SWIM_SEEDS_MAX)] = seed;
-	swim_seed_ping(swim, &seed);
+	swim_ping_endpoint(swim, &seed);
 }
 
 bool swim_announce(struct swim *swim, enum member_service_state state,
@@ -465,7 +468,7 @@
 	record.up_since_us = swim->now_us;
 	if (!swim_record_fits(swim, &record))
 		return false;
-	self_raise_incarnation(swim, &record, 0);
+	self_publish_record(swim, &record, 0);
 	return true;
 }
 
@@ -476,7 +479,7 @@
 	swim->now_us = MAX(swim->now_us, now_us);
 	swim->has_left = true;
 	record.state = MEMBER_LEFT;
-	self_raise_incarnation(swim, &record, 0);
+	self_publish_record(swim, &record, 0);
 	swim_rumour_announce_leave(swim);
 }
 
--- a/comfreydockd/member/swim_internal.h
+++ b/comfreydockd/member/swim_internal.h
@@ -30,7 +30,7 @@
 	bool is_rumour;
 	bool is_urgent;
 	bool is_suspect;
-	bool is_lost; /* dead or left */
+	bool is_dead_or_left; /* dead or left */
 	bool is_live; /* alive or suspect, and not this host */
 };
 
@@ -61,8 +61,8 @@
 };
 
 struct swim_sync {
-	bool is_full; /* a full pass runs, as fast as the page budget allows */
-	unsigned int idle_passes; /* full passes in a row that added little */
+	bool is_full_pass; /* a full pass runs, as fast as the page budget allows */
+	unsigned int stable_passes; /* full passes in a row that added little */
 	guint size_before; /* other members known when the full pass began */
 	struct swim_endpoint peer;
 	unsigned int next_bucket;
@@ -91,10 +91,10 @@
 	int64_t budget_bytes;
 	int64_t page_budget_bytes;
 	int64_t quarantine_budget_bytes;
-	GPtrArray *order; /* nodes of all other members, in probe order */
+	GPtrArray *probe_order; /* nodes of all other members, in probe order */
 	guint probe_cursor;
 	guint sweep_cursor;
-	unsigned int lost_count;
+	unsigned int dead_or_left_count;
 	unsigned int live_count;
 	bool is_reprobe_due;
 	struct swim_node_list urgent;
@@ -193,13 +193,13 @@
 void swim_sync_tick(struct swim *swim);
 /* RETURN VALUE: true if the last full passes added so little that the table is
  * taken to be complete. */
-bool swim_sync_is_complete(const struct swim *swim);
+bool swim_table_is_complete(const struct swim *swim);
 void swim_sync_start_full(struct swim *swim, const struct swim_endpoint *peer);
 void swim_sync_handle_request(struct swim *swim, const Cfd__Gossip *message,
 			      const struct swim_endpoint *from);
 void swim_sync_handle_reply(struct swim *swim, const Cfd__Gossip *message,
 			    const struct swim_endpoint *from);
-void swim_seed_ping(struct swim *swim, const struct swim_endpoint *seed);
+void swim_ping_endpoint(struct swim *swim, const struct swim_endpoint *seed);
 void swim_sweep_tick(struct swim *swim);
 
 #endif
--- a/comfreydockd/member/swim_message.c
+++ b/comfreydockd/member/swim_message.c
@@ -140,7 +140,7 @@
 	cfd__gossip__pack(&packet->message, body);
 	if (packet->message.kind == CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY ||
 	    (packet->message.kind == CFD__GOSSIP_KIND__GOSSIP_SYNC &&
-	     swim->sync.is_full))
+	     swim->sync.is_full_pass))
 		swim->page_budget_bytes -= cost;
 	else
 		swim->budget_bytes -= cost;
--- a/comfreydockd/member/swim_probe.c
+++ b/comfreydockd/member/swim_probe.c
@@ -28,21 +28,21 @@
 
 static struct member *probe_next_target(struct swim *swim)
 {
-	for (guint i = 0; i < swim->order->len; i++) {
+	for (guint i = 0; i < swim->probe_order->len; i++) {
 		struct swim_node *node;
 
-		if (swim->probe_cursor >= swim->order->len) {
+		if (swim->probe_cursor >= swim->probe_order->len) {
 			swim->probe_cursor = 0;
-			for (guint j = swim->order->len - 1; j > 0; j--) {
+			for (guint j = swim->probe_order->len - 1; j > 0; j--) {
 				guint other = swim_random_below(swim, j + 1);
-				gpointer *slots = swim->order->pdata;
+				gpointer *slots = swim->probe_order->pdata;
 				gpointer moved = slots[j];
 
 				slots[j] = slots[other];
 				slots[other] = moved;
 			}
 		}
-		node = g_ptr_array_index(swim->order, swim->probe_cursor++);
+		node = g_ptr_array_index(swim->probe_order, swim->probe_cursor++);
 		if (node->member->state <= MEMBER_SUSPECT)
 			return node->member;
 	}
--- a/comfreydockd/member/swim_rumour.c
+++ b/comfreydockd/member/swim_rumour.c
@@ -6,7 +6,7 @@
 
 unsigned int swim_rumour_limit(const struct swim *swim)
 {
-	double scale = log((double)swim->order->len + 1.0);
+	double scale = log((double)swim->probe_order->len + 1.0);
 
 	return SWIM_RETRANSMIT_BASE +
 	       (unsigned int)ceil(SWIM_RETRANSMIT_SCALE * scale);
--- a/comfreydockd/member/swim_suspect.c
+++ b/comfreydockd/member/swim_suspect.c
@@ -11,7 +11,7 @@
 
 static int64_t suspect_min_us(const struct swim *swim)
 {
-	double scale = MAX(log10((double)swim->order->len + 2.0), 1.0);
+	double scale = MAX(log10((double)swim->probe_order->len + 2.0), 1.0);
 
 	return (int64_t)(scale * SWIM_SUSPECT_ALPHA * SWIM_PERIOD_US);
 }
@@ -76,7 +76,7 @@
 	    swim->now_us < node->dead_at_us - lead_us)
 		return;
 	node->final_pings++;
-	if (swim_random_below(swim, swim->order->len) < FINAL_PINGERS)
+	if (swim_random_below(swim, swim->probe_order->len) < FINAL_PINGERS)
 		swim_probe_ping(swim, node->member, ++swim->seq);
 }
 
--- a/comfreydockd/member/swim_sync.c
+++ b/comfreydockd/member/swim_sync.c
@@ -11,7 +11,7 @@
 /* The table counts as complete after this many full passes in a row that each
  * added no more than 1/FULL_SYNC_GROWTH_DIVISOR of it. One pass isn't enough,
  * as its peer may know as little as this daemon. */
-#define FULL_SYNC_IDLE_PASSES 3
+#define FULL_SYNC_STABLE_PASSES 3
 #define FULL_SYNC_GROWTH_DIVISOR 16
 #define SWEEP_MEMBERS_PER_TICK 64
 /* How many daemons at a time ping one lost host, whatever the cluster's size.
@@ -35,7 +35,7 @@
 
 static unsigned int span_for_table_size(const struct swim *swim)
 {
-	unsigned int size = swim->order->len + 1;
+	unsigned int size = swim->probe_order->len + 1;
 
 	return CLAMP(MEMBERS_PER_DIGEST * MEMBER_BUCKETS / size, 1,
 		     MEMBER_BUCKETS);
@@ -68,23 +68,23 @@
 	return bucket;
 }
 
-bool swim_sync_is_complete(const struct swim *swim)
+bool swim_table_is_complete(const struct swim *swim)
 {
-	return swim->sync.idle_passes >= FULL_SYNC_IDLE_PASSES;
+	return swim->sync.stable_passes >= FULL_SYNC_STABLE_PASSES;
 }
 
 void swim_sync_start_full(struct swim *swim, const struct swim_endpoint *peer)
 {
 	struct swim_sync *sync = &swim->sync;
 
-	if (sync->is_full)
+	if (sync->is_full_pass)
 		return;
-	sync->is_full = true;
+	sync->is_full_pass = true;
 	sync->peer = *peer;
 	sync->next_bucket = 0;
 	sync->last_reply_us = swim->now_us;
 	sync->full_sync_started_us = swim->now_us;
-	sync->size_before = swim->order->len;
+	sync->size_before = swim->probe_order->len;
 	sync_send_request(swim, FULL_SYNC_REPLIES_MAX);
 }
 
@@ -93,7 +93,7 @@
 	struct swim_sync *sync = &swim->sync;
 
 	if (swim->now_us - sync->last_reply_us > FULL_SYNC_TIMEOUT_US) {
-		sync->is_full = false;
+		sync->is_full_pass = false;
 		return;
 	}
 	if (swim->page_budget_bytes <= 0)
@@ -108,7 +108,7 @@
 	struct swim_sync *sync = &swim->sync;
 	struct member *peer;
 
-	if (sync->is_full) {
+	if (sync->is_full_pass) {
 		sync_full_tick(swim);
 		return;
 	}
@@ -120,7 +120,7 @@
 		return;
 	g_strlcpy(sync->peer.address, peer->address, sizeof(sync->peer.address));
 	sync->peer.port = peer->peer_port;
-	if (!swim_sync_is_complete(swim)) {
+	if (!swim_table_is_complete(swim)) {
 		swim_sync_start_full(swim, &sync->peer);
 		return;
 	}
@@ -212,15 +212,15 @@
 static void sync_finish_full(struct swim *swim)
 {
 	struct swim_sync *sync = &swim->sync;
-	guint size = swim->order->len;
+	guint size = swim->probe_order->len;
 
-	sync->is_full = false;
+	sync->is_full_pass = false;
 	sync->next_bucket = 0;
 	if (size > sync->size_before + size / FULL_SYNC_GROWTH_DIVISOR)
-		sync->idle_passes = 0;
+		sync->stable_passes = 0;
 	else
-		sync->idle_passes++;
-	if (!swim_sync_is_complete(swim))
+		sync->stable_passes++;
+	if (!swim_table_is_complete(swim))
 		swim->next_sync_us =
 			swim->now_us + FULL_SYNC_INTERVAL_US / 2 +
 			swim_random_below(swim, FULL_SYNC_INTERVAL_US);
@@ -262,13 +262,13 @@
 	if (from->port != sync->peer.port ||
 	    strcmp(from->address, sync->peer.address) != 0)
 		return;
-	if (sync->is_full)
+	if (sync->is_full_pass)
 		sync_handle_full_page(swim, message);
 	else
 		sync_handle_incremental_page(sync, message);
 }
 
-void swim_seed_ping(struct swim *swim, const struct swim_endpoint *seed)
+void swim_ping_endpoint(struct swim *swim, const struct swim_endpoint *seed)
 {
 	struct swim_packet packet;
 
@@ -293,8 +293,8 @@
 			 SEED_INTERVAL_ALONE_US :
 			 SEED_INTERVAL_US / 2 +
 				 swim_random_below(swim, SEED_INTERVAL_US));
-	swim_seed_ping(swim,
-		       &swim->seeds[swim_random_below(swim, swim->seed_count)]);
+	swim_ping_endpoint(
+		swim, &swim->seeds[swim_random_below(swim, swim->seed_count)]);
 }
 
 /*
@@ -329,8 +329,8 @@
 
 static bool reprobe_is_selected(struct swim *swim)
 {
-	return swim_random_below(swim, swim->order->len) <
-	       swim->lost_count * REPROBERS;
+	return swim_random_below(swim, swim->probe_order->len) <
+	       swim->dead_or_left_count * REPROBERS;
 }
 
 /* Removes members that have been dead or gone for long, pings one lost member
@@ -343,14 +343,15 @@
 			swim->now_us + SWIM_REPROBE_INTERVAL_US / 2 +
 			swim_random_below(swim, SWIM_REPROBE_INTERVAL_US);
 		swim->is_reprobe_due =
-			swim->lost_count && reprobe_is_selected(swim);
+			swim->dead_or_left_count && reprobe_is_selected(swim);
 	}
-	for (guint i = 0; i < MIN(SWEEP_MEMBERS_PER_TICK, swim->order->len); i++) {
+	for (guint i = 0;
+	     i < MIN(SWEEP_MEMBERS_PER_TICK, swim->probe_order->len); i++) {
 		struct swim_node *node;
 
-		if (swim->sweep_cursor >= swim->order->len)
+		if (swim->sweep_cursor >= swim->probe_order->len)
 			swim->sweep_cursor = 0;
-		node = g_ptr_array_index(swim->order, swim->sweep_cursor);
+		node = g_ptr_array_index(swim->probe_order, swim->sweep_cursor);
 		if (sweep_member(swim, node->member))
 			swim->sweep_cursor++;
 	}
--- a/comfreydockd/stop.c
+++ b/comfreydockd/stop.c
@@ -19,15 +19,15 @@
 /* Time to write the last answers to callers before the process exits. */
 #define FINAL_ANSWERS_US (100 * US_PER_MS)
 /* Time for gossip to spread that this host leaves. */
-#define LEAVE_US (500 * US_PER_MS)
+#define LEAVE_SPREAD_US (500 * US_PER_MS)
 
 enum stop_step {
 	STOP_NOT_BEGUN,
 	STOP_SERVING, /* a stop has begun, all requests are still served */
 	STOP_DRAINING,
-	STOP_CLOSING,
-	STOP_REFUSING,
-	STOP_TURNING_AWAY,
+	STOP_ANNOUNCING_CLOSE,
+	STOP_REFUSING_CONNECTIONS,
+	STOP_REFUSING_REQUESTS,
 };
 
 struct stop {
@@ -53,7 +53,7 @@
 	       entry_count(stop->daemon->entry) == 0;
 }
 
-static void handle_row_left(bool is_deleted, void *data)
+static void handle_row_leave_done(bool is_deleted, void *data)
 {
 	struct stop *stop = data;
 
@@ -65,7 +65,7 @@
 {
 	stop->leave_started_us = now;
 	gossip_leave(stop->daemon->gossip);
-	rows_leave(stop->rows, handle_row_left, stop);
+	rows_leave(stop->rows, handle_row_leave_done, stop);
 }
 
 /* Takes the steps that are due, several at once if their times are equal. */
@@ -80,17 +80,17 @@
 	}
 	if (stop->step == STOP_DRAINING &&
 	    elapsed_us >= times->close_after_ms * US_PER_MS) {
-		stop->step = STOP_CLOSING;
+		stop->step = STOP_ANNOUNCING_CLOSE;
 		listener_announce_close(stop->listener);
 	}
-	if (stop->step == STOP_CLOSING &&
+	if (stop->step == STOP_ANNOUNCING_CLOSE &&
 	    elapsed_us >= times->refuse_after_ms * US_PER_MS) {
-		stop->step = STOP_REFUSING;
+		stop->step = STOP_REFUSING_CONNECTIONS;
 		listener_quiesce(stop->listener);
 	}
-	if (stop->step == STOP_REFUSING &&
+	if (stop->step == STOP_REFUSING_CONNECTIONS &&
 	    elapsed_us >= times->turn_away_after_ms * US_PER_MS) {
-		stop->step = STOP_TURNING_AWAY;
+		stop->step = STOP_REFUSING_REQUESTS;
 		listener_turn_away(stop->listener);
 	}
 }
@@ -101,7 +101,7 @@
  * them through another daemon at once. If the process just exited, the callers
  * would see a broken connection and not know whether their requests ran.
  */
-static void cancel_pending_calls(struct stop *stop)
+static void cancel_unstarted_calls(struct stop *stop)
 {
 	if (stop->has_cancelled)
 		return;
@@ -124,13 +124,14 @@
  * that. */
 static bool may_exit(const struct stop *stop, int64_t now, bool must_exit)
 {
-	int64_t leave_us = now - stop->leave_started_us;
+	int64_t leaving_us = now - stop->leave_started_us;
 
 	if (must_exit)
 		return true;
-	return stop->leave_started_us && is_idle(stop) && leave_us >= LEAVE_US &&
+	return stop->leave_started_us && is_idle(stop) &&
+	       leaving_us >= LEAVE_SPREAD_US &&
 	       (stop->row_leave_done ||
-		leave_us >= stop->daemon->settings->stop.leave_ms * US_PER_MS);
+		leaving_us >= stop->daemon->settings->stop.leave_ms * US_PER_MS);
 }
 
 static void handle_check(struct ev_loop *loop, ev_timer *timer, int events)
@@ -146,16 +147,16 @@
 
 	(void)events;
 	advance_steps(stop, elapsed_us);
-	if (stop->step < STOP_REFUSING || !is_idle(stop))
+	if (stop->step < STOP_REFUSING_CONNECTIONS || !is_idle(stop))
 		stop->last_busy_us = now;
 	if (has_timed_out)
-		cancel_pending_calls(stop);
-	if (elapsed_us >= timeout_us + LEAVE_US - FINAL_ANSWERS_US)
+		cancel_unstarted_calls(stop);
+	if (elapsed_us >= timeout_us + LEAVE_SPREAD_US - FINAL_ANSWERS_US)
 		end_running_calls(stop);
 	if (!stop->leave_started_us &&
 	    (has_timed_out || now - stop->last_busy_us >= IDLE_BEFORE_LEAVE_US))
 		leave(stop, now);
-	if (!may_exit(stop, now, elapsed_us >= timeout_us + LEAVE_US))
+	if (!may_exit(stop, now, elapsed_us >= timeout_us + LEAVE_SPREAD_US))
 		return;
 	log_event(EV_DAEMON_STOPPED,
 		  LOG_INT("calls", entry_count(stop->daemon->entry)));
--- a/include/comfreydockd/member/rows.h
+++ b/include/comfreydockd/member/rows.h
@@ -118,17 +118,18 @@
 
 /* To be called after the store was restored from a copy, which may lack this
  * host's row. */
-void rows_note_restored(struct rows *rows);
+void rows_note_store_restored(struct rows *rows);
 
 /* To be called when a record of the quarantine has changed. */
 void rows_note_quarantine(struct rows *rows,
 			  const struct quarantine_record *record,
 			  enum quarantine_change change);
 
-/* Deletes this host's row, unless another daemon has taken it over. handle_left
+/* Deletes this host's row, unless another daemon has taken it over. handle_leave_done
  * is called once; is_deleted is false if the store stayed unavailable. */
 void rows_leave(struct rows *rows,
-		void (*handle_left)(bool is_deleted, void *data), void *data);
+		void (*handle_leave_done)(bool is_deleted, void *data),
+		void *data);
 
 /* RETURN VALUE: the value of the row, to be freed with g_free().
  * quarantine may be NULL. */
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -192,7 +192,7 @@
 	rows_begin(STORE_UP);
 	rows_run(120);
 	g_tree_remove(fixture.store.rows, "hosts/surco-1");
-	rows_note_restored(fixture.rows);
+	rows_note_store_restored(fixture.rows);
 	rows_run((int)(ROWS_RESTORED_CHECK_MAX_US / US_PER_S) + 1);
 	g_assert_nonnull(rows_stored("hosts/surco-1"));
 	rows_finish();
