--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -20,9 +20,9 @@
 #define RECEIVE_MAX 64 /* packets per event loop iteration */
 #define RECEIVE_BUFFER_BYTES (512 * 1024)
 #define LOG_WINDOW_US (10 * US_PER_S)
-#define LOG_LINES_MAX 20 /* of one kind per window */
+#define LOG_LINES_MAX 20 /* per limiter and window */
 
-/* Limits the log lines of one kind. Unauthenticated packets, or the state
+/* Limits the rate of the log lines that share it. Unauthenticated packets, or the state
  * changes when a failure domain is lost, come by the thousands and would fill
  * the log. */
 struct log_limiter {
@@ -41,8 +41,11 @@
 	int64_t now_us;
 	ev_io readable;
 	ev_timer tick;
+	/* What the thread had used at the last tick. If the process was
+	 * suspended, gossip.frozen logs the use since then. */
 	struct freeze_mark tick_mark;
-	struct log_limiter drop_log;
+	struct log_limiter drop_log; /* of gossip.packet_dropped */
+	/* Of member.state and gossip.refuted together. */
 	struct log_limiter change_log;
 };
 
@@ -158,6 +161,8 @@
 	freeze_mark(&gossip->tick_mark);
 }
 
+/* Passes on the head that a peer sent: the number of configuration applies,
+ * which serves as the version of the configuration. */
 static void gossip_handle_config_head(const char *host, uint64_t head,
 				      int64_t told_age_us, void *data)
 {
@@ -168,6 +173,9 @@
 						     gossip->handlers->data);
 }
 
+/* Asks how long ago the platform confirmed this daemon's head as the newest;
+ * swim sends this age to peers along with the head.
+ * RETURN VALUE: -1 if the head was never confirmed or isn't the current one. */
 static int64_t gossip_told_age_us(uint64_t head, void *data)
 {
 	const struct gossip *gossip = data;
@@ -177,6 +185,8 @@
 	return gossip->handlers->config_told_age_us(head, gossip->handlers->data);
 }
 
+/* Called by swim_tick() if its last call was so long ago that this process must
+ * have been suspended. */
 static void gossip_handle_freeze(int64_t gap_us, void *data)
 {
 	const struct gossip *gossip = data;
@@ -184,6 +194,7 @@
 	freeze_log(EV_GOSSIP_FROZEN, gap_us, &gossip->tick_mark);
 }
 
+/* Called after this daemon refuted a record that a peer sent about it. */
 static void gossip_handle_own_refutation(enum member_state state,
 					 uint64_t incarnation, void *data)
 {
@@ -195,6 +206,9 @@
 			  LOG_INT("incarnation", incarnation));
 }
 
+/* Logs the new state of a member. The table reports every change of a record;
+ * state_since_us is the current time only if the state itself has changed or
+ * the member is new. */
 static void gossip_log_state_change(struct member *member, void *data)
 {
 	static const char *const names[] = {"alive", "suspect", "dead", "left"};
--- a/comfreydockd/member/gossip_packet.h
+++ b/comfreydockd/member/gossip_packet.h
@@ -22,7 +22,7 @@
 	GOSSIP_PACKET_OK,
 	GOSSIP_PACKET_MALFORMED,
 	GOSSIP_PACKET_WRONG_VERSION,
-	GOSSIP_PACKET_UNAUTHENTICATED,
+	GOSSIP_PACKET_UNAUTHENTICATED, /* the tag doesn't match key and body */
 };
 
 /* Writes the envelope of the body into packet.
--- a/comfreydockd/member/rows_internal.h
+++ b/comfreydockd/member/rows_internal.h
@@ -30,11 +30,15 @@
 	bool own_was_read;
 	bool own_check_pending; /* a check was requested during another */
 	char *own_key;
-	uint64_t own_row_incarnation; /* to write to the row */
-	/* Version of an own row that was last seen with a higher incarnation. */
+	/* The incarnation to write to the row. It starts as that of self and is
+	 * raised only to replace a row with a higher one; that of self also
+	 * grows with each refutation and announcement. */
+	uint64_t own_row_incarnation;
+	/* Version of the own row when it last held a higher incarnation than
+	 * own_row_incarnation. */
 	uint64_t higher_incarnation_row_version;
 	int64_t own_backoff_us;
-	/* Pages of other hosts' rows. */
+	/* Other hosts' rows, read in pages of up to ROWS_PAGE rows. */
 	ev_timer page_timer;
 	bool pages_started;
 	char *page_start_key;
--- a/comfreydockd/member/rows_own.c
+++ b/comfreydockd/member/rows_own.c
@@ -4,6 +4,11 @@
 #include "common/log.h"
 #include "rows_internal.h"
 
+/* Reads, writes and deletes this host's own membership row in the platform's
+ * table. One operation at a time is in flight. */
+
+/* Marks the operation on the own row as finished and schedules the next check
+ * in us, or at once if one was requested in the meantime. */
 static void own_row_end_operation(struct rows *rows, int64_t us)
 {
 	rows->own_in_flight = false;
@@ -28,6 +33,8 @@
 {
 	counters.rows_failed++;
 	if (rows->is_leaving) {
+		/* A stop waits only a few seconds (leave_ms) for the deletion,
+		 * so the delay between tries is short and doesn't grow. */
 		if (++rows->leave_tries == ROWS_LEAVE_TRIES)
 			own_row_finish_leave(rows, false);
 		else
@@ -49,9 +56,9 @@
 	log_event(EV_ROW_WRITTEN, LOG_STR("key", rows->own_key),
 		  LOG_INT("incarnation", rows->own_row_incarnation));
 	rows->own_backoff_us = 0;
-	/* The first page is read only after the own row was written. Of two
-	 * daemons that start at the same moment, at least one then finds the
-	 * row of the other. */
+	/* The first page of other hosts' rows is read only after the own row
+	 * was written. Of two daemons that start at the same moment, at least
+	 * one then finds the row of the other. */
 	if (!rows->pages_started)
 		rows_timer_set(rows, &rows->page_timer, 0);
 	own_row_end_operation(
@@ -71,14 +78,20 @@
 }
 
 /*
- * Decides about an own row with a higher incarnation than this daemon's. It
- * may come from a later start on this host; then this process was suspended in
- * the meantime and must not overwrite it. Or it comes from an earlier start
- * while the host's clock was ahead; such a row is unchanged at the next check
- * and is replaced.
+ * Decides whether this daemon may overwrite an own row with a higher
+ * incarnation. The row may come from a later start on this host; then this
+ * process was suspended in the meantime and must not overwrite it. Or it comes
+ * from an earlier start while the host's clock was ahead, and must be replaced.
+ *
+ * The row alone doesn't tell the two cases apart. So the daemon leaves the row
+ * alone once and remembers its version. If the row is unchanged at the next
+ * check, it counts as one from an earlier start. The daemon replaces it without
+ * that wait if gossip has already raised the incarnation of this host's record
+ * above that of the row. To replace the row, the daemon raises
+ * own_row_incarnation above the incarnation in it.
  *
  * RETURN VALUE
- *	true if this daemon must leave the row alone.
+ *	true if this daemon must leave the row alone for now.
  */
 static bool own_row_resolve_incarnation(struct rows *rows,
 					const struct rows_row *row,
@@ -125,8 +138,9 @@
 	g_free(text);
 }
 
-/* The first read restores the records that this host held in quarantine before
- * it restarted, for example after a power loss. */
+/* Takes over the quarantine records from the own row after its first read. They
+ * are those that this host held before it restarted, for example after a power
+ * loss. */
 static void own_row_restore_quarantine(struct rows *rows,
 				       const struct rows_row *row)
 {
@@ -179,8 +193,11 @@
 			  const struct quarantine_record *record,
 			  enum quarantine_change change)
 {
+	/* True also for a record that was cleared: it was held before, and must
+	 * be removed from the row. */
 	bool was_held = record->crash_count == QUARANTINE_CRASHES;
 
+	/* The own row lists only records with a crash on this host. */
 	if (!was_held || change == QUARANTINE_FORGOTTEN ||
 	    !quarantine_record_names(record,
 				     member_host_hash(rows->options.self->host)))
@@ -197,6 +214,8 @@
 		return;
 	}
 	rows->own_in_flight = true;
+	/* Host ids have no character below '!', so no other key sorts between
+	 * the two keys. */
 	end = g_strconcat(rows->own_key, "!", NULL);
 	rows_get(rows, rows->own_key, end, 1, own_row_handle_read);
 	g_free(end);
--- a/comfreydockd/member/swim.c
+++ b/comfreydockd/member/swim.c
@@ -2,9 +2,13 @@
 
 #include "swim_internal.h"
 
-/* Local health after a freeze: probes become rarer and timeouts longer. */
+/* Lowest local health value after this process was suspended. A higher value is
+ * worse: probes become rarer and timeouts longer. */
 #define FREEZE_LOCAL_HEALTH 4
-/* Between full passes that start because a dead peer answers. */
+/* Shortest time from a full pass to one that starts because a dead member
+ * answers. A full pass compares the whole table with that of one peer. A dead
+ * member answers, for example, when a network partition ends and the tables of
+ * its sides must be merged. */
 #define MERGE_SYNC_INTERVAL_US (60 * US_PER_S)
 #define US_PER_S ((int64_t)1000000)
 
@@ -55,9 +59,9 @@
 	member->swim_data = node;
 	if (strcmp(member->host, swim->self->host) == 0)
 		return node;
-	/* Inserts the node at a random place in the rest of this probe round.
-	 * Appended by all daemons, a new member would be probed by all of them
-	 * at the end of their rounds. */
+	/* Inserts the node at a random place among those that this probe round
+	 * has yet to reach. If all daemons put a new member at the end, all of
+	 * them would probe it at the end of their rounds. */
 	g_ptr_array_add(swim->probe_order, node);
 	swim->probe_cursor = MIN(swim->probe_cursor, swim->probe_order->len - 1);
 	other = swim->probe_cursor +
@@ -69,6 +73,7 @@
 	return node;
 }
 
+/* Updates how many members are live and how many are dead or have left. */
 static void node_update_counts(struct swim *swim, struct swim_node *node,
 			       enum member_state state)
 {
@@ -86,6 +91,7 @@
 	struct swim *swim = data;
 	struct swim_node *node = member->swim_data;
 
+	/* The first record in the table is the one that swim_create() adds. */
 	if (!swim->self)
 		swim->self = member;
 	if (!node)
@@ -167,11 +173,14 @@
 	struct member record = *member;
 
 	record.state = state;
+	/* For swim_suspect_start(), called while the table is updated. */
 	swim->suspected_by = by;
 	member_table_update(swim->table, &record, swim->now_us);
 }
 
-/* Raises this daemon's incarnation above any that other daemons may know. */
+/* Publishes the record as this daemon's own. Its incarnation is raised above the
+ * current one and above the given one, so that the record takes precedence over
+ * any that other daemons have of this host. */
 static void self_publish_record(struct swim *swim, struct member *record,
 				uint64_t above)
 {
@@ -201,13 +210,16 @@
 }
 
 /*
- * Completes a short record with the fields known from the member table.
+ * Completes a short record with the fields known from the member table. A short
+ * record names a host that isn't alive, its state and its incarnation, and has
+ * no address.
  *
  * RETURN VALUE
  *	false if the record must be ignored: its host is unknown, and it is a
  *	short record or says that the host is dead or has left. If daemons
- *	accepted the latter, they would send each other records of members that
- *	were already removed, forever.
+ *	accepted records of unknown hosts that are dead or have left, they
+ *	would send each other records of members that were already removed,
+ *	forever.
  */
 static bool complete_record(const struct member *known,
 			    const struct member *received, struct member *record)
@@ -232,6 +244,7 @@
 
 	if (!complete_record(known, received, &record))
 		return;
+	/* For swim_suspect_start(), called while the table is updated. */
 	swim->suspected_by = suspected_by;
 	if (!member_table_update(swim->table, &record, swim->now_us) && node &&
 	    node->is_suspect && received->state == MEMBER_SUSPECT &&
@@ -289,7 +302,8 @@
 
 /* Pings a sender that this daemon doesn't know. After a restart the other
  * daemons still know this one, while it knows none of them and its seeds may
- * be down. */
+ * be down. As every sender may be unknown then, the rate of these pings is
+ * limited. */
 static void ping_unknown_sender(struct swim *swim,
 				const struct swim_endpoint *from)
 {
@@ -299,9 +313,9 @@
 	swim_ping_endpoint(swim, from);
 }
 
-/* Starts a full sync with a peer that may have many records that this daemon
- * lacks. That is any peer while the table is incomplete, and a peer that was
- * considered dead and answers. */
+/* Called for each ACK. Starts a full sync if its sender may have many records
+ * that this daemon lacks: any sender while the table is incomplete, and a sender
+ * that was considered dead until now. */
 static void sync_full_if_due(struct swim *swim,
 			     const struct swim_endpoint *from, bool was_dead)
 {
--- a/comfreydockd/member/swim_internal.h
+++ b/comfreydockd/member/swim_internal.h
@@ -61,7 +61,9 @@
 };
 
 struct swim_sync {
-	bool is_full_pass; /* a full pass runs, as fast as the page budget allows */
+	/* A full pass over all buckets runs, as fast as the page budget allows;
+	 * if false, requests are incremental. */
+	bool is_full_pass;
 	unsigned int stable_passes; /* full passes in a row that added little */
 	guint size_before; /* other members known when the full pass began */
 	struct swim_endpoint peer;
@@ -86,9 +88,12 @@
 	unsigned int head_transmits;
 	int64_t now_us;
 	int64_t ticked_at_us;
-	/* Lifeguard's local health multiplier. 0: this daemon is healthy. */
+	/* Lifeguard's local health multiplier. 0: this daemon is healthy; a
+	 * higher value is worse and slows down its probes. */
 	unsigned int local_health;
 	int64_t budget_bytes;
+	/* For the requests of full passes and for sync pages: those sent, and
+	 * those received in a full pass. */
 	int64_t page_budget_bytes;
 	int64_t quarantine_budget_bytes;
 	GPtrArray *probe_order; /* nodes of all other members, in probe order */
@@ -115,7 +120,10 @@
 	/* Valid while received records are applied. A record from a sync page
 	 * must not be spread as a rumour again. */
 	bool suppress_rumours;
-	uint32_t suspected_by; /* member_host_hash() of the suspecting host */
+	/* member_host_hash() of the host that suspects the member whose record
+	 * is being updated. Set before member_table_update(), whose observer
+	 * may call swim_suspect_start(), which reads it. */
+	uint32_t suspected_by;
 	bool has_left;
 };
 
@@ -199,6 +207,8 @@
 			      const struct swim_endpoint *from);
 void swim_sync_handle_reply(struct swim *swim, const Cfd__Gossip *message,
 			    const struct swim_endpoint *from);
+/* Pings a seed or an unknown sender. The ping names no target, as this daemon
+ * doesn't know the host at the address, and carries this daemon's record. */
 void swim_ping_endpoint(struct swim *swim, const struct swim_endpoint *seed);
 void swim_sweep_tick(struct swim *swim);
 
--- a/comfreydockd/member/swim_sync.c
+++ b/comfreydockd/member/swim_sync.c
@@ -2,6 +2,9 @@
 
 #include "swim_internal.h"
 
+/* Anti-entropy between the tables of two daemons, and the sweep: a periodic pass
+ * over members that are dead or have left, which also pings the seeds. */
+
 #define FULL_SYNC_REPLIES_MAX 8 /* replies per request of a full pass */
 #define FULL_SYNC_RETRY_US (300 * 1000)
 #define FULL_SYNC_TIMEOUT_US (3 * 1000 * 1000)
@@ -14,13 +17,16 @@
 #define FULL_SYNC_STABLE_PASSES 3
 #define FULL_SYNC_GROWTH_DIVISOR 16
 #define SWEEP_MEMBERS_PER_TICK 64
-/* How many daemons at a time ping one lost host, whatever the cluster's size.
+/* How many daemons at a time ping one host that is dead or has left, whatever
+ * the cluster's size.
  * Pings from all of 22,000 daemons would overload a host that restarts. */
 #define REPROBERS 8
 #define SEED_INTERVAL_ALONE_US (1000 * 1000)
 #define SEED_INTERVAL_US (60 * 1000 * 1000)
 
-#define MEMBERS_PER_DIGEST 5 /* on average; a page holds those of a few */
+/* Members that one digest of a request covers, on average. One page of a reply
+ * holds the members of a few digests. */
+#define MEMBERS_PER_DIGEST 5
 
 static uint64_t span_digest(const struct swim *swim, unsigned int bucket,
 			    unsigned int span)
@@ -142,8 +148,9 @@
 	swim_packet_init(pages->swim, &pages->packet,
 			 CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY, 0);
 	pages->packet.message.bucket = bucket;
-	/* Sets both to values of the largest encoded size before the records
-	 * are added up. */
+	/* Both fields get their values when the page is sent. Until then they
+	 * hold those with the largest encoding, so that swim_packet_add()
+	 * leaves room for them. */
 	pages->packet.message.next_bucket = MEMBER_BUCKETS;
 	pages->packet.message.is_last = true;
 }
@@ -226,8 +233,11 @@
 			swim_random_below(swim, FULL_SYNC_INTERVAL_US);
 }
 
-/* An incremental pass continues where the page ended. Otherwise a wide span
- * would return the same few records from its start forever. */
+/* Continues the incremental pass where the page ended, at least one bucket
+ * further on. swim_sync_tick() has already moved next_bucket past all buckets of
+ * the request, but the page may have had no room for some of them. If they were
+ * passed over, a wide span would return the same few records from its start
+ * forever. */
 static void sync_handle_incremental_page(struct swim_sync *sync,
 					 const Cfd__Gossip *message)
 {
@@ -298,8 +308,9 @@
 }
 
 /*
- * A daemon that restarts during an outage of the platform finds no peers: it
- * keeps no state on disk, and the rows can't be read. So daemons that knew it
+ * A daemon that restarts during an outage of the platform, the service that
+ * stores the membership rows and the configuration, finds no peers: it keeps no
+ * state on disk, and the rows can't be read. So daemons that knew it
  * before ping its address, also if it left properly. Otherwise a planned
  * restart of all daemons during an outage would leave each of them alone, and
  * without a configuration, until the platform is back.
@@ -327,14 +338,17 @@
 	return true;
 }
 
+/* Draws whether this daemon pings a dead or left member in this interval. Each
+ * daemon does so with the probability REPROBERS * (dead or left members) / (all
+ * other members), so that about REPROBERS daemons ping each of them. */
 static bool reprobe_is_selected(struct swim *swim)
 {
 	return swim_random_below(swim, swim->probe_order->len) <
 	       swim->dead_or_left_count * REPROBERS;
 }
 
-/* Removes members that have been dead or gone for long, pings one lost member
- * that may have restarted, and pings a seed if one is due. */
+/* Removes members that have been dead or gone for long, pings one dead or
+ * left member that may have restarted, and pings a seed if one is due. */
 void swim_sweep_tick(struct swim *swim)
 {
 	seeds_tick(swim);
--- a/comfreydockd/stop.c
+++ b/comfreydockd/stop.c
@@ -24,10 +24,10 @@
 enum stop_step {
 	STOP_NOT_BEGUN,
 	STOP_SERVING, /* a stop has begun, all requests are still served */
-	STOP_DRAINING,
-	STOP_ANNOUNCING_CLOSE,
-	STOP_REFUSING_CONNECTIONS,
-	STOP_REFUSING_REQUESTS,
+	STOP_DRAINING, /* the owner refuses new requests */
+	STOP_ANNOUNCING_CLOSE, /* answers say "Connection: close" */
+	STOP_REFUSING_CONNECTIONS, /* open connections are still served */
+	STOP_REFUSING_REQUESTS, /* on open connections too */
 };
 
 struct stop {
@@ -37,7 +37,9 @@
 	ev_timer check;
 	enum stop_step step;
 	int64_t begun_at_us;
-	int64_t last_busy_us; /* when a request was last in flight */
+	/* Last check at which a request was in flight or new connections were
+	 * still accepted. */
+	int64_t last_busy_us;
 	int64_t leave_started_us; /* 0: the host hasn't begun to leave */
 	bool row_leave_done;
 	bool has_cancelled;
@@ -96,10 +98,10 @@
 }
 
 /*
- * Cancels the calls that are still in flight at the timeout. Callers of requests
- * that no upstream has started are told that they did not run, and can repeat
- * them through another daemon at once. If the process just exited, the callers
- * would see a broken connection and not know whether their requests ran.
+ * Cancels the calls that no upstream has started when the timeout is reached.
+ * Their callers are told that the requests did not run, and can repeat them
+ * through another daemon at once. If the process just exited, the callers would
+ * see a broken connection and not know whether their requests ran.
  */
 static void cancel_unstarted_calls(struct stop *stop)
 {
@@ -140,6 +142,8 @@
 	const struct settings *settings = stop->daemon->settings;
 	int64_t now = clock_mono_us();
 	int64_t elapsed_us = now - stop->begun_at_us;
+	/* drain_timeout_ms counts from the moment when the daemon stops accepting
+	 * connections. */
 	int64_t timeout_us = (settings->stop.refuse_after_ms +
 			      (int64_t)settings->drain_timeout_ms) *
 			     US_PER_MS;
--- a/include/comfreydockd/member/swim.h
+++ b/include/comfreydockd/member/swim.h
@@ -82,8 +82,9 @@
 struct swim_ops {
 	void (*send)(const char *address, uint16_t port, const uint8_t *body,
 		     size_t size, void *data);
-	/* A peer sent the head of its configuration, and how long ago that head
-	 * was confirmed as the newest; -1 if the peer doesn't know. */
+	/* A peer sent the head of its configuration, which is the number of
+	 * applies so far, and how long ago the platform confirmed that head as
+	 * the newest; -1 if the peer doesn't know. */
 	void (*handle_config_head)(const char *host, uint64_t head,
 				   int64_t told_age_us, void *data);
 	/* May be NULL. RETURN VALUE: how long ago this daemon's own head was
