--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -22,9 +22,9 @@
 #define LOG_WINDOW_US (10 * US_PER_S)
 #define LOG_LINES_MAX 20 /* per limiter and window */
 
-/* Limits the rate of the log lines that share it. Unauthenticated packets, or the state
- * changes when a failure domain is lost, come by the thousands and would fill
- * the log. */
+/* Limits the rate of the log lines that share it. Unauthenticated packets, or
+ * the state changes when a failure domain is lost, come by the thousands and
+ * would fill the log. */
 struct log_limiter {
 	int64_t window_start_us;
 	unsigned int lines;
--- a/comfreydockd/member/rows_own.c
+++ b/comfreydockd/member/rows_own.c
@@ -85,10 +85,10 @@
  *
  * The row alone doesn't tell the two cases apart. So the daemon leaves the row
  * alone once and remembers its version. If the row is unchanged at the next
- * check, it counts as one from an earlier start. The daemon replaces it without
- * that wait if gossip has already raised the incarnation of this host's record
- * above that of the row. To replace the row, the daemon raises
- * own_row_incarnation above the incarnation in it.
+ * check, it counts as one from an earlier start, even if a later start wrote it
+ * and still runs. The daemon replaces it without that wait if gossip has already
+ * raised the incarnation of this host's record above that of the row. To replace
+ * the row, the daemon raises own_row_incarnation above the incarnation in it.
  *
  * RETURN VALUE
  *	true if this daemon must leave the row alone for now.
--- a/comfreydockd/member/swim_internal.h
+++ b/comfreydockd/member/swim_internal.h
@@ -209,7 +209,7 @@
 			    const struct swim_endpoint *from);
 /* Pings a seed or an unknown sender. The ping names no target, as this daemon
  * doesn't know the host at the address, and carries this daemon's record. */
-void swim_ping_endpoint(struct swim *swim, const struct swim_endpoint *seed);
+void swim_ping_endpoint(struct swim *swim, const struct swim_endpoint *to);
 void swim_sweep_tick(struct swim *swim);
 
 #endif
--- a/comfreydockd/member/swim_sync.c
+++ b/comfreydockd/member/swim_sync.c
@@ -2,8 +2,8 @@
 
 #include "swim_internal.h"
 
-/* Anti-entropy between the tables of two daemons, and the sweep: a periodic pass
- * over members that are dead or have left, which also pings the seeds. */
+/* Anti-entropy between the tables of two daemons, and the sweep: a periodic
+ * check of members that are dead or have left, which also pings the seeds. */
 
 #define FULL_SYNC_REPLIES_MAX 8 /* replies per request of a full pass */
 #define FULL_SYNC_RETRY_US (300 * 1000)
@@ -18,8 +18,8 @@
 #define FULL_SYNC_GROWTH_DIVISOR 16
 #define SWEEP_MEMBERS_PER_TICK 64
 /* How many daemons at a time ping one host that is dead or has left, whatever
- * the cluster's size.
- * Pings from all of 22,000 daemons would overload a host that restarts. */
+ * the cluster's size. Pings from all of 22,000 daemons would overload a host
+ * that restarts. */
 #define REPROBERS 8
 #define SEED_INTERVAL_ALONE_US (1000 * 1000)
 #define SEED_INTERVAL_US (60 * 1000 * 1000)
@@ -278,14 +278,14 @@
 		sync_handle_incremental_page(sync, message);
 }
 
-void swim_ping_endpoint(struct swim *swim, const struct swim_endpoint *seed)
+void swim_ping_endpoint(struct swim *swim, const struct swim_endpoint *to)
 {
 	struct swim_packet packet;
 
 	swim_packet_init(swim, &packet, CFD__GOSSIP_KIND__GOSSIP_PING,
 			 ++swim->seq);
 	swim_packet_add(swim, &packet, swim->self);
-	swim_packet_send(swim, &packet, seed->address, seed->port);
+	swim_packet_send(swim, &packet, to->address, to->port);
 }
 
 static void seeds_tick(struct swim *swim)
@@ -310,10 +310,10 @@
 /*
  * A daemon that restarts during an outage of the platform, the service that
  * stores the membership rows and the configuration, finds no peers: it keeps no
- * state on disk, and the rows can't be read. So daemons that knew it
- * before ping its address, also if it left properly. Otherwise a planned
- * restart of all daemons during an outage would leave each of them alone, and
- * without a configuration, until the platform is back.
+ * state on disk, and the rows can't be read. So daemons that knew it before ping
+ * its address, also if it left properly. Otherwise a planned restart of all
+ * daemons during an outage would leave each of them alone, and without a
+ * configuration, until the platform is back.
  */
 static bool may_have_restarted(const struct member *member, int64_t age_us)
 {
@@ -347,8 +347,8 @@
 	       swim->dead_or_left_count * REPROBERS;
 }
 
-/* Removes members that have been dead or gone for long, pings one dead or
- * left member that may have restarted, and pings a seed if one is due. */
+/* Removes members that have been dead for long or left long ago, pings one of
+ * the others that may have restarted, and pings a seed if one is due. */
 void swim_sweep_tick(struct swim *swim)
 {
 	seeds_tick(swim);
--- a/comfreydockd/stop.c
+++ b/comfreydockd/stop.c
@@ -142,7 +142,7 @@
 	const struct settings *settings = stop->daemon->settings;
 	int64_t now = clock_mono_us();
 	int64_t elapsed_us = now - stop->begun_at_us;
-	/* drain_timeout_ms counts from the moment when the daemon stops accepting
+	/* drain_timeout_ms counts from the step that stops accepting new
 	 * connections. */
 	int64_t timeout_us = (settings->stop.refuse_after_ms +
 			      (int64_t)settings->drain_timeout_ms) *
--- a/include/comfreydockd/member/rows.h
+++ b/include/comfreydockd/member/rows.h
@@ -125,8 +125,9 @@
 			  const struct quarantine_record *record,
 			  enum quarantine_change change);
 
-/* Deletes this host's row, unless another daemon has taken it over. handle_leave_done
- * is called once; is_deleted is false if the store stayed unavailable. */
+/* Deletes this host's row, unless another daemon has taken it over.
+ * handle_leave_done is called once; is_deleted is false if the store stayed
+ * unavailable. */
 void rows_leave(struct rows *rows,
 		void (*handle_leave_done)(bool is_deleted, void *data),
 		void *data);
