--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -20,11 +20,11 @@
 #define RECEIVE_MAX 64 /* packets per event loop iteration */
 #define RECEIVE_BUFFER_BYTES (512 * 1024)
 #define LOG_WINDOW_US (10 * US_PER_S)
-#define LOG_LINES_MAX 20 /* of one kind per window */
+#define LOG_LINES_MAX 20 /* per limiter and window */
 
-/* Limits the log lines of one kind. Unauthenticated packets, or the state
- * changes when a failure domain is lost, come by the thousands and would fill
- * the log. */
+/* Limits the rate of the log lines that share it. Unauthenticated packets, or
+ * the state changes when a failure domain is lost, come by the thousands and
+ * would fill the log. */
 struct log_limiter {
 	int64_t window_start_us;
 	unsigned int lines;
@@ -41,8 +41,11 @@
 	int64_t now_us;
 	ev_io readable;
 	ev_timer tick;
+	/* What the thread had used at the last tick. If the process was
+	 * suspended, gossip.frozen logs the use since then. */
 	struct freeze_mark tick_mark;
-	struct log_limiter drop_log;
+	struct log_limiter drop_log; /* of gossip.packet_dropped */
+	/* Of member.state and gossip.refuted together. */
 	struct log_limiter change_log;
 };
 
@@ -86,12 +89,12 @@
 	static const char *const reasons[] = {
 		[GOSSIP_PACKET_MALFORMED] = "malformed",
 		[GOSSIP_PACKET_WRONG_VERSION] = "version",
-		[GOSSIP_PACKET_WRONG_TAG] = "tag",
+		[GOSSIP_PACKET_UNAUTHENTICATED] = "tag",
 	};
 
 	if (status == GOSSIP_PACKET_WRONG_VERSION)
 		counters.gossip_dropped_version++;
-	else if (status == GOSSIP_PACKET_WRONG_TAG)
+	else if (status == GOSSIP_PACKET_UNAUTHENTICATED)
 		counters.gossip_dropped_tag++;
 	else
 		counters.gossip_dropped_malformed++;
@@ -158,6 +161,8 @@
 	freeze_mark(&gossip->tick_mark);
 }
 
+/* Passes on the head that a peer sent: the number of configuration applies,
+ * which serves as the version of the configuration. */
 static void gossip_handle_config_head(const char *host, uint64_t head,
 				      int64_t told_age_us, void *data)
 {
@@ -168,6 +173,9 @@
 						     gossip->handlers->data);
 }
 
+/* Asks how long ago the platform confirmed this daemon's head as the newest;
+ * swim sends this age to peers along with the head.
+ * RETURN VALUE: -1 if the head was never confirmed or isn't the current one. */
 static int64_t gossip_told_age_us(uint64_t head, void *data)
 {
 	const struct gossip *gossip = data;
@@ -177,6 +185,8 @@
 	return gossip->handlers->config_told_age_us(head, gossip->handlers->data);
 }
 
+/* Called by swim_tick() if its last call was so long ago that this process must
+ * have been suspended. */
 static void gossip_handle_freeze(int64_t gap_us, void *data)
 {
 	const struct gossip *gossip = data;
@@ -184,8 +194,9 @@
 	freeze_log(EV_GOSSIP_FROZEN, gap_us, &gossip->tick_mark);
 }
 
-static void gossip_handle_refuted(enum member_state state, uint64_t incarnation,
-				  void *data)
+/* Called after this daemon refuted a record that a peer sent about it. */
+static void gossip_handle_own_refutation(enum member_state state,
+					 uint64_t incarnation, void *data)
 {
 	struct gossip *gossip = data;
 
@@ -195,7 +206,10 @@
 			  LOG_INT("incarnation", incarnation));
 }
 
-static void gossip_handle_member(struct member *member, void *data)
+/* Logs the new state of a member. The table reports every change of a record;
+ * state_since_us is the current time only if the state itself has changed or
+ * the member is new. */
+static void gossip_log_state_change(struct member *member, void *data)
 {
 	static const char *const names[] = {"alive", "suspect", "dead", "left"};
 	struct gossip *gossip = data;
@@ -268,13 +282,13 @@
 		  advertise->address ? advertise->address :
 				       daemon->settings->peer.address,
 		  sizeof(self.address));
-	gossip->ops = (struct swim_ops){.send = gossip_send,
-					.handle_config_head =
-						gossip_handle_config_head,
-					.config_told_age_us = gossip_told_age_us,
-					.handle_freeze = gossip_handle_freeze,
-					.handle_refuted = gossip_handle_refuted,
-					.data = gossip};
+	gossip->ops = (struct swim_ops){
+		.send = gossip_send,
+		.handle_config_head = gossip_handle_config_head,
+		.config_told_age_us = gossip_told_age_us,
+		.handle_freeze = gossip_handle_freeze,
+		.handle_refuted = gossip_handle_own_refutation,
+		.data = gossip};
 	gossip->swim = swim_create(&options, gossip->now_us);
 }
 
@@ -282,7 +296,7 @@
 			     const struct gossip_handlers *handlers)
 {
 	struct member_observer observer = {.handle_changed =
-						   gossip_handle_member};
+						   gossip_log_state_change};
 	int fd = gossip_bind(daemon->settings->peer.address, port);
 	struct gossip *gossip;
 
--- a/comfreydockd/member/swim_sync.c
+++ b/comfreydockd/member/swim_sync.c
@@ -2,6 +2,9 @@
 
 #include "swim_internal.h"
 
+/* Anti-entropy between the tables of two daemons, and the sweep: a periodic
+ * check of members that are dead or have left, which also pings the seeds. */
+
 #define FULL_SYNC_REPLIES_MAX 8 /* replies per request of a full pass */
 #define FULL_SYNC_RETRY_US (300 * 1000)
 #define FULL_SYNC_TIMEOUT_US (3 * 1000 * 1000)
@@ -11,16 +14,19 @@
 /* The table counts as complete after this many full passes in a row that each
  * added no more than 1/FULL_SYNC_GROWTH_DIVISOR of it. One pass isn't enough,
  * as its peer may know as little as this daemon. */
-#define FULL_SYNC_IDLE_PASSES 3
+#define FULL_SYNC_STABLE_PASSES 3
 #define FULL_SYNC_GROWTH_DIVISOR 16
 #define SWEEP_MEMBERS_PER_TICK 64
-/* How many daemons at a time ping one lost host, whatever the cluster's size.
- * Pings from all of 22,000 daemons would overload a host that restarts. */
+/* How many daemons at a time ping one host that is dead or has left, whatever
+ * the cluster's size. Pings from all of 22,000 daemons would overload a host
+ * that restarts. */
 #define REPROBERS 8
 #define SEED_INTERVAL_ALONE_US (1000 * 1000)
 #define SEED_INTERVAL_US (60 * 1000 * 1000)
 
-#define MEMBERS_PER_DIGEST 5 /* on average; a page holds those of a few */
+/* Members that one digest of a request covers, on average. One page of a reply
+ * holds the members of a few digests. */
+#define MEMBERS_PER_DIGEST 5
 
 static uint64_t span_digest(const struct swim *swim, unsigned int bucket,
 			    unsigned int span)
@@ -35,7 +41,7 @@
 
 static unsigned int span_for_table_size(const struct swim *swim)
 {
-	unsigned int size = swim->order->len + 1;
+	unsigned int size = swim->probe_order->len + 1;
 
 	return CLAMP(MEMBERS_PER_DIGEST * MEMBER_BUCKETS / size, 1,
 		     MEMBER_BUCKETS);
@@ -68,23 +74,23 @@
 	return bucket;
 }
 
-bool swim_sync_is_complete(const struct swim *swim)
+bool swim_table_is_complete(const struct swim *swim)
 {
-	return swim->sync.idle_passes >= FULL_SYNC_IDLE_PASSES;
+	return swim->sync.stable_passes >= FULL_SYNC_STABLE_PASSES;
 }
 
 void swim_sync_start_full(struct swim *swim, const struct swim_endpoint *peer)
 {
 	struct swim_sync *sync = &swim->sync;
 
-	if (sync->is_full)
+	if (sync->is_full_pass)
 		return;
-	sync->is_full = true;
+	sync->is_full_pass = true;
 	sync->peer = *peer;
 	sync->next_bucket = 0;
 	sync->last_reply_us = swim->now_us;
 	sync->full_sync_started_us = swim->now_us;
-	sync->size_before = swim->order->len;
+	sync->size_before = swim->probe_order->len;
 	sync_send_request(swim, FULL_SYNC_REPLIES_MAX);
 }
 
@@ -93,7 +99,7 @@
 	struct swim_sync *sync = &swim->sync;
 
 	if (swim->now_us - sync->last_reply_us > FULL_SYNC_TIMEOUT_US) {
-		sync->is_full = false;
+		sync->is_full_pass = false;
 		return;
 	}
 	if (swim->page_budget_bytes <= 0)
@@ -108,7 +114,7 @@
 	struct swim_sync *sync = &swim->sync;
 	struct member *peer;
 
-	if (sync->is_full) {
+	if (sync->is_full_pass) {
 		sync_full_tick(swim);
 		return;
 	}
@@ -120,7 +126,7 @@
 		return;
 	g_strlcpy(sync->peer.address, peer->address, sizeof(sync->peer.address));
 	sync->peer.port = peer->peer_port;
-	if (!swim_sync_is_complete(swim)) {
+	if (!swim_table_is_complete(swim)) {
 		swim_sync_start_full(swim, &sync->peer);
 		return;
 	}
@@ -142,8 +148,9 @@
 	swim_packet_init(pages->swim, &pages->packet,
 			 CFD__GOSSIP_KIND__GOSSIP_SYNC_REPLY, 0);
 	pages->packet.message.bucket = bucket;
-	/* Sets both to values of the largest encoded size before the records
-	 * are added up. */
+	/* Both fields get their values when the page is sent. Until then they
+	 * hold those with the largest encoding, so that swim_packet_add()
+	 * leaves room for them. */
 	pages->packet.message.next_bucket = MEMBER_BUCKETS;
 	pages->packet.message.is_last = true;
 }
@@ -212,22 +219,25 @@
 static void sync_finish_full(struct swim *swim)
 {
 	struct swim_sync *sync = &swim->sync;
-	guint size = swim->order->len;
+	guint size = swim->probe_order->len;
 
-	sync->is_full = false;
+	sync->is_full_pass = false;
 	sync->next_bucket = 0;
 	if (size > sync->size_before + size / FULL_SYNC_GROWTH_DIVISOR)
-		sync->idle_passes = 0;
+		sync->stable_passes = 0;
 	else
-		sync->idle_passes++;
-	if (!swim_sync_is_complete(swim))
+		sync->stable_passes++;
+	if (!swim_table_is_complete(swim))
 		swim->next_sync_us =
 			swim->now_us + FULL_SYNC_INTERVAL_US / 2 +
 			swim_random_below(swim, FULL_SYNC_INTERVAL_US);
 }
 
-/* An incremental pass continues where the page ended. Otherwise a wide span
- * would return the same few records from its start forever. */
+/* Continues the incremental pass where the page ended, at least one bucket
+ * further on. swim_sync_tick() has already moved next_bucket past all buckets of
+ * the request, but the page may have had no room for some of them. If they were
+ * passed over, a wide span would return the same few records from its start
+ * forever. */
 static void sync_handle_incremental_page(struct swim_sync *sync,
 					 const Cfd__Gossip *message)
 {
@@ -262,20 +272,20 @@
 	if (from->port != sync->peer.port ||
 	    strcmp(from->address, sync->peer.address) != 0)
 		return;
-	if (sync->is_full)
+	if (sync->is_full_pass)
 		sync_handle_full_page(swim, message);
 	else
 		sync_handle_incremental_page(sync, message);
 }
 
-void swim_seed_ping(struct swim *swim, const struct swim_endpoint *seed)
+void swim_ping_endpoint(struct swim *swim, const struct swim_endpoint *to)
 {
 	struct swim_packet packet;
 
 	swim_packet_init(swim, &packet, CFD__GOSSIP_KIND__GOSSIP_PING,
 			 ++swim->seq);
 	swim_packet_add(swim, &packet, swim->self);
-	swim_packet_send(swim, &packet, seed->address, seed->port);
+	swim_packet_send(swim, &packet, to->address, to->port);
 }
 
 static void seeds_tick(struct swim *swim)
@@ -293,16 +303,17 @@
 			 SEED_INTERVAL_ALONE_US :
 			 SEED_INTERVAL_US / 2 +
 				 swim_random_below(swim, SEED_INTERVAL_US));
-	swim_seed_ping(swim,
-		       &swim->seeds[swim_random_below(swim, swim->seed_count)]);
+	swim_ping_endpoint(
+		swim, &swim->seeds[swim_random_below(swim, swim->seed_count)]);
 }
 
 /*
- * A daemon that restarts during an outage of the platform finds no peers: it
- * keeps no state on disk, and the rows can't be read. So daemons that knew it
- * before ping its address, also if it left properly. Otherwise a planned
- * restart of all daemons during an outage would leave each of them alone, and
- * without a configuration, until the platform is back.
+ * A daemon that restarts during an outage of the platform, the service that
+ * stores the membership rows and the configuration, finds no peers: it keeps no
+ * state on disk, and the rows can't be read. So daemons that knew it before ping
+ * its address, also if it left properly. Otherwise a planned restart of all
+ * daemons during an outage would leave each of them alone, and without a
+ * configuration, until the platform is back.
  */
 static bool may_have_restarted(const struct member *member, int64_t age_us)
 {
@@ -327,14 +338,17 @@
 	return true;
 }
 
+/* Draws whether this daemon pings a dead or left member in this interval. Each
+ * daemon does so with the probability REPROBERS * (dead or left members) / (all
+ * other members), so that about REPROBERS daemons ping each of them. */
 static bool reprobe_is_selected(struct swim *swim)
 {
-	return swim_random_below(swim, swim->order->len) <
-	       swim->lost_count * REPROBERS;
+	return swim_random_below(swim, swim->probe_order->len) <
+	       swim->dead_or_left_count * REPROBERS;
 }
 
-/* Removes members that have been dead or gone for long, pings one lost member
- * that may have restarted, and pings a seed if one is due. */
+/* Removes members that have been dead for long or left long ago, pings one of
+ * the others that may have restarted, and pings a seed if one is due. */
 void swim_sweep_tick(struct swim *swim)
 {
 	seeds_tick(swim);
@@ -343,14 +357,15 @@
 			swim->now_us + SWIM_REPROBE_INTERVAL_US / 2 +
 			swim_random_below(swim, SWIM_REPROBE_INTERVAL_US);
 		swim->is_reprobe_due =
-			swim->lost_count && reprobe_is_selected(swim);
+			swim->dead_or_left_count && reprobe_is_selected(swim);
 	}
-	for (guint i = 0; i < MIN(SWEEP_MEMBERS_PER_TICK, swim->order->len); i++) {
+	for (guint i = 0;
+	     i < MIN(SWEEP_MEMBERS_PER_TICK, swim->probe_order->len); i++) {
 		struct swim_node *node;
 
-		if (swim->sweep_cursor >= swim->order->len)
+		if (swim->sweep_cursor >= swim->probe_order->len)
 			swim->sweep_cursor = 0;
-		node = g_ptr_array_index(swim->order, swim->sweep_cursor);
+		node = g_ptr_array_index(swim->probe_order, swim->sweep_cursor);
 		if (sweep_member(swim, node->member))
 			swim->sweep_cursor++;
 	}
