--- a/bench/path/failover.c
+++ b/bench/path/failover.c
@@ -226,7 +226,7 @@
 	wait_known(&round);
 	read_time_lines(&round);
 	print_round(&round, number_of);
-	ledger_add(&ledger, &cluster, &load);
+	ledger_collect(&ledger, &cluster, &load);
 	g_assert_cmpuint(ledger_violations(&ledger), ==, 0);
 	cluster_start_daemon(&cluster, VICTIM, &options);
 	cluster_start_upstream(&cluster, VICTIM, &options);
--- a/bench/path/streaming.c
+++ b/bench/path/streaming.c
@@ -34,7 +34,7 @@
 
 	raw_send_text(fd, request);
 	g_free(request);
-	if (!raw_read_marks(fd, head, "\r\n\r\n", 1, 10000))
+	if (!raw_read_until_found(fd, head, "\r\n\r\n", 1, 10000))
 		g_error("no answer to the long call");
 	return fd;
 }
--- a/tests/fuzz/fuzz_config.c
+++ b/tests/fuzz/fuzz_config.c
@@ -6,8 +6,8 @@
 #include "comfreydockd/config/check.h"
 #include "fuzz.h"
 
-static void compare(const struct config_namespace *a,
-		    const struct config_namespace *b)
+static void compare_namespaces(const struct config_namespace *a,
+			       const struct config_namespace *b)
 {
 	g_assert(strcmp(a->name, b->name) == 0);
 	g_assert(a->services->len == b->services->len);
@@ -46,8 +46,8 @@
 	g_assert(!accepted == !again);
 	if (checked) {
 		g_assert(accepted);
-		compare(checked, accepted);
-		compare(checked, again);
+		compare_namespaces(checked, accepted);
+		compare_namespaces(checked, again);
 	}
 	config_namespace_unref(again);
 	config_namespace_unref(accepted);
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -11,36 +11,36 @@
 #include "fuzz.h"
 #include "proto/peer.pb-c.h"
 
-static bool has_unknown(const ProtobufCMessage *message);
+static bool has_unknown_fields(const ProtobufCMessage *message);
 
 static const void *member_of(const ProtobufCMessage *message, unsigned int offset)
 {
 	return (const char *)message + offset;
 }
 
-static bool list_has_unknown(const ProtobufCMessage *message,
-			     const ProtobufCFieldDescriptor *field)
+static bool list_has_unknown_fields(const ProtobufCMessage *message,
+				    const ProtobufCFieldDescriptor *field)
 {
 	ProtobufCMessage *const *const *parts = member_of(message, field->offset);
 	const size_t *count = member_of(message, field->quantifier_offset);
 
 	for (size_t i = 0; i < *count; i++) {
-		if (has_unknown((*parts)[i]))
+		if (has_unknown_fields((*parts)[i]))
 			return true;
 	}
 	return false;
 }
 
-static bool part_has_unknown(const ProtobufCMessage *message,
-			     const ProtobufCFieldDescriptor *field)
+static bool submessage_has_unknown_fields(const ProtobufCMessage *message,
+					  const ProtobufCFieldDescriptor *field)
 {
 	ProtobufCMessage *const *part = member_of(message, field->offset);
 
 	if (field->type != PROTOBUF_C_TYPE_MESSAGE)
 		return false;
 	if (field->label == PROTOBUF_C_LABEL_REPEATED)
-		return list_has_unknown(message, field);
-	return *part && has_unknown(*part);
+		return list_has_unknown_fields(message, field);
+	return *part && has_unknown_fields(*part);
 }
 
 /* A part of a oneof is there only where its case says so. */
@@ -53,7 +53,7 @@
 	       *which == field->id;
 }
 
-static bool has_unknown(const ProtobufCMessage *message)
+static bool has_unknown_fields(const ProtobufCMessage *message)
 {
 	const ProtobufCMessageDescriptor *descriptor = message->descriptor;
 
@@ -62,7 +62,8 @@
 	for (unsigned int i = 0; i < descriptor->n_fields; i++) {
 		const ProtobufCFieldDescriptor *field = &descriptor->fields[i];
 
-		if (is_present(message, field) && part_has_unknown(message, field))
+		if (is_present(message, field) &&
+		    submessage_has_unknown_fields(message, field))
 			return true;
 	}
 	return false;
@@ -76,7 +77,7 @@
 
 	if (!frame)
 		return 0;
-	if (has_unknown(&frame->base)) {
+	if (has_unknown_fields(&frame->base)) {
 		cfd__frame__free_unpacked(frame, NULL);
 		return 0;
 	}
--- a/tests/fuzz/replay.c
+++ b/tests/fuzz/replay.c
@@ -4,7 +4,7 @@
 
 #include "fuzz.h"
 
-static unsigned int play_file(const char *path)
+static unsigned int replay_file(const char *path)
 {
 	GError *error = NULL;
 	char *text = NULL;
@@ -31,7 +31,7 @@
 	while ((name = g_dir_read_name(folder))) {
 		char *path = g_build_filename(argv[1], name, NULL);
 
-		files += play_file(path);
+		files += replay_file(path);
 		g_free(path);
 	}
 	g_dir_close(folder);
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -24,18 +24,18 @@
 	PARTS,
 };
 
-enum fault_harm {
-	HARM_NONE, /* no caller may notice: a planned change, or the store's */
-	HARM_WORK, /* work at the host may be lost, late or of unknown outcome */
-	HARM_CALLERS, /* callers of its daemon may be cut off, too */
+enum fault_impact {
+	IMPACT_NONE, /* no caller may notice: a planned change, or the store's */
+	IMPACT_ATTEMPTS, /* work at the host may be lost, late or of unknown outcome */
+	IMPACT_CALLERS, /* callers of its daemon may be cut off, too */
 };
 
 struct fault {
 	const char *name;
 	enum fault_part part;
-	enum fault_harm harm;
-	int least_ms; /* how long it lasts */
-	int most_ms;
+	enum fault_impact impact;
+	int min_ms; /* how long it lasts */
+	int max_ms;
 	void (*begin)(struct fleet *fleet, unsigned int i);
 	/* NULL: nothing is to be done. */
 	void (*end)(struct fleet *fleet, unsigned int i);
@@ -47,6 +47,6 @@
 extern const unsigned int fault_count;
 
 /* RETURN VALUE: whether each host has such a part of its own. */
-bool fault_part_is_of_host(enum fault_part part);
+bool fault_part_is_per_host(enum fault_part part);
 
 #endif
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -21,8 +21,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "pulse.h"
 #include "schedule.h"
+#include "stall_monitor.h"
 #include "watch.h"
 
 #define TICK_MS 20
@@ -30,7 +30,7 @@
 #define LAST_LOAD_S 3
 #define LOAD_END_MS 60000
 /* A draining upstream has its last new work by then. */
-#define LAST_WORK_US ((int64_t)2000 * 1000)
+#define DRAIN_DELAY_US ((int64_t)2000 * 1000)
 
 struct load {
 	struct rig_process *process;
@@ -38,7 +38,7 @@
 };
 
 /* A fault that is under way. */
-struct active {
+struct active_fault {
 	const struct schedule_event *event;
 	int64_t end_us;
 	guint span;
@@ -53,7 +53,7 @@
 	struct verdict verdict;
 	struct watch watch;
 	GArray *events; /* of struct schedule_event */
-	GPtrArray *active; /* of struct active */
+	GPtrArray *active_faults; /* of struct active_fault */
 	int64_t start_us;
 };
 
@@ -103,7 +103,7 @@
 {
 	printf("%7.3f s %s%s", (double)event->at_ms / 1000.0, what,
 	       event->fault->name);
-	if (fault_part_is_of_host(event->fault->part))
+	if (fault_part_is_per_host(event->fault->part))
 		printf(", d%u", event->host);
 	if (!event->fault->is_over && event->for_ms > 0)
 		printf(", %.3f s", (double)event->for_ms / 1000.0);
@@ -127,8 +127,8 @@
 			  "--calls", load.calls_file, "--rate", rate,
 			  "--seconds", time, "--seed", seed, "--id-prefix",
 			  prefix, "--id-header", "X-Comfreydock-Request-Id",
-			  "--host", FLEET_HOST, "--share-nonidempotent", "0.4",
-			  "--path", "/list/1", "--path", "/bytes/60000",
+			  "--host", FLEET_VIRTUAL_HOST, "--share-nonidempotent",
+			  "0.4", "--path", "/list/1", "--path", "/bytes/60000",
 			  "--post-path", "/book/1", "--target", target, NULL);
 	g_free(seed);
 	g_free(rate);
@@ -153,11 +153,11 @@
 		rig_wait_end(loads[i].process, LOAD_END_MS);
 }
 
-static void take_loads(struct soak *soak, struct load *loads, bool is_last)
+static void check_loads(struct soak *soak, struct load *loads, bool is_last)
 {
 	for (unsigned int i = 0; i < soak->fleet.options.count; i++)
-		verdict_take_calls(&soak->verdict, &soak->fleet, &soak->spans,
-				   i, loads[i].calls_file, is_last);
+		verdict_check_calls(&soak->verdict, &soak->fleet, &soak->spans,
+				    i, loads[i].calls_file, is_last);
 	g_free(loads);
 }
 
@@ -165,14 +165,15 @@
 			    const struct schedule_event *b)
 {
 	return a->fault->part == b->fault->part &&
-	       (a->host == b->host || !fault_part_is_of_host(a->fault->part));
+	       (a->host == b->host || !fault_part_is_per_host(a->fault->part));
 }
 
 /* A stop took longer than the schedule knew. */
-static bool is_taken(const struct soak *soak, const struct schedule_event *event)
+static bool is_target_busy(const struct soak *soak,
+			   const struct schedule_event *event)
 {
-	for (guint i = 0; i < soak->active->len; i++) {
-		const struct active *other = soak->active->pdata[i];
+	for (guint i = 0; i < soak->active_faults->len; i++) {
+		const struct active_fault *other = soak->active_faults->pdata[i];
 
 		if (is_at_same_part(other->event, event))
 			return true;
@@ -183,7 +184,7 @@
 static void begin_fault(struct soak *soak, const struct schedule_event *event)
 {
 	const struct fault *fault = event->fault;
-	struct active *active = g_new0(struct active, 1);
+	struct active_fault *active = g_new0(struct active_fault, 1);
 
 	print_event(event, "");
 	fflush(stdout);
@@ -191,72 +192,73 @@
 	active->span = spans_begin(&soak->spans, fault, event->host);
 	active->end_us = g_get_monotonic_time() + event->for_ms * 1000;
 	active->watches_work =
-		fault->part == PART_UPSTREAM && fault->harm == HARM_NONE;
+		fault->part == PART_UPSTREAM && fault->impact == IMPACT_NONE;
 	if (fault->part == PART_DAEMON && fault->end)
-		watch_disturb(&soak->watch, event->host, true);
+		watch_set_disturbed(&soak->watch, event->host, true);
 	fault->begin(&soak->fleet, event->host);
-	g_ptr_array_add(soak->active, active);
+	g_ptr_array_add(soak->active_faults, active);
 }
 
 /* Whether something kept the daemon from learning that its upstream drains, or
  * from telling the others. */
 static bool host_was_disturbed(const struct soak *soak,
-			       const struct active *active)
+			       const struct active_fault *active)
 {
 	const struct span *span =
 		&g_array_index(soak->spans.all, struct span, active->span);
-	struct span_question question = {
+	struct span_query query = {
 		.host = active->event->host,
-		.least = HARM_WORK,
+		.min_impact = IMPACT_ATTEMPTS,
 		.from_us = span->begin_us,
 		.to_us = g_get_monotonic_time(),
-		.after_us = (int64_t)SCHEDULE_REST_MS * 1000,
+		.after_us = (int64_t)SCHEDULE_RECOVERY_MS * 1000,
 	};
 
-	if (spans_touch(&soak->spans, &question))
+	if (spans_overlap(&soak->spans, &query))
 		return true;
-	question.planned_stop = true;
-	return spans_touch(&soak->spans, &question);
+	query.planned_stop = true;
+	return spans_overlap(&soak->spans, &query);
 }
 
-static void watch_work(struct soak *soak, struct active *active)
+static void record_drained_runs(struct soak *soak, struct active_fault *active)
 {
 	const struct span *span =
 		&g_array_index(soak->spans.all, struct span, active->span);
 
 	if (!active->watches_work || active->has_drained ||
-	    g_get_monotonic_time() < span->begin_us + LAST_WORK_US)
+	    g_get_monotonic_time() < span->begin_us + DRAIN_DELAY_US)
 		return;
 	active->has_drained = true;
-	active->runs = fleet_runs_at(&soak->fleet, active->event->host);
+	active->runs =
+		fleet_count_runs_on_host(&soak->fleet, active->event->host);
 }
 
-static void judge_work(struct soak *soak, const struct active *active)
+static void check_drained(struct soak *soak, const struct active_fault *active)
 {
 	unsigned int host = active->event->host;
 	unsigned int runs;
 
 	if (!active->has_drained || host_was_disturbed(soak, active))
 		return;
-	runs = fleet_runs_at(&soak->fleet, host);
-	verdict_note(&soak->verdict, POINT_LEAVES, runs == active->runs,
-		     "%u requests at d%u", runs - active->runs, host);
+	runs = fleet_count_runs_on_host(&soak->fleet, host);
+	verdict_check(&soak->verdict, INVARIANT_DRAINED, runs == active->runs,
+		      "%u requests at d%u", runs - active->runs, host);
 }
 
-static void end_fault(struct soak *soak, struct active *active)
+static void end_fault(struct soak *soak, struct active_fault *active)
 {
 	const struct schedule_event *event = active->event;
 	const struct fault *fault = event->fault;
 
-	judge_work(soak, active);
+	check_drained(soak, active);
 	if (fault->end)
 		fault->end(&soak->fleet, event->host);
 	spans_end(&soak->spans, active->span);
 	if (fault->part == PART_DAEMON && fault->end)
-		watch_disturb(&soak->watch, event->host, false);
+		watch_set_disturbed(&soak->watch, event->host, false);
 }
 
-static bool is_over(struct soak *soak, const struct active *active)
+static bool is_over(struct soak *soak, const struct active_fault *active)
 {
 	const struct fault *fault = active->event->fault;
 
@@ -267,16 +269,16 @@
 
 static void end_faults(struct soak *soak)
 {
-	for (guint i = 0; i < soak->active->len;) {
-		struct active *active = soak->active->pdata[i];
+	for (guint i = 0; i < soak->active_faults->len;) {
+		struct active_fault *active = soak->active_faults->pdata[i];
 
-		watch_work(soak, active);
+		record_drained_runs(soak, active);
 		if (!is_over(soak, active)) {
 			i++;
 			continue;
 		}
 		end_fault(soak, active);
-		g_ptr_array_remove_index(soak->active, i);
+		g_ptr_array_remove_index(soak->active_faults, i);
 	}
 }
 
@@ -297,17 +299,17 @@
 
 static void wait_ready(struct soak *soak)
 {
-	verdict_note(&soak->verdict, POINT_RECOVERS,
-		     rig_wait_until(is_ready, soak, WAIT_MS),
-		     "not all are ready and know each other");
+	verdict_check(&soak->verdict, INVARIANT_RECOVERY,
+		      rig_wait_until(is_ready, soak, WAIT_MS),
+		      "not all are ready and know each other");
 }
 
-static void play(struct soak *soak)
+static void run_schedule(struct soak *soak)
 {
 	guint next = 0;
 
 	soak->start_us = g_get_monotonic_time();
-	while (next < soak->events->len || soak->active->len > 0) {
+	while (next < soak->events->len || soak->active_faults->len > 0) {
 		int64_t now_ms = (g_get_monotonic_time() - soak->start_us) / 1000;
 
 		for (; next < soak->events->len; next++) {
@@ -316,11 +318,11 @@
 
 			if (event->at_ms > now_ms)
 				break;
-			if (!is_taken(soak, event))
+			if (!is_target_busy(soak, event))
 				begin_fault(soak, event);
 		}
 		end_faults(soak);
-		watch_look(&soak->watch);
+		watch_poll(&soak->watch);
 		rig_sleep_ms(TICK_MS);
 	}
 }
@@ -334,7 +336,7 @@
 		.service_time_us = "40000",
 		.relayed = true,
 	};
-	struct pulse *pulse;
+	struct stall_monitor *stall_monitor;
 	struct load *loads;
 	struct load *last;
 
@@ -343,19 +345,19 @@
 	fleet_put_config(&soak->fleet, 1, "list");
 	spans_init(&soak->spans);
 	watch_init(&soak->watch, &soak->fleet, &soak->verdict);
-	soak->active = g_ptr_array_new_with_free_func(g_free);
+	soak->active_faults = g_ptr_array_new_with_free_func(g_free);
 	wait_ready(soak);
-	pulse = pulse_start();
+	stall_monitor = stall_monitor_start();
 	loads = start_loads(soak, settings.seconds, "load");
-	play(soak);
+	run_schedule(soak);
 	wait_loads(soak, loads);
-	rig_sleep_ms(SCHEDULE_REST_MS);
+	rig_sleep_ms(SCHEDULE_RECOVERY_MS);
 	wait_ready(soak);
 	last = start_loads(soak, LAST_LOAD_S, "last");
 	wait_loads(soak, last);
-	pulse_finish(pulse, &soak->spans);
-	take_loads(soak, loads, false);
-	take_loads(soak, last, true);
+	stall_monitor_stop(stall_monitor, &soak->spans);
+	check_loads(soak, loads, false);
+	check_loads(soak, last, true);
 	watch_stop_all(&soak->watch);
 	return verdict_print(&soak->verdict);
 }
@@ -366,7 +368,7 @@
 		printf("logs: %s\n", rig_keep_files(soak->fleet.rig));
 	watch_finish(&soak->watch);
 	spans_finish(&soak->spans);
-	g_ptr_array_unref(soak->active);
+	g_ptr_array_unref(soak->active_faults);
 	fleet_stop(&soak->fleet);
 }
 
--- a/tests/soak/schedule.c
+++ b/tests/soak/schedule.c
@@ -1,86 +1,87 @@
 #include "schedule.h"
 
-#define ROUGH_MS 8000
+#define DISRUPTED_MS 8000
 #define PLANNED_MS 12000
-#define ROUND_MS (ROUGH_MS + SCHEDULE_REST_MS + PLANNED_MS)
+#define ROUND_MS (DISRUPTED_MS + SCHEDULE_RECOVERY_MS + PLANNED_MS)
 /* The last fault ends so long before the end at least. */
-#define QUIET_END_MS 1000
+#define END_MARGIN_MS 1000
 /* Mean time between two faults for each six hosts, so that several of them are
  * under way at any moment. */
 #define GAP_MS 500
 #define GAP_HOSTS 6
 /* A host is stopped on purpose only while most of the others are up. */
-#define PLANNED_PART 3
+#define PLANNED_DIVISOR 3
 
-struct drawing {
+struct builder {
 	GRand *random;
 	GArray *events;
 	unsigned int hosts;
 	int64_t *busy_until_ms; /* by part and host */
 };
 
-static int64_t *busy_until(const struct drawing *drawing,
+static int64_t *busy_until(const struct builder *builder,
 			   const struct fault *fault, unsigned int host)
 {
-	if (!fault_part_is_of_host(fault->part))
+	if (!fault_part_is_per_host(fault->part))
 		host = 0;
-	return &drawing->busy_until_ms[fault->part * drawing->hosts + host];
+	return &builder->busy_until_ms[fault->part * builder->hosts + host];
 }
 
-static bool is_rough(int64_t at_ms)
+static bool is_disrupted_phase(int64_t at_ms)
 {
-	return at_ms % ROUND_MS < ROUGH_MS;
+	return at_ms % ROUND_MS < DISRUPTED_MS;
 }
 
-static bool is_rest(int64_t at_ms)
+static bool is_recovery_phase(int64_t at_ms)
 {
 	int64_t in_round = at_ms % ROUND_MS;
 
-	return in_round >= ROUGH_MS && in_round < ROUGH_MS + SCHEDULE_REST_MS;
+	return in_round >= DISRUPTED_MS &&
+	       in_round < DISRUPTED_MS + SCHEDULE_RECOVERY_MS;
 }
 
 /* Faults that do harm end with their rough time. */
-static int64_t most_ms(const struct fault *fault, int64_t at_ms)
+static int64_t max_ms(const struct fault *fault, int64_t at_ms)
 {
-	int64_t left_ms = ROUGH_MS - at_ms % ROUND_MS;
+	int64_t left_ms = DISRUPTED_MS - at_ms % ROUND_MS;
 
-	if (fault->harm == HARM_NONE)
-		return fault->most_ms;
-	return MIN(fault->most_ms, left_ms);
+	if (fault->impact == IMPACT_NONE)
+		return fault->max_ms;
+	return MIN(fault->max_ms, left_ms);
 }
 
 /* Planned changes of a daemon or an upstream that are under way. */
-static unsigned int count_planned(const struct drawing *drawing, int64_t at_ms)
+static unsigned int count_busy_hosts(const struct builder *builder, int64_t at_ms)
 {
 	unsigned int count = 0;
 
-	for (unsigned int i = 0; i < drawing->hosts; i++) {
+	for (unsigned int i = 0; i < builder->hosts; i++) {
 		count +=
-			drawing->busy_until_ms[PART_DAEMON * drawing->hosts + i] >
+			builder->busy_until_ms[PART_DAEMON * builder->hosts + i] >
 				at_ms ||
-			drawing->busy_until_ms[PART_UPSTREAM * drawing->hosts + i] >
+			builder->busy_until_ms[PART_UPSTREAM * builder->hosts + i] >
 				at_ms;
 	}
 	return count;
 }
 
-static bool may_come(const struct drawing *drawing, const struct fault *fault,
-		     unsigned int host, int64_t at_ms)
+static bool may_schedule(const struct builder *builder, const struct fault *fault,
+			 unsigned int host, int64_t at_ms)
 {
 	bool concerns_host =
 		fault->part == PART_DAEMON || fault->part == PART_UPSTREAM;
 
-	if (fault->harm != HARM_NONE &&
-	    (!is_rough(at_ms) || most_ms(fault, at_ms) < fault->least_ms))
+	if (fault->impact != IMPACT_NONE &&
+	    (!is_disrupted_phase(at_ms) || max_ms(fault, at_ms) < fault->min_ms))
 		return false;
-	if (concerns_host && !is_rough(at_ms) &&
-	    PLANNED_PART * count_planned(drawing, at_ms) >= drawing->hosts)
+	if (concerns_host && !is_disrupted_phase(at_ms) &&
+	    PLANNED_DIVISOR * count_busy_hosts(builder, at_ms) >= builder->hosts)
 		return false;
-	return *busy_until(drawing, fault, host) <= at_ms;
+	return *busy_until(builder, fault, host) <= at_ms;
 }
 
-static void add(struct drawing *drawing, const struct fault *fault,
-		unsigned int host, int64_t at_ms)
+static void add_event(struct builder *builder, const struct fault *fault,
+		      unsigned int host, int64_t at_ms)
 {
 	struct schedule_event event = {
 		.at_ms = at_ms,
@@ -88,45 +89,45 @@
 		.host = host,
 	};
 
-	event.for_ms = g_rand_int_range(drawing->random, fault->least_ms,
-					(gint32)most_ms(fault, at_ms) + 1);
+	event.for_ms = g_rand_int_range(builder->random, fault->min_ms,
+					(gint32)max_ms(fault, at_ms) + 1);
 	if (fault->is_over)
-		event.for_ms = fault->most_ms;
+		event.for_ms = fault->max_ms;
 	/* How long a daemon takes to stop is known beforehand about. */
-	*busy_until(drawing, fault, host) =
+	*busy_until(builder, fault, host) =
 		at_ms +
 		(fault->is_over ? (FLEET_GRACE_S + 1) * 1000 : event.for_ms) + 1;
-	g_array_append_val(drawing->events, event);
+	g_array_append_val(builder->events, event);
 }
 
 GArray *schedule_create(guint32 seed, unsigned int hosts, int seconds)
 {
-	struct drawing drawing = {
+	struct builder builder = {
 		.random = g_rand_new_with_seed(seed),
 		.events = g_array_new(FALSE, FALSE, sizeof(struct schedule_event)),
 		.hosts = hosts,
 		.busy_until_ms = g_new0(int64_t, PARTS * hosts),
 	};
-	int64_t end_ms = seconds * 1000 - QUIET_END_MS;
+	int64_t end_ms = seconds * 1000 - END_MARGIN_MS;
 	double gap_ms = (double)GAP_MS * GAP_HOSTS / hosts;
 	double at_ms = 0;
 
 	while (at_ms < (double)end_ms) {
 		const struct fault *fault = &faults[g_rand_int_range(
-			drawing.random, 0, (gint32)fault_count)];
+			builder.random, 0, (gint32)fault_count)];
 		unsigned int host = (unsigned int)g_rand_int_range(
-			drawing.random, 0, (gint32)hosts);
+			builder.random, 0, (gint32)hosts);
 
-		if (!is_rest((int64_t)at_ms) &&
-		    may_come(&drawing, fault, host, (int64_t)at_ms)) {
-			add(&drawing, fault, host, (int64_t)at_ms);
-			at_ms += g_rand_double_range(drawing.random, 0,
+		if (!is_recovery_phase((int64_t)at_ms) &&
+		    may_schedule(&builder, fault, host, (int64_t)at_ms)) {
+			add_event(&builder, fault, host, (int64_t)at_ms);
+			at_ms += g_rand_double_range(builder.random, 0,
 						     2 * gap_ms);
 		} else {
 			at_ms += 1 + gap_ms / 50;
 		}
 	}
-	g_rand_free(drawing.random);
-	g_free(drawing.busy_until_ms);
-	return drawing.events;
+	g_rand_free(builder.random);
+	g_free(builder.busy_until_ms);
+	return builder.events;
 }
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -24,7 +24,7 @@
 };
 
 /* How long programs may take to find each other after a rough time. */
-#define SCHEDULE_REST_MS 5000
+#define SCHEDULE_RECOVERY_MS 5000
 
 /* RETURN VALUE: an array of struct schedule_event by time. */
 GArray *schedule_create(guint32 seed, unsigned int hosts, int seconds);
--- a/tests/soak/span.c
+++ b/tests/soak/span.c
@@ -38,29 +38,29 @@
 static bool is_planned_stop(const struct span *span)
 {
 	return span->fault->part == PART_DAEMON &&
-	       span->fault->harm == HARM_NONE && span->fault->end;
+	       span->fault->impact == IMPACT_NONE && span->fault->end;
 }
 
-static bool matches(const struct span *span, const struct span_question *question)
+static bool matches(const struct span *span, const struct span_query *query)
 {
-	if (question->host != SPAN_ANY_HOST && span->host != SPAN_ANY_HOST &&
-	    question->host != span->host)
+	if (query->host != SPAN_ANY_HOST && span->host != SPAN_ANY_HOST &&
+	    query->host != span->host)
 		return false;
-	if (question->planned_stop)
+	if (query->planned_stop)
 		return is_planned_stop(span);
-	return span->fault->harm >= question->least;
+	return span->fault->impact >= query->min_impact;
 }
 
-bool spans_touch(const struct spans *spans, const struct span_question *question)
+bool spans_overlap(const struct spans *spans, const struct span_query *query)
 {
 	for (guint i = 0; i < spans->all->len; i++) {
 		const struct span *span =
 			&g_array_index(spans->all, struct span, i);
 
-		if (!matches(span, question) || span->begin_us > question->to_us)
+		if (!matches(span, query) || span->begin_us > query->to_us)
 			continue;
 		if (span->end_us == INT64_MAX ||
-		    span->end_us + question->after_us >= question->from_us)
+		    span->end_us + query->after_us >= query->from_us)
 			return true;
 	}
 	return false;
--- a/tests/soak/span.h
+++ b/tests/soak/span.h
@@ -36,9 +36,9 @@
 /* One that is over. */
 void spans_add(struct spans *spans, const struct span *span);
 
-struct span_question {
+struct span_query {
 	unsigned int host; /* or SPAN_ANY_HOST */
-	enum fault_harm least; /* harm of the faults asked for */
+	enum fault_impact min_impact; /* harm of the faults asked for */
 	bool planned_stop; /* asks for these alone, whatever least is */
 	int64_t from_us;
 	int64_t to_us;
@@ -46,6 +46,6 @@
 };
 
 /* RETURN VALUE: whether such a fault touches the time. */
-bool spans_touch(const struct spans *spans, const struct span_question *question);
+bool spans_overlap(const struct spans *spans, const struct span_query *query);
 
 #endif
--- a/tests/soak/verdict.h
+++ b/tests/soak/verdict.h
@@ -12,35 +12,35 @@
 
 #include "span.h"
 
-enum point {
-	POINT_OWN, /* an answer is whole, the caller's own, and was run */
-	POINT_NOT_RUN, /* "not run" is true */
-	POINT_ONCE, /* what may not be repeated runs at most once */
-	POINT_ENDS, /* each call ends by its deadline */
-	POINT_KEPT, /* no connection breaks where the daemon goes on */
-	POINT_CALM, /* where no harm is done, each call is served */
-	POINT_LEAVES, /* a draining upstream gets no new work */
-	POINT_CONFIG, /* a configuration in force everywhere stays */
-	POINT_LIVES, /* no program ends by itself, and each ends well */
-	POINT_RECOVERS, /* after the last fault all is well again */
-	POINTS,
+enum invariant {
+	INVARIANT_OWN_ANSWER, /* an answer is whole, the caller's own, and was run */
+	INVARIANT_NOT_RUN, /* "not run" is true */
+	INVARIANT_AT_MOST_ONCE, /* what may not be repeated runs at most once */
+	INVARIANT_DEADLINE, /* each call ends by its deadline */
+	INVARIANT_CONNECTION_KEPT, /* no connection breaks where the daemon goes on */
+	INVARIANT_SERVED, /* where no harm is done, each call is served */
+	INVARIANT_DRAINED, /* a draining upstream gets no new work */
+	INVARIANT_CONFIG, /* a configuration in force everywhere stays */
+	INVARIANT_CLEAN_EXIT, /* no program ends by itself, and each ends well */
+	INVARIANT_RECOVERY, /* after the last fault all is well again */
+	INVARIANTS,
 };
 
 struct verdict {
-	uint64_t tried[POINTS];
-	uint64_t violated[POINTS];
-	uint64_t refused_in_calm; /* beside planned stops of their entry */
-	uint64_t outcomes_lost; /* of unknown outcome, all told */
+	uint64_t checked[INVARIANTS];
+	uint64_t violated[INVARIANTS];
+	uint64_t refused_by_stopping_entry; /* beside planned stops of their entry */
+	uint64_t unknown_outcomes; /* of unknown outcome, all told */
 };
 
 /* Counts a case; a violation is printed with its reason. */
-void verdict_note(struct verdict *verdict, enum point point, bool held,
-		  const char *format, ...) G_GNUC_PRINTF(4, 5);
+void verdict_check(struct verdict *verdict, enum invariant invariant, bool held,
+		   const char *format, ...) G_GNUC_PRINTF(4, 5);
 
 /* The calls of one entry, as the load wrote them; is_last: after all faults. */
-void verdict_take_calls(struct verdict *verdict, const struct fleet *fleet,
-			const struct spans *spans, unsigned int entry,
-			const char *calls_file, bool is_last);
+void verdict_check_calls(struct verdict *verdict, const struct fleet *fleet,
+			 const struct spans *spans, unsigned int entry,
+			 const char *calls_file, bool is_last);
 
 /* RETURN VALUE: the number of violations. */
 uint64_t verdict_print(const struct verdict *verdict);
--- a/tests/soak/watch.c
+++ b/tests/soak/watch.c
@@ -4,17 +4,17 @@
 #include <signal.h>
 #include <sys/wait.h>
 
-#define LOOK_US ((int64_t)300 * 1000)
+#define POLL_US ((int64_t)300 * 1000)
 #define ASK_MS 400
 #define NO_VERSION 0
 /* A daemon that was started has heard of its peers by then. */
-#define TOLD_US ((int64_t)3000 * 1000)
+#define CONFIG_SETTLE_US ((int64_t)3000 * 1000)
 
 void watch_init(struct watch *watch, struct fleet *fleet, struct verdict *verdict)
 {
 	watch->fleet = fleet;
 	watch->verdict = verdict;
-	watch->floor = NO_VERSION;
+	watch->common_version = NO_VERSION;
 	watch->next_us = 0;
 	watch->daemons = g_new0(struct watched, fleet->options.count);
 }
@@ -24,7 +24,7 @@
 	g_free(watch->daemons);
 }
 
-static uint64_t version_in(const char *text)
+static uint64_t parse_version(const char *text)
 {
 	struct json_object *root = json_tokener_parse(text);
 	struct json_object *ready = json_object_object_get(root, "ready");
@@ -49,26 +49,26 @@
 	uint64_t version = NO_VERSION;
 
 	if (answer->arrived && answer->status == 200)
-		version = version_in(answer->body->str);
+		version = parse_version(answer->body->str);
 	rig_answer_free(answer);
 	g_free(url);
 	return version;
 }
 
-static void judge_version(struct watch *watch, unsigned int i, uint64_t version)
+static void check_version(struct watch *watch, unsigned int i, uint64_t version)
 {
 	struct watched *daemon = &watch->daemons[i];
 	int64_t now_us = g_get_monotonic_time();
 	uint64_t least = daemon->version;
 
-	if (!daemon->since_us)
-		daemon->since_us = now_us;
-	if (now_us - daemon->since_us >= TOLD_US)
-		least = MAX(least, watch->floor);
-	verdict_note(watch->verdict, POINT_CONFIG, version >= least,
-		     "d%u has %" G_GUINT64_FORMAT ", before %" G_GUINT64_FORMAT
-		     ", all had %" G_GUINT64_FORMAT,
-		     i, version, daemon->version, watch->floor);
+	if (!daemon->observed_since_us)
+		daemon->observed_since_us = now_us;
+	if (now_us - daemon->observed_since_us >= CONFIG_SETTLE_US)
+		least = MAX(least, watch->common_version);
+	verdict_check(watch->verdict, INVARIANT_CONFIG, version >= least,
+		      "d%u has %" G_GUINT64_FORMAT ", before %" G_GUINT64_FORMAT
+		      ", all had %" G_GUINT64_FORMAT,
+		      i, version, daemon->version, watch->common_version);
 	daemon->version = MAX(daemon->version, version);
 }
 
@@ -77,7 +77,7 @@
 	return !daemon->is_disturbed && !daemon->has_ended;
 }
 
-static void look_at_versions(struct watch *watch)
+static void check_versions(struct watch *watch)
 {
 	uint64_t least = UINT64_MAX;
 
@@ -88,21 +88,21 @@
 
 		least = MIN(least, version);
 		if (version != NO_VERSION)
-			judge_version(watch, i, version);
+			check_version(watch, i, version);
 	}
-	watch->floor = MAX(watch->floor, least);
+	watch->common_version = MAX(watch->common_version, least);
 }
 
-void watch_disturb(struct watch *watch, unsigned int i, bool is_disturbed)
+void watch_set_disturbed(struct watch *watch, unsigned int i, bool is_disturbed)
 {
 	struct watched *daemon = &watch->daemons[i];
 
 	daemon->is_disturbed = is_disturbed;
-	daemon->since_us = 0;
+	daemon->observed_since_us = 0;
 	daemon->version = NO_VERSION;
 }
 
-static void look_at_daemons(struct watch *watch)
+static void check_daemons(struct watch *watch)
 {
 	for (unsigned int i = 0; i < watch->fleet->options.count; i++) {
 		struct rig_process *daemon = watch->fleet->hosts[i].daemon;
@@ -110,21 +110,21 @@
 		if (!is_running(&watch->daemons[i]) || !rig_has_ended(daemon))
 			continue;
 		watch->daemons[i].has_ended = true;
-		verdict_note(watch->verdict, POINT_LIVES, false,
-			     "d%u ended by itself, status %d", i,
-			     daemon->exit_status);
+		verdict_check(watch->verdict, INVARIANT_CLEAN_EXIT, false,
+			      "d%u ended by itself, status %d", i,
+			      daemon->exit_status);
 	}
 }
 
-void watch_look(struct watch *watch)
+void watch_poll(struct watch *watch)
 {
 	int64_t now_us = g_get_monotonic_time();
 
 	if (now_us < watch->next_us)
 		return;
-	watch->next_us = now_us + LOOK_US;
-	look_at_daemons(watch);
-	look_at_versions(watch);
+	watch->next_us = now_us + POLL_US;
+	check_daemons(watch);
+	check_versions(watch);
 }
 
 void watch_stop_all(struct watch *watch)
@@ -142,8 +142,8 @@
 		if (watch->daemons[i].has_ended)
 			continue;
 		status = rig_wait_end(daemon, 2 * FLEET_GRACE_S * 1000);
-		verdict_note(watch->verdict, POINT_LIVES,
-			     WIFEXITED(status) && WEXITSTATUS(status) == 0,
-			     "d%u ended with status %d", i, status);
+		verdict_check(watch->verdict, INVARIANT_CLEAN_EXIT,
+			      WIFEXITED(status) && WEXITSTATUS(status) == 0,
+			      "d%u ended with status %d", i, status);
 	}
 }
--- a/tests/soak/watch.h
+++ b/tests/soak/watch.h
@@ -17,14 +17,14 @@
 struct watched {
 	bool is_disturbed; /* it is being killed, paused, stopped */
 	bool has_ended; /* already told */
-	int64_t since_us; /* seen since it was last disturbed */
+	int64_t observed_since_us; /* seen since it was last disturbed */
 	uint64_t version; /* the highest since then */
 };
 
 struct watch {
 	struct fleet *fleet;
 	struct verdict *verdict;
-	uint64_t floor; /* the version that all have had */
+	uint64_t common_version; /* the version that all have had */
 	struct watched *daemons; /* by host */
 	int64_t next_us;
 };
@@ -34,10 +34,10 @@
 void watch_finish(struct watch *watch);
 
 /* The daemon of host i is being disturbed, or is so no more. */
-void watch_disturb(struct watch *watch, unsigned int i, bool is_disturbed);
+void watch_set_disturbed(struct watch *watch, unsigned int i, bool is_disturbed);
 
 /* Called often; looks a few times a second. */
-void watch_look(struct watch *watch);
+void watch_poll(struct watch *watch);
 
 /* Stops all daemons: each must end well within its time. */
 void watch_stop_all(struct watch *watch);
--- a/tests/system/call_log.c
+++ b/tests/system/call_log.c
@@ -3,27 +3,28 @@
 #include <glib.h>
 #include <stdlib.h>
 
-#define PARTS 7
+#define FIELDS 7
 
-static bool parse(char **parts, struct call_line *line)
+static bool parse(char **parts, struct call_record *line)
 {
-	if (g_strv_length(parts) < PARTS)
+	if (g_strv_length(parts) < FIELDS)
 		return false;
-	*line = (struct call_line){
+	*line = (struct call_record){
 		.id = parts[0],
 		.method = parts[1],
 		.status = atoi(parts[2]),
 		.outcome = parts[3],
-		.took_us = strtoll(parts[4], NULL, 10),
+		.duration_us = strtoll(parts[4], NULL, 10),
 		.begin_us = strtoll(parts[5], NULL, 10),
 		.path = parts[6],
-		.is_wrong = parts[PARTS] != NULL,
+		.is_wrong = parts[FIELDS] != NULL,
 	};
 	return true;
 }
 
 void call_log_read(const char *file,
-		   void (*handle_line)(const struct call_line *line, void *data),
+		   void (*handle_record)(const struct call_record *line,
+					 void *data),
 		   void *data)
 {
 	char *text = NULL;
@@ -33,10 +34,10 @@
 	lines = g_strsplit(text, "\n", -1);
 	for (char **at = lines; *at; at++) {
 		char **parts = g_strsplit(*at, " ", -1);
-		struct call_line line;
+		struct call_record line;
 
 		if (parse(parts, &line))
-			handle_line(&line, data);
+			handle_record(&line, data);
 		g_strfreev(parts);
 	}
 	g_strfreev(lines);
--- a/tests/system/call_log.h
+++ b/tests/system/call_log.h
@@ -16,12 +16,12 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct call_line {
+struct call_record {
 	const char *id;
 	const char *method;
 	int status;
 	const char *outcome;
-	int64_t took_us;
+	int64_t duration_us;
 	int64_t begin_us;
 	const char *path;
 	bool is_wrong;
@@ -29,7 +29,8 @@
 
 /* Hands over each line; its texts live as long as the handler runs. */
 void call_log_read(const char *file,
-		   void (*handle_line)(const struct call_line *line, void *data),
+		   void (*handle_record)(const struct call_record *line,
+					 void *data),
 		   void *data);
 
 #endif
--- a/tests/system/cluster.c
+++ b/tests/system/cluster.c
@@ -43,7 +43,7 @@
  * socket stays bound and never listens; with SO_REUSEADDR on both sides another
  * process may listen there, and the kernel gives the port to nobody else.
  */
-uint16_t cluster_find_port(void)
+uint16_t cluster_reserve_port(void)
 {
 	int one = 1;
 
@@ -66,15 +66,15 @@
 
 static void find_ports(struct cluster_ports *ports)
 {
-	ports->caller = cluster_find_port();
-	ports->peer = cluster_find_port();
-	ports->admin = cluster_find_port();
+	ports->caller = cluster_reserve_port();
+	ports->peer = cluster_reserve_port();
+	ports->admin = cluster_reserve_port();
 }
 
 static void start_relay(struct cluster *cluster, unsigned int i)
 {
 	char *target = g_strdup_printf("127.0.0.1:%u", cluster->ports[i].peer);
-	char *port = g_strdup_printf("%u", cluster_find_port());
+	char *port = g_strdup_printf("%u", cluster_reserve_port());
 
 	cluster->relays[i] =
 		rig_start_standin(cluster->rig, "tests/system/relay",
@@ -163,7 +163,7 @@
 	const char *slots = options->slots ? options->slots : "4";
 	const char *time =
 		options->service_time_us ? options->service_time_us : "2000";
-	char *port = g_strdup_printf("%u", cluster_find_port());
+	char *port = g_strdup_printf("%u", cluster_reserve_port());
 
 	cluster->upstreams[i] = rig_start_standin(
 		cluster->rig, "standin/upstream/standin-upstream", "--port",
@@ -187,7 +187,7 @@
 	cluster->key_file = rig_write_file(cluster->rig, "peer.key", "%s", KEY);
 	cluster->config_file =
 		rig_write_file(cluster->rig, "ops.json", "%s", config);
-	port = g_strdup_printf("%u", cluster_find_port());
+	port = g_strdup_printf("%u", cluster_reserve_port());
 	cluster->platform = rig_start_standin(
 		cluster->rig, "standin/platform/standin-platform", "--port",
 		port, NULL);
@@ -330,8 +330,8 @@
 	return value;
 }
 
-unsigned int cluster_revive(struct cluster *cluster,
-			    const struct cluster_options *options)
+unsigned int cluster_restart_upstreams(struct cluster *cluster,
+				       const struct cluster_options *options)
 {
 	unsigned int ended = 0;
 
@@ -344,7 +344,7 @@
 	return ended;
 }
 
-int64_t cluster_sum(struct cluster *cluster, const char *name)
+int64_t cluster_sum_counter(struct cluster *cluster, const char *name)
 {
 	int64_t sum = 0;
 
--- a/tests/system/cluster.h
+++ b/tests/system/cluster.h
@@ -61,7 +61,7 @@
 };
 
 /* RETURN VALUE: a port for TCP and UDP, kept for this test until it ends. */
-uint16_t cluster_find_port(void);
+uint16_t cluster_reserve_port(void);
 
 void cluster_start(struct cluster *cluster,
 		   const struct cluster_options *options);
@@ -100,11 +100,11 @@
 
 /* Starts the upstreams again that have ended.
  * RETURN VALUE: how many these were. */
-unsigned int cluster_revive(struct cluster *cluster,
-			    const struct cluster_options *options);
+unsigned int cluster_restart_upstreams(struct cluster *cluster,
+				       const struct cluster_options *options);
 
 /* A counter, over all daemons. */
-int64_t cluster_sum(struct cluster *cluster, const char *name);
+int64_t cluster_sum_counter(struct cluster *cluster, const char *name);
 
 /* A counter of a daemon, or -1. */
 int64_t cluster_counter(struct cluster *cluster, unsigned int i,
--- a/tests/system/fleet.c
+++ b/tests/system/fleet.c
@@ -70,9 +70,9 @@
 	return path;
 }
 
-/* The wall clock of the processes started until end_wall_clock() is another;
+/* The wall clock of the processes started until clear_wall_clock_offset() is another;
  * see wall_clock.c. */
-static void begin_wall_clock(int seconds)
+static void set_wall_clock_offset(int seconds)
 {
 	const char *sanitizer = g_getenv("ASAN_OPTIONS");
 	char *options = g_strdup_printf("%s:verify_asan_link_order=0",
@@ -92,7 +92,7 @@
 	g_free(path);
 }
 
-static void end_wall_clock(const char *asan_options)
+static void clear_wall_clock_offset(const char *asan_options)
 {
 	g_unsetenv("LD_PRELOAD");
 	g_unsetenv("WALL_CLOCK_S");
@@ -110,10 +110,10 @@
 	char *asan_options = g_strdup(g_getenv("ASAN_OPTIONS"));
 
 	if (host->wall_clock_s)
-		begin_wall_clock(host->wall_clock_s);
+		set_wall_clock_offset(host->wall_clock_s);
 	host->daemon = rig_start_daemon(fleet->rig, name, path);
 	if (host->wall_clock_s)
-		end_wall_clock(asan_options);
+		clear_wall_clock_offset(asan_options);
 	g_free(asan_options);
 	g_free(name);
 }
@@ -145,14 +145,14 @@
 
 	host->starts++;
 	if (!host->relays[FLEET_LINK_UPSTREAM])
-		host->upstream_port = cluster_find_port();
+		host->upstream_port = cluster_reserve_port();
 	fleet_start_upstream_again(fleet, i);
 }
 
 static struct rig_process *start_relay(struct fleet *fleet, uint16_t target)
 {
 	char *to = g_strdup_printf("127.0.0.1:%u", target);
-	char *port = g_strdup_printf("%u", cluster_find_port());
+	char *port = g_strdup_printf("%u", cluster_reserve_port());
 	struct rig_process *relay =
 		rig_start_standin(fleet->rig, "tests/system/relay", "--target",
 				  to, "--port", port, NULL);
@@ -172,12 +172,12 @@
 
 static void prepare_host(struct fleet *fleet, struct fleet_host *host)
 {
-	host->caller = cluster_find_port();
-	host->peer = cluster_find_port();
-	host->admin = cluster_find_port();
-	host->ready = cluster_find_port();
-	host->reports = cluster_find_port();
-	host->upstream_port = cluster_find_port();
+	host->caller = cluster_reserve_port();
+	host->peer = cluster_reserve_port();
+	host->admin = cluster_reserve_port();
+	host->ready = cluster_reserve_port();
+	host->reports = cluster_reserve_port();
+	host->upstream_port = cluster_reserve_port();
 	host->runs_file = rig_write_file(fleet->rig, "runs", "%s", "");
 	if (fleet->options.relayed)
 		start_relays(fleet, host);
@@ -224,7 +224,7 @@
 
 	g_string_printf(row,
 			"{\"version\":\"r%u\",\"listeners\":[{\"host\":"
-			"\"" FLEET_HOST "\",\"ruleSet\":[",
+			"\"" FLEET_VIRTUAL_HOST "\",\"ruleSet\":[",
 			version);
 	g_string_append_printf(row, rule, "get", "idempotent", 500, 2, prefix,
 			       FLEET_DEADLINE_MS, 3);
@@ -279,28 +279,28 @@
 			   "/set", body));
 }
 
-unsigned int fleet_runs_of(const struct fleet *fleet, const char *id)
+unsigned int fleet_count_runs_of_id(const struct fleet *fleet, const char *id)
 {
 	GHashTable *runs = runs_create();
 	unsigned int count;
 
 	for (unsigned int i = 0; i < fleet->options.count; i++)
-		runs_add(runs, fleet->hosts[i].runs_file);
-	count = runs_of(runs, id);
+		runs_read_file(runs, fleet->hosts[i].runs_file);
+	count = runs_count_id(runs, id);
 	g_hash_table_unref(runs);
 	return count;
 }
 
-unsigned int fleet_runs_at(const struct fleet *fleet, unsigned int i)
+unsigned int fleet_count_runs_on_host(const struct fleet *fleet, unsigned int i)
 {
-	return runs_count(fleet->hosts[i].runs_file, "");
+	return runs_count_prefix(fleet->hosts[i].runs_file, "");
 }
 
 long fleet_get(struct fleet *fleet, unsigned int i, const char *path)
 {
 	char *id = g_strdup_printf("get-%u", ++fleet->gets);
-	const char *headers[] = {"Host", FLEET_HOST, "X-Comfreydock-Request-Id",
-				 id, NULL};
+	const char *headers[] = {"Host", FLEET_VIRTUAL_HOST,
+				 "X-Comfreydock-Request-Id", id, NULL};
 	char *url = g_strdup_printf("http://127.0.0.1:%u%s",
 				    fleet->hosts[i].caller, path);
 	struct rig_answer *answer = rig_http("GET", url, headers, NULL, CALL_MS);
--- a/tests/system/fleet.h
+++ b/tests/system/fleet.h
@@ -16,7 +16,7 @@
 #include "rig.h"
 
 #define FLEET_SERVICE "desk"
-#define FLEET_HOST "a.example"
+#define FLEET_VIRTUAL_HOST "a.example"
 #define FLEET_GRACE_S 6
 #define FLEET_DEADLINE_MS 2000
 /* Of /patient/. */
@@ -90,8 +90,8 @@
 
 /* RETURN VALUE: how often the upstreams ran the request; how many requests the
  * upstream of host i has run. */
-unsigned int fleet_runs_of(const struct fleet *fleet, const char *id);
-unsigned int fleet_runs_at(const struct fleet *fleet, unsigned int i);
+unsigned int fleet_count_runs_of_id(const struct fleet *fleet, const char *id);
+unsigned int fleet_count_runs_on_host(const struct fleet *fleet, unsigned int i);
 
 /* Sends a GET to the daemon of host i, under an id of its own.
  * RETURN VALUE: the status, 0 where no answer came. */
--- a/tests/system/ledger.c
+++ b/tests/system/ledger.c
@@ -41,16 +41,16 @@
 	GHashTable *runs = runs_create();
 
 	for (unsigned int i = 0; i < cluster->count; i++)
-		runs_add(runs, cluster->runs_files[i]);
+		runs_read_file(runs, cluster->runs_files[i]);
 	return runs;
 }
 
-static bool is_idempotent(const struct call_line *line)
+static bool is_idempotent(const struct call_record *line)
 {
 	return strcmp(line->method, "GET") == 0;
 }
 
-static void count_told(struct ledger *ledger, const struct call_line *line)
+static void count_outcome(struct ledger *ledger, const struct call_record *line)
 {
 	bool run = strcmp(line->outcome, "run") == 0;
 
@@ -62,20 +62,21 @@
 	ledger->unknown += strcmp(line->outcome, "unknown") == 0;
 	ledger->broken += strcmp(line->outcome, "broken") == 0;
 	ledger->unconnected += strcmp(line->outcome, "unconnected") == 0;
-	ledger->unsaid += strcmp(line->outcome, "unsaid") == 0;
+	ledger->without_outcome += strcmp(line->outcome, "unsaid") == 0;
 }
 
-static void judge(struct ledger *ledger, const struct call_line *line, guint runs)
+static void check_call(struct ledger *ledger, const struct call_record *line,
+		       guint runs)
 {
-	bool late =
-		strcmp(line->outcome, "timed-out") == 0 ||
-		line->took_us > (LEDGER_DEADLINE_MS + LEDGER_MARGIN_MS) * 1000;
+	bool late = strcmp(line->outcome, "timed-out") == 0 ||
+		    line->duration_us >
+			    (LEDGER_DEADLINE_MS + LEDGER_MARGIN_MS) * 1000;
 	bool doubled = !is_idempotent(line) && runs > 1;
 	bool false_not_run = strcmp(line->outcome, "not-run") == 0 && runs > 0;
 	bool false_run = strcmp(line->outcome, "run") == 0 &&
 			 line->status / 100 == 2 && runs == 0;
 
-	ledger->doubles += doubled;
+	ledger->duplicate_runs += doubled;
 	ledger->false_not_run += false_not_run;
 	ledger->false_run += false_run;
 	ledger->wrong += line->is_wrong;
@@ -84,58 +85,60 @@
 		g_test_message("%s %s %d %s after %" G_GINT64_FORMAT
 			       " us, ran %u times%s",
 			       line->id, is_idempotent(line) ? "GET" : "POST",
-			       line->status, line->outcome, line->took_us, runs,
-			       line->is_wrong ? ", wrong answer" : "");
+			       line->status, line->outcome, line->duration_us,
+			       runs, line->is_wrong ? ", wrong answer" : "");
 }
 
-struct judged {
+struct check_context {
 	struct ledger *ledger;
 	GHashTable *runs;
 };
 
-static void handle_line(const struct call_line *line, void *data)
+static void handle_record(const struct call_record *line, void *data)
 {
-	struct judged *judged = data;
+	struct check_context *check_context = data;
 
-	count_told(judged->ledger, line);
-	judge(judged->ledger, line, runs_of(judged->runs, line->id));
+	count_outcome(check_context->ledger, line);
+	check_call(check_context->ledger, line,
+		   runs_count_id(check_context->runs, line->id));
 }
 
-void ledger_add_within(struct ledger *ledger, struct cluster *cluster,
-		       struct ledger_load *load, int seconds)
+void ledger_collect_within(struct ledger *ledger, struct cluster *cluster,
+			   struct ledger_load *load, int seconds)
 {
-	struct judged judged = {.ledger = ledger};
+	struct check_context check_context = {.ledger = ledger};
 
 	rig_wait_end(load->process, seconds * 1000 + LOAD_END_MS);
-	judged.runs = read_runs(cluster);
-	call_log_read(load->calls_file, handle_line, &judged);
-	g_hash_table_unref(judged.runs);
+	check_context.runs = read_runs(cluster);
+	call_log_read(load->calls_file, handle_record, &check_context);
+	g_hash_table_unref(check_context.runs);
 }
 
-void ledger_add(struct ledger *ledger, struct cluster *cluster,
-		struct ledger_load *load)
+void ledger_collect(struct ledger *ledger, struct cluster *cluster,
+		    struct ledger_load *load)
 {
-	ledger_add_within(ledger, cluster, load, 0);
+	ledger_collect_within(ledger, cluster, load, 0);
 }
 
 unsigned int ledger_violations(const struct ledger *ledger)
 {
-	return ledger->doubles + ledger->false_not_run + ledger->false_run +
-	       ledger->wrong + ledger->late + ledger->unsaid;
+	return ledger->duplicate_runs + ledger->false_not_run +
+	       ledger->false_run + ledger->wrong + ledger->late +
+	       ledger->without_outcome;
 }
 
-void ledger_assert_clean(const struct ledger *ledger)
+void ledger_assert_no_violations(const struct ledger *ledger)
 {
 	g_test_message("%u calls: run %u (served %u), not run %u, unknown %u, "
 		       "broken %u, unconnected %u",
 		       ledger->calls, ledger->run, ledger->served,
 		       ledger->not_run, ledger->unknown, ledger->broken,
 		       ledger->unconnected);
-	g_assert_cmpuint(ledger->doubles, ==, 0);
+	g_assert_cmpuint(ledger->duplicate_runs, ==, 0);
 	g_assert_cmpuint(ledger->false_not_run, ==, 0);
 	g_assert_cmpuint(ledger->false_run, ==, 0);
 	g_assert_cmpuint(ledger->wrong, ==, 0);
 	g_assert_cmpuint(ledger->late, ==, 0);
-	g_assert_cmpuint(ledger->unsaid, ==, 0);
+	g_assert_cmpuint(ledger->without_outcome, ==, 0);
 	g_assert_cmpuint(ledger->calls, >, 0);
 }
--- a/tests/system/ledger.h
+++ b/tests/system/ledger.h
@@ -48,12 +48,12 @@
 	unsigned int broken; /* connection cut, before or in the answer */
 	unsigned int unconnected;
 	/* What must never be. */
-	unsigned int doubles; /* POST that ran more than once */
+	unsigned int duplicate_runs; /* POST that ran more than once */
 	unsigned int false_not_run; /* said "not run", and it ran */
 	unsigned int false_run; /* said "run" with a 2xx, and none ran it */
 	unsigned int wrong; /* another's answer, or not the whole */
 	unsigned int late; /* no end by the deadline and margin */
-	unsigned int unsaid; /* a whole answer that tells no outcome */
+	unsigned int without_outcome; /* a whole answer that tells no outcome */
 };
 
 /* Calls through the daemons of the mask (bit i: daemon i), by turns. */
@@ -62,17 +62,17 @@
 				     const char *seconds, const char *seed);
 
 /* Waits for the load's end and adds its calls to the ledger. */
-void ledger_add(struct ledger *ledger, struct cluster *cluster,
-		struct ledger_load *load);
+void ledger_collect(struct ledger *ledger, struct cluster *cluster,
+		    struct ledger_load *load);
 
 /* The same for a load that goes on for so long. */
-void ledger_add_within(struct ledger *ledger, struct cluster *cluster,
-		       struct ledger_load *load, int seconds);
+void ledger_collect_within(struct ledger *ledger, struct cluster *cluster,
+			   struct ledger_load *load, int seconds);
 
 /* Sums what must never be. */
 unsigned int ledger_violations(const struct ledger *ledger);
 
 /* Prints the ledger as a test message, and asserts that there are none. */
-void ledger_assert_clean(const struct ledger *ledger);
+void ledger_assert_no_violations(const struct ledger *ledger);
 
 #endif
--- a/tests/system/pair.c
+++ b/tests/system/pair.c
@@ -4,7 +4,7 @@
 
 #include "raw.h"
 
-struct pair_mark {
+struct pair_wait {
 	struct pair *pair;
 	int64_t (*count)(struct pair *pair, const char *name);
 	const char *name;
@@ -63,9 +63,9 @@
 	return value;
 }
 
-static bool pair_reaches(void *data)
+static bool counter_has_reached(void *data)
 {
-	const struct pair_mark *mark = data;
+	const struct pair_wait *mark = data;
 
 	return mark->count(mark->pair, mark->name) >= mark->value;
 }
@@ -74,8 +74,8 @@
 		   int64_t (*count)(struct pair *pair, const char *name),
 		   const char *name, int64_t value)
 {
-	struct pair_mark mark = {pair, count, name, value};
+	struct pair_wait mark = {pair, count, name, value};
 
-	if (!rig_wait_until(pair_reaches, &mark, pair->wait_ms))
+	if (!rig_wait_until(counter_has_reached, &mark, pair->wait_ms))
 		g_error("%s does not reach %" G_GINT64_FORMAT, name, value);
 }
--- a/tests/system/raw.c
+++ b/tests/system/raw.c
@@ -64,7 +64,7 @@
 			 g_get_monotonic_time() + timeout_ms * 1000) > 0;
 }
 
-bool raw_read_to_close(int fd, GString *out, int timeout_ms)
+bool raw_read_until_close(int fd, GString *out, int timeout_ms)
 {
 	gint64 end_us = g_get_monotonic_time() + timeout_ms * 1000;
 	ssize_t got;
@@ -74,8 +74,8 @@
 	return got == 0;
 }
 
-bool raw_read_marks(int fd, GString *out, const char *mark, unsigned int count,
-		    int timeout_ms)
+bool raw_read_until_found(int fd, GString *out, const char *mark,
+			  unsigned int count, int timeout_ms)
 {
 	gint64 end_us = g_get_monotonic_time() + timeout_ms * 1000;
 
--- a/tests/system/raw.h
+++ b/tests/system/raw.h
@@ -24,11 +24,11 @@
 bool raw_read_some(int fd, GString *out, size_t most, int timeout_ms);
 
 /* RETURN VALUE: whether the far end closed in time. */
-bool raw_read_to_close(int fd, GString *out, int timeout_ms);
+bool raw_read_until_close(int fd, GString *out, int timeout_ms);
 
 /* RETURN VALUE: whether what was read so far has the mark so often. */
-bool raw_read_marks(int fd, GString *out, const char *mark, unsigned int count,
-		    int timeout_ms);
+bool raw_read_until_found(int fd, GString *out, const char *mark,
+			  unsigned int count, int timeout_ms);
 
 unsigned int raw_count(const char *text, const char *mark);
 
--- a/tests/system/relay.c
+++ b/tests/system/relay.c
@@ -69,7 +69,7 @@
 	}
 }
 
-static void apply(struct relay *relay, struct json_object *command)
+static void apply_command(struct relay *relay, struct json_object *command)
 {
 	standin_read_bool(command, "cut", &relay->cut);
 	standin_read_bool(command, "hold_forward", &relay->hold[FORWARD]);
@@ -104,7 +104,7 @@
 	if (strcmp(http_request_path(request), "/stats") == 0) {
 		reply_stats(relay, request);
 	} else if (command) {
-		apply(relay, command);
+		apply_command(relay, command);
 		http_request_reply_text(request, 200, "application/json", "{}");
 	} else {
 		http_request_reply_text(request, 400, "application/json", "{}");
--- a/tests/system/relay_tcp.c
+++ b/tests/system/relay_tcp.c
@@ -28,8 +28,8 @@
 	ev_timer due;
 	TAILQ_HEAD(, chunk) chunks;
 	size_t queued_bytes;
-	bool is_read; /* to its end */
-	bool has_ended; /* the end was passed on */
+	bool has_read_end; /* to its end */
+	bool has_forwarded_end; /* the end was passed on */
 };
 
 struct tcp_connection {
@@ -39,7 +39,7 @@
 	struct flow flows[DIRECTIONS];
 };
 
-static void reset(int fd)
+static void close_with_reset(int fd)
 {
 	struct linger linger = {.l_onoff = 1};
 
@@ -66,7 +66,7 @@
 	for (int i = 0; i < DIRECTIONS; i++)
 		flow_finish(&connection->flows[i]);
 	for (int i = 0; i < DIRECTIONS; i++)
-		reset(connection->fds[i]);
+		close_with_reset(connection->fds[i]);
 	LIST_REMOVE(connection, link);
 	g_free(connection);
 }
@@ -76,7 +76,7 @@
 	TAILQ_REMOVE(&flow->chunks, chunk, link);
 	flow->queued_bytes -= chunk->size;
 	g_free(chunk);
-	if (!flow->is_read && flow->queued_bytes <= MAX_QUEUED_BYTES)
+	if (!flow->has_read_end && flow->queued_bytes <= MAX_QUEUED_BYTES)
 		ev_io_start(flow->connection->relay->loop, &flow->readable);
 }
 
@@ -97,12 +97,12 @@
 		return -1;
 	if (chunk->size == 0) {
 		shutdown(flow->writable.fd, SHUT_WR);
-		flow->has_ended = true;
+		flow->has_forwarded_end = true;
 	}
 	return 1;
 }
 
-static void wait_until(struct flow *flow, int64_t due_us)
+static void wait_until_due(struct flow *flow, int64_t due_us)
 {
 	double wait_s = (double)(due_us - clock_mono_us()) / (double)US_PER_S;
 
@@ -111,7 +111,7 @@
 }
 
 /* Passes on what is due. RETURN VALUE: false where the connection is gone. */
-static bool flow_run(struct flow *flow)
+static bool flow_flush(struct flow *flow)
 {
 	struct tcp_connection *connection = flow->connection;
 	struct relay *relay = connection->relay;
@@ -124,7 +124,7 @@
 		int result;
 
 		if (chunk->due_us > clock_mono_us()) {
-			wait_until(flow, chunk->due_us);
+			wait_until_due(flow, chunk->due_us);
 			break;
 		}
 		result = chunk_write(flow, chunk);
@@ -138,8 +138,8 @@
 		}
 		chunk_done(flow, chunk);
 	}
-	if (connection->flows[FORWARD].has_ended &&
-	    connection->flows[BACKWARD].has_ended) {
+	if (connection->flows[FORWARD].has_forwarded_end &&
+	    connection->flows[BACKWARD].has_forwarded_end) {
 		connection_reset(connection);
 		return false;
 	}
@@ -150,14 +150,14 @@
 {
 	(void)loop;
 	(void)events;
-	flow_run(io->data);
+	flow_flush(io->data);
 }
 
 static void handle_due(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	(void)loop;
 	(void)events;
-	flow_run(timer->data);
+	flow_flush(timer->data);
 }
 
 static void handle_readable(struct ev_loop *loop, ev_io *io, int events)
@@ -173,15 +173,15 @@
 		return;
 	}
 	/* The end takes its turn in the queue: held, it must not show. */
-	flow->is_read = size <= 0;
+	flow->has_read_end = size <= 0;
 	chunk->is_reset = size < 0;
 	chunk->size = (size_t)MAX(size, 0);
 	chunk->due_us = clock_mono_us() + relay->delay_ms * US_PER_MS;
 	flow->queued_bytes += chunk->size;
 	TAILQ_INSERT_TAIL(&flow->chunks, chunk, link);
-	if (flow->is_read || flow->queued_bytes > MAX_QUEUED_BYTES)
+	if (flow->has_read_end || flow->queued_bytes > MAX_QUEUED_BYTES)
 		ev_io_stop(loop, io);
-	flow_run(flow);
+	flow_flush(flow);
 }
 
 static void flow_start(struct tcp_connection *connection, enum direction direction)
@@ -228,7 +228,7 @@
 	    (connect(target, (struct sockaddr *)&relay->target,
 		     sizeof(relay->target)) != 0 &&
 	     errno != EINPROGRESS)) {
-		reset(fd);
+		close_with_reset(fd);
 		if (target >= 0)
 			close(target);
 		return;
@@ -262,8 +262,8 @@
 
 		if (relay->cut)
 			connection_reset(connection);
-		else if (flow_run(&connection->flows[FORWARD]))
-			flow_run(&connection->flows[BACKWARD]);
+		else if (flow_flush(&connection->flows[FORWARD]))
+			flow_flush(&connection->flows[BACKWARD]);
 		connection = next;
 	}
 }
--- a/tests/system/relay_udp.c
+++ b/tests/system/relay_udp.c
@@ -23,8 +23,9 @@
 	char data[];
 };
 
-static void pass_on(struct udp_session *session, enum direction direction,
-		    const char *data, size_t size)
+static void forward_datagram(struct udp_session *session,
+			     enum direction direction, const char *data,
+			     size_t size)
 {
 	struct relay *relay = session->relay;
 
@@ -43,8 +44,8 @@
 
 	(void)loop;
 	(void)events;
-	pass_on(datagram->session, datagram->direction, datagram->data,
-		datagram->size);
+	forward_datagram(datagram->session, datagram->direction, datagram->data,
+			 datagram->size);
 	LIST_REMOVE(datagram, link);
 	g_free(datagram);
 }
@@ -62,8 +63,9 @@
 	       g_rand_double(relay->random) < relay->lose_share;
 }
 
-static void take(struct udp_session *session, enum direction direction,
-		 const char *data, size_t size)
+static void receive_datagram(struct udp_session *session,
+			     enum direction direction, const char *data,
+			     size_t size)
 {
 	struct relay *relay = session->relay;
 	struct datagram *datagram;
@@ -71,7 +73,7 @@
 	if (is_lost(session, direction))
 		return;
 	if (relay->delay_ms == 0) {
-		pass_on(session, direction, data, size);
+		forward_datagram(session, direction, data, size);
 		return;
 	}
 	datagram = g_malloc0(sizeof(*datagram) + size);
@@ -94,7 +96,7 @@
 	(void)loop;
 	(void)events;
 	if (size >= 0)
-		take(io->data, BACKWARD, data, (size_t)size);
+		receive_datagram(io->data, BACKWARD, data, (size_t)size);
 }
 
 static struct udp_session *find_session(struct relay *relay,
@@ -142,7 +144,7 @@
 		return;
 	session = find_session(relay, &sender);
 	if (session)
-		take(session, FORWARD, data, (size_t)size);
+		receive_datagram(session, FORWARD, data, (size_t)size);
 }
 
 void udp_start(struct relay *relay, int fd)
--- a/tests/system/rig.c
+++ b/tests/system/rig.c
@@ -22,7 +22,7 @@
 };
 
 /* For the signal handler; a test has one rig at a time. */
-static struct rig *current;
+static struct rig *active_rig;
 
 static void print_log_end(const char *path)
 {
@@ -42,7 +42,7 @@
 }
 
 /* RETURN VALUE: the bytes of the whole lines in the text. */
-static size_t print_frozen_in(char *text, size_t size)
+static size_t print_whole_frozen_lines(char *text, size_t size)
 {
 	char *line = text;
 	char *stop;
@@ -78,7 +78,7 @@
 		size_t used;
 
 		held += (size_t)got;
-		used = print_frozen_in(text, held);
+		used = print_whole_frozen_lines(text, held);
 		/* A line that is longer than all others may be is cut. */
 		if (!used && held == sizeof(text))
 			used = held;
@@ -108,15 +108,15 @@
  * SIGTERM. Neither runs any cleanup: daemons would stay behind, with their
  * ports, and the logs that tell why would be lost.
  */
-static void handle_end(int signal)
+static void handle_fatal_signal(int signal)
 {
-	if (!current && signal != SIGABRT)
+	if (!active_rig && signal != SIGABRT)
 		_exit(1);
-	if (!current)
+	if (!active_rig)
 		return;
-	for (guint i = 0; i < current->processes->len; i++) {
+	for (guint i = 0; i < active_rig->processes->len; i++) {
 		const struct rig_process *process =
-			g_ptr_array_index(current->processes, i);
+			g_ptr_array_index(active_rig->processes, i);
 
 		if (process->pid > 0)
 			kill(process->pid, SIGKILL);
@@ -124,8 +124,8 @@
 		print_log_end(process->out_path);
 		print_log_end(process->err_path);
 	}
-	remove_files(current);
-	current = NULL;
+	remove_files(active_rig);
+	active_rig = NULL;
 	/* g_error() expects that its trap is not survived: it would loop. */
 	if (signal == SIGTRAP)
 		abort();
@@ -166,12 +166,12 @@
 	g_assert_no_error(error);
 	rig->paths = g_ptr_array_new_with_free_func(g_free);
 	rig->processes = g_ptr_array_new_with_free_func(process_free);
-	g_assert_null(current);
-	current = rig;
-	signal(SIGABRT, handle_end);
-	signal(SIGTRAP, handle_end); /* g_error() */
-	signal(SIGTERM, handle_end);
-	signal(SIGINT, handle_end);
+	g_assert_null(active_rig);
+	active_rig = rig;
+	signal(SIGABRT, handle_fatal_signal);
+	signal(SIGTRAP, handle_fatal_signal); /* g_error() */
+	signal(SIGTERM, handle_fatal_signal);
+	signal(SIGINT, handle_fatal_signal);
 	return rig;
 }
 
@@ -182,7 +182,7 @@
 	g_ptr_array_unref(rig->paths);
 	g_free(rig->directory);
 	g_free(rig);
-	current = NULL;
+	active_rig = NULL;
 	signal(SIGABRT, SIG_DFL);
 	signal(SIGTRAP, SIG_DFL);
 	signal(SIGTERM, SIG_DFL);
@@ -329,7 +329,7 @@
 	g_error("%s was not ready in time", process->name);
 }
 
-static uint16_t port_in(const char *line, const char *name)
+static uint16_t read_port(const char *line, const char *name)
 {
 	int64_t port = rig_json_int(line, name);
 
@@ -359,8 +359,8 @@
 				collect_arguments(program, arguments));
 	va_end(arguments);
 	line = wait_for_line(process, process->out_path, "{\"program\"");
-	process->port = port_in(line, "port");
-	process->control_port = port_in(line, "control_port");
+	process->port = read_port(line, "port");
+	process->control_port = read_port(line, "control_port");
 	g_free(line);
 	return process;
 }
@@ -373,9 +373,9 @@
 	struct rig_process *process = spawn(rig, name, argv);
 	char *line = wait_for_line(process, process->out_path, "\"event\":1000,");
 
-	process->caller_port = port_in(line, "caller_port");
-	process->peer_port = port_in(line, "peer_port");
-	process->admin_port = port_in(line, "admin_port");
+	process->caller_port = read_port(line, "caller_port");
+	process->peer_port = read_port(line, "peer_port");
+	process->admin_port = read_port(line, "admin_port");
 	g_free(line);
 	g_free(argv[0]);
 	return process;
--- a/tests/system/runs.c
+++ b/tests/system/runs.c
@@ -16,12 +16,12 @@
 	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-void runs_add(GHashTable *runs, const char *path)
+void runs_read_file(GHashTable *runs, const char *path)
 {
 	char **ids = read_ids(path);
 
 	for (char **id = ids; *id; id++) {
-		guint count = runs_of(runs, *id);
+		guint count = runs_count_id(runs, *id);
 
 		g_hash_table_replace(runs, g_strdup(*id),
 				     GUINT_TO_POINTER(count + 1));
@@ -29,12 +29,12 @@
 	g_strfreev(ids);
 }
 
-unsigned int runs_of(GHashTable *runs, const char *id)
+unsigned int runs_count_id(GHashTable *runs, const char *id)
 {
 	return GPOINTER_TO_UINT(g_hash_table_lookup(runs, id));
 }
 
-unsigned int runs_count(const char *path, const char *prefix)
+unsigned int runs_count_prefix(const char *path, const char *prefix)
 {
 	char **ids = read_ids(path);
 	unsigned int count = 0;
--- a/tests/system/runs.h
+++ b/tests/system/runs.h
@@ -11,16 +11,16 @@
 
 #include <glib.h>
 
-/* RETURN VALUE: a table for runs_add(), freed with g_hash_table_unref(). */
+/* RETURN VALUE: a table for runs_read_file(), freed with g_hash_table_unref(). */
 GHashTable *runs_create(void);
 
 /* Adds the ids of a file. */
-void runs_add(GHashTable *runs, const char *path);
+void runs_read_file(GHashTable *runs, const char *path);
 
 /* RETURN VALUE: how often the request ran. */
-unsigned int runs_of(GHashTable *runs, const char *id);
+unsigned int runs_count_id(GHashTable *runs, const char *id);
 
 /* RETURN VALUE: how many ids of a file begin with the prefix. */
-unsigned int runs_count(const char *path, const char *prefix);
+unsigned int runs_count_prefix(const char *path, const char *prefix);
 
 #endif
--- a/tests/system/test_ahead.c
+++ b/tests/system/test_ahead.c
@@ -13,7 +13,7 @@
 #define TARGET_MS 300
 /* The target of the rule "aimed", and time for the way on a busy machine; its
  * deadline is 8 s. */
-#define AIMED_US (2000 * 1000)
+#define TARGET_REFUSAL_MAX_US (2000 * 1000)
 
 static const char config[] =
 	"{\"namespace\": \"t\", \"services\": {\"s\": {\n"
@@ -65,7 +65,7 @@
 
 /* Sends one lookup that takes so many times as long, and waits for its start; what
  * follows is quick. RETURN VALUE: the connection. */
-static int begin_with_slow(const char *factor, const char *path, const char *id)
+static int start_slow_request(const char *factor, const char *path, const char *id)
 {
 	int64_t started = pair_upstream_count(&pair, "started");
 	GString *text = g_string_new(NULL);
@@ -83,7 +83,7 @@
  * A desk sends eight lookups at once on its connection. Read one after the
  * other, the last would wait for seven others, and its operator with it.
  */
-static void test_all_begin_at_once(void)
+static void test_pipelined_requests_run_concurrently(void)
 {
 	int64_t started = pair_upstream_count(&pair, "started");
 	GString *answers = g_string_new(NULL);
@@ -95,8 +95,8 @@
 	send_and_free(fd, text);
 	pair_wait_for(&pair, pair_upstream_count, "started", started + CALLS);
 	pair_set_upstream(&pair, "{\"freeze\": false}");
-	g_assert_true(raw_read_marks(fd, answers, "{\"id\":\"at-once-", CALLS,
-				     WAIT_MS));
+	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"at-once-",
+					   CALLS, WAIT_MS));
 	expect_order(answers, "at-once-", CALLS);
 	close(fd);
 	g_string_free(answers, TRUE);
@@ -109,14 +109,14 @@
 	int64_t finished = pair_upstream_count(&pair, "finished");
 	GString *answers = g_string_new(NULL);
 	GString *text = g_string_new(NULL);
-	int fd = begin_with_slow("{\"factor\": 400}", "/s/a", "slow-0");
+	int fd = start_slow_request("{\"factor\": 400}", "/s/a", "slow-0");
 
 	add_lookups(text, "/s/a", "slow-", 1, CALLS);
 	send_and_free(fd, text);
 	pair_wait_for(&pair, pair_upstream_count, "finished",
 		      finished + CALLS - 1);
-	g_assert_true(
-		raw_read_marks(fd, answers, "{\"id\":\"slow-", CALLS, WAIT_MS));
+	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"slow-",
+					   CALLS, WAIT_MS));
 	expect_order(answers, "slow-", CALLS);
 	close(fd);
 	g_string_free(answers, TRUE);
@@ -130,11 +130,12 @@
 {
 	GString *answers = g_string_new(NULL);
 	GString *text = g_string_new(NULL);
-	int fd = begin_with_slow("{\"factor\": 5000}", "/s/short", "late-0");
+	int fd = start_slow_request("{\"factor\": 5000}", "/s/short", "late-0");
 
 	add_lookups(text, "/s/a", "late-", 1, 4);
 	send_and_free(fd, text);
-	g_assert_true(raw_read_marks(fd, answers, "{\"id\":\"late-", 3, WAIT_MS));
+	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"late-", 3,
+					   WAIT_MS));
 	g_assert_true(g_str_has_prefix(answers->str, "HTTP/1.1 504") ||
 		      g_str_has_prefix(answers->str, "HTTP/1.1 503"));
 	g_assert_cmpuint(raw_count(answers->str, "HTTP/1.1 200"), ==, 3);
@@ -154,8 +155,8 @@
 	pair_add_request(text, "GET", "/nowhere", "mid-none");
 	add_lookups(text, "/s/a", "mid-", 1, 2);
 	send_and_free(fd, text);
-	g_assert_true(
-		raw_read_marks(fd, answers, "{\"id\":\"mid-1\"", 1, WAIT_MS));
+	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"mid-1\"", 1,
+					   WAIT_MS));
 	refusal = strstr(answers->str, "HTTP/1.1 404");
 	g_assert_nonnull(refusal);
 	g_assert_true(strstr(answers->str, "\"mid-0\"") < refusal);
@@ -166,7 +167,7 @@
 
 /* The desk closes its connection while eight lookups run. Each of them would
  * hold a slot for ten seconds. */
-static void test_caller_goes(void)
+static void test_caller_disconnects(void)
 {
 	int64_t gone = pair_entry_count(&pair, "caller_gone");
 	int64_t started = pair_upstream_count(&pair, "started");
@@ -225,7 +226,8 @@
 	pair_add_request(text, "POST", "/s/book", "then-1");
 	add_lookups(text, "/s/a", "then-", 2, 3);
 	send_and_free(fd, text);
-	g_assert_true(raw_read_marks(fd, answers, "{\"id\":\"then-", 3, WAIT_MS));
+	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"then-", 3,
+					   WAIT_MS));
 	expect_order(answers, "then-", 3);
 	g_assert_cmpint(cluster_runs(&pair.cluster, "then-1"), ==, 1);
 	close(fd);
@@ -240,13 +242,13 @@
 {
 	GString *answers = g_string_new(NULL);
 	GString *text = g_string_new(NULL);
-	int fd = begin_with_slow("{\"factor\": 400}", "/s/a", "large-0");
+	int fd = start_slow_request("{\"factor\": 400}", "/s/a", "large-0");
 
 	add_lookups(text, "/bytes/1000000", "x", 1, CALLS);
 	add_lookups(text, "/s/a", "large-", 1, 2);
 	send_and_free(fd, text);
-	g_assert_true(
-		raw_read_marks(fd, answers, "{\"id\":\"large-1\"", 1, WAIT_MS));
+	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"large-1\"",
+					   1, WAIT_MS));
 	g_assert_cmpuint(raw_count(answers->str, "HTTP/1.1 200"), ==, CALLS + 1);
 	g_assert_cmpuint(raw_count(answers->str, "Content-Length: 1000000"), ==,
 			 CALLS - 1);
@@ -265,14 +267,15 @@
 	for (size_t i = 0; i < text->len; i++)
 		raw_send(fd, text->str + i, 1);
 	g_string_free(text, TRUE);
-	g_assert_true(raw_read_marks(fd, answers, "{\"id\":\"byte-", 3, WAIT_MS));
+	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"byte-", 3,
+					   WAIT_MS));
 	expect_order(answers, "byte-", 3);
 	close(fd);
 	g_string_free(answers, TRUE);
 }
 
 /* Takes all slots of the upstream, until it thaws. */
-static void take_all_slots(int fds[SLOTS / CALLS])
+static void occupy_all_slots(int fds[SLOTS / CALLS])
 {
 	int64_t started = pair_upstream_count(&pair, "started");
 
@@ -287,7 +290,7 @@
 	pair_wait_for(&pair, pair_upstream_count, "started", started + SLOTS);
 }
 
-static void send_aimed(int fd, const char *id)
+static void send_request_with_target(int fd, const char *id)
 {
 	GString *text = g_string_new(NULL);
 
@@ -308,14 +311,15 @@
 	int64_t began;
 	int fd;
 
-	take_all_slots(fds);
+	occupy_all_slots(fds);
 	fd = pair_connect(&pair);
 	began = g_get_monotonic_time();
-	send_aimed(fd, "aimed-0");
+	send_request_with_target(fd, "aimed-0");
 	rig_sleep_ms(50);
-	send_aimed(fd, "aimed-1");
-	g_assert_true(raw_read_marks(fd, answers, "HTTP/1.1 503", 2, WAIT_MS));
-	g_assert_cmpint(g_get_monotonic_time() - began, <, AIMED_US);
+	send_request_with_target(fd, "aimed-1");
+	g_assert_true(
+		raw_read_until_found(fd, answers, "HTTP/1.1 503", 2, WAIT_MS));
+	g_assert_cmpint(g_get_monotonic_time() - began, <, TARGET_REFUSAL_MAX_US);
 	g_assert_cmpuint(raw_count(answers->str, "\r\nRetry-After: "), ==, 2);
 	pair_set_upstream(&pair, "{\"freeze\": false}");
 	g_assert_cmpint(cluster_runs(&pair.cluster, "aimed-0"), ==, 0);
@@ -327,19 +331,19 @@
 
 /* Nobody waits behind a lookup that came alone: its late answer is of more use
  * to its caller than none. */
-static void test_one_alone_waits_on(void)
+static void test_single_request_waits_past_target(void)
 {
 	GString *answers = g_string_new(NULL);
 	int fds[SLOTS / CALLS];
 	int fd;
 
-	take_all_slots(fds);
+	occupy_all_slots(fds);
 	fd = pair_connect(&pair);
-	send_aimed(fd, "alone-0");
+	send_request_with_target(fd, "alone-0");
 	rig_sleep_ms(2 * TARGET_MS);
 	pair_set_upstream(&pair, "{\"freeze\": false}");
-	g_assert_true(
-		raw_read_marks(fd, answers, "{\"id\":\"alone-0\"", 1, WAIT_MS));
+	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"alone-0\"",
+					   1, WAIT_MS));
 	for (int i = 0; i < SLOTS / CALLS; i++)
 		close(fds[i]);
 	close(fd);
@@ -350,7 +354,7 @@
  * The daemon is stopped while eight lookups are on their way. All of them were
  * begun, so all are answered, and only the last answer closes the connection.
  */
-static void test_stop_in_the_midst(void)
+static void test_stop_with_requests_in_flight(void)
 {
 	int64_t started = pair_upstream_count(&pair, "started");
 	GString *answers = g_string_new(NULL);
@@ -365,7 +369,7 @@
 	rig_signal(pair.cluster.daemons[0], SIGTERM);
 	rig_sleep_ms(300);
 	pair_set_upstream(&pair, "{\"freeze\": false}");
-	g_assert_true(raw_read_to_close(fd, answers, WAIT_MS));
+	g_assert_true(raw_read_until_close(fd, answers, WAIT_MS));
 	g_assert_cmpuint(raw_count(answers->str, "HTTP/1.1 200"), ==, CALLS);
 	expect_order(answers, "stop-", CALLS);
 	g_assert_cmpuint(raw_count(answers->str, "Connection: close"), ==, 1);
@@ -379,18 +383,20 @@
 
 	g_test_init(&argc, &argv, NULL);
 	pair_start(&pair, config, G_STRINGIFY(SLOTS));
-	g_test_add_func("/ahead/at-once", test_all_begin_at_once);
+	g_test_add_func("/ahead/at-once",
+			test_pipelined_requests_run_concurrently);
 	g_test_add_func("/ahead/first-slowest", test_first_is_slowest);
 	g_test_add_func("/ahead/first-times-out", test_first_times_out);
 	g_test_add_func("/ahead/refusal", test_refusal_in_the_middle);
-	g_test_add_func("/ahead/caller-goes", test_caller_goes);
+	g_test_add_func("/ahead/caller-goes", test_caller_disconnects);
 	g_test_add_func("/ahead/booking-once", test_booking_runs_once);
 	g_test_add_func("/ahead/booking-follows", test_booking_follows);
 	g_test_add_func("/ahead/large", test_large_answers_wait);
 	g_test_add_func("/ahead/bytes", test_bytes_one_at_a_time);
 	g_test_add_func("/ahead/first-waits", test_first_waits_for_its_target);
-	g_test_add_func("/ahead/one-alone", test_one_alone_waits_on);
-	g_test_add_func("/ahead/stop", test_stop_in_the_midst);
+	g_test_add_func("/ahead/one-alone",
+			test_single_request_waits_past_target);
+	g_test_add_func("/ahead/stop", test_stop_with_requests_in_flight);
 	status = g_test_run();
 	cluster_stop(&pair.cluster);
 	return status;
--- a/tests/system/test_config.c
+++ b/tests/system/test_config.c
@@ -5,7 +5,7 @@
 
 #include "cluster.h"
 
-#define IN_FORCE_MS 10000 /* what is promised */
+#define PROPAGATION_MAX_MS 10000 /* what is promised */
 #define OPERATORS 5
 
 static struct cluster cluster;
@@ -42,7 +42,7 @@
 	return status;
 }
 
-static void apply_well(unsigned int daemon, const char *note)
+static void apply_and_expect_success(unsigned int daemon, const char *note)
 {
 	char *out;
 	long status = apply(daemon, applied, note, &out);
@@ -54,7 +54,7 @@
 	g_free(out);
 }
 
-static int64_t held_by(unsigned int i)
+static int64_t read_version(unsigned int i)
 {
 	char *json = rig_http_ok("GET", cluster.daemons[i]->admin_port,
 				 "/v1/config", NULL);
@@ -65,17 +65,17 @@
 	return version;
 }
 
-static bool all_hold(void *data)
+static bool all_have_applied(void *data)
 {
 	(void)data;
 	for (unsigned int i = 0; i < cluster.count; i++) {
-		if (held_by(i) != (int64_t)applied)
+		if (read_version(i) != (int64_t)applied)
 			return false;
 	}
 	return true;
 }
 
-static void fault(const char *json)
+static void set_platform_faults(const char *json)
 {
 	g_free(rig_http_ok("POST", cluster.platform->port, "/standin/fault",
 			   json));
@@ -104,8 +104,9 @@
 static void test_apply_is_in_force_everywhere(void)
 {
 	for (unsigned int i = 0; i < cluster.count; i++) {
-		apply_well(i, "first");
-		g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
+		apply_and_expect_success(i, "first");
+		g_assert_true(rig_wait_until(all_have_applied, NULL,
+					     PROPAGATION_MAX_MS));
 	}
 	for (unsigned int i = 0; i < cluster.count; i++) {
 		struct rig_answer *answer =
@@ -121,10 +122,10 @@
  * beside them. One gets its file in force; the others are told who did, or
  * their customers would be served by rules that nobody meant to keep.
  */
-static void test_one_of_racing_operators_wins(void)
+static void test_one_concurrent_apply_succeeds(void)
 {
 	/* So that all have read the same version before the first one writes. */
-	fault("{\"slow_ms\": 100}");
+	set_platform_faults("{\"slow_ms\": 100}");
 	for (int round = 0; round < 5; round++) {
 		struct rig_process *tools[OPERATORS];
 		char *base = g_strdup_printf("%d", (int)applied);
@@ -161,8 +162,8 @@
 		g_assert_cmpuint(count_commits(), ==, applied);
 		g_free(base);
 	}
-	fault("{\"slow_ms\": 0}");
-	g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
+	set_platform_faults("{\"slow_ms\": 0}");
+	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
 }
 
 /* The platform takes writes, but most answers are lost on the way. The apply
@@ -172,17 +173,17 @@
 {
 	char *stats;
 
-	fault("{\"lose_answer_share\": 0.7, \"seed\": 5}");
+	set_platform_faults("{\"lose_answer_share\": 0.7, \"seed\": 5}");
 	for (unsigned int i = 0; i < 4; i++) {
-		apply_well(i, "lost");
+		apply_and_expect_success(i, "lost");
 		g_assert_cmpuint(count_commits(), ==, applied);
 	}
-	fault("{\"lose_answer_share\": 0}");
+	set_platform_faults("{\"lose_answer_share\": 0}");
 	stats = rig_http_ok("GET", cluster.platform->port, "/standin/stats",
 			    NULL);
 	g_assert_cmpint(rig_json_int(stats, "lost_answers"), >=, 4);
 	g_free(stats);
-	g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
+	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
 }
 
 /*
@@ -195,7 +196,7 @@
 	struct rig_answer *answer;
 	char *out;
 
-	fault("{\"down\": true}");
+	set_platform_faults("{\"down\": true}");
 	g_assert_cmpint((int)apply(0, applied, "down", &out), !=, 200);
 	g_test_message("%s", out);
 	g_free(out);
@@ -204,15 +205,15 @@
 	rig_kill(cluster.upstreams[3]);
 	cluster_start_daemon(&cluster, 3, &options);
 	cluster_start_upstream(&cluster, 3, &options);
-	g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
+	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
 	for (unsigned int i = 0; i < cluster.count; i++) {
 		answer = cluster_call(&cluster, i, "GET", "/", "o1", NULL, 5000);
 		g_assert_cmpstr(cluster_outcome(answer), ==, "run");
 		rig_answer_free(answer);
 	}
-	fault("{\"down\": false}");
-	apply_well(3, "again");
-	g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
+	set_platform_faults("{\"down\": false}");
+	apply_and_expect_success(3, "again");
+	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
 }
 
 /* A daemon that is alone and finds no platform can't know any rule. It says
@@ -253,16 +254,16 @@
 {
 	struct rig_answer *answer;
 
-	fault("{\"slow_ms\": 1000}");
-	apply_well(2, "slow");
+	set_platform_faults("{\"slow_ms\": 1000}");
+	apply_and_expect_success(2, "slow");
 	answer = cluster_call(&cluster, 1, "GET", "/", "s1", NULL, 5000);
 	g_assert_cmpstr(cluster_outcome(answer), ==, "run");
 	rig_answer_free(answer);
-	g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
-	fault("{\"slow_ms\": 0}");
+	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
+	set_platform_faults("{\"slow_ms\": 0}");
 }
 
-static void test_wait_tells_how_many_hold(void)
+static void test_wait_reports_adopting_daemons(void)
 {
 	char *admin = g_strdup_printf("http://127.0.0.1:%u",
 				      cluster.daemons[0]->admin_port);
@@ -291,13 +292,13 @@
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
 	g_test_add_func("/config/everywhere", test_apply_is_in_force_everywhere);
-	g_test_add_func("/config/race", test_one_of_racing_operators_wins);
+	g_test_add_func("/config/race", test_one_concurrent_apply_succeeds);
 	g_test_add_func("/config/lost", test_lost_answers_are_resolved);
 	g_test_add_func("/config/outage", test_outage_stops_only_applies);
 	g_test_add_func("/config/nothing",
 			test_without_any_configuration_nothing_runs);
 	g_test_add_func("/config/slow", test_slow_platform_only_slows_applies);
-	g_test_add_func("/config/wait", test_wait_tells_how_many_hold);
+	g_test_add_func("/config/wait", test_wait_reports_adopting_daemons);
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/test_deadly.c
+++ b/tests/system/test_deadly.c
@@ -11,16 +11,16 @@
  * upstreams end for other reasons.
  */
 
-#define DEADLY_PATH "/crash/report"
+#define CRASHING_PATH "/crash/report"
 #define CALL_MS 3000
 #define PAUSE_MS 60
 #define WORK_MS 20 /* of each request */
 #define WAIT_UP_MS 15000
-#define FATAL 3 /* upstreams */
-#define KNOWN_US (3 * G_TIME_SPAN_SECOND) /* by then all daemons know */
+#define CRASHES_TO_HOLD 3 /* upstreams */
+#define PROPAGATION_US (3 * G_TIME_SPAN_SECOND) /* by then all daemons know */
 #define WATCH_US (5 * G_TIME_SPAN_SECOND) /* from then on */
-#define MORE_RUNS 3 /* that may follow */
-#define PATIENCE_US (40 * G_TIME_SPAN_SECOND)
+#define LATE_CRASHES_MAX 3 /* that may follow */
+#define CRASH_TIMEOUT_US (40 * G_TIME_SPAN_SECOND)
 
 static const struct cluster_options options = {
 	.count = 5,
@@ -29,8 +29,8 @@
 static struct cluster cluster;
 static unsigned int sent;
 
-static void call_by(unsigned int daemon, const char *path, char *outcome,
-		    size_t size)
+static void call_through(unsigned int daemon, const char *path, char *outcome,
+			 size_t size)
 {
 	char *id = g_strdup_printf("deadly-%u", ++sent);
 	struct rig_answer *answer =
@@ -42,16 +42,17 @@
 }
 
 /* RETURN VALUE: the upstreams that ended. */
-static unsigned int press(const char *path, unsigned int until_ended,
-			  gint64 until_us)
+static unsigned int call_repeatedly(const char *path, unsigned int until_ended,
+				    gint64 until_us)
 {
 	unsigned int ended = 0;
 	char outcome[32];
 
 	while (ended < until_ended && g_get_monotonic_time() < until_us) {
-		call_by(sent % cluster.count, path, outcome, sizeof(outcome));
+		call_through(sent % cluster.count, path, outcome,
+			     sizeof(outcome));
 		rig_sleep_ms(PAUSE_MS);
-		ended += cluster_revive(&cluster, &options);
+		ended += cluster_restart_upstreams(&cluster, &options);
 	}
 	return ended;
 }
@@ -61,33 +62,33 @@
 	char outcome[32];
 
 	for (unsigned int i = 0; i < cluster.count; i++) {
-		call_by(i, path, outcome, sizeof(outcome));
+		call_through(i, path, outcome, sizeof(outcome));
 		g_assert_cmpstr(outcome, ==, "run");
 	}
 }
 
-static void assert_not_sent_on(const char *path)
+static void assert_quarantined(const char *path)
 {
 	gint64 now = g_get_monotonic_time();
 	unsigned int ended;
 
-	ended = press(path, FATAL, now + PATIENCE_US);
-	g_assert_cmpuint(ended, >=, FATAL);
+	ended = call_repeatedly(path, CRASHES_TO_HOLD, now + CRASH_TIMEOUT_US);
+	g_assert_cmpuint(ended, >=, CRASHES_TO_HOLD);
 	now = g_get_monotonic_time();
-	press(path, UINT_MAX, now + KNOWN_US);
-	ended = press(path, UINT_MAX, now + KNOWN_US + WATCH_US);
-	g_assert_cmpuint(ended, <=, MORE_RUNS);
+	call_repeatedly(path, UINT_MAX, now + PROPAGATION_US);
+	ended = call_repeatedly(path, UINT_MAX, now + PROPAGATION_US + WATCH_US);
+	g_assert_cmpuint(ended, <=, LATE_CRASHES_MAX);
 }
 
 /* Guards against a request that ends each upstream that runs it and is sent on, by
  * any entry, until none is left. */
-static void test_a_deadly_request_is_not_sent_on(void)
+static void test_crashing_request_is_quarantined(void)
 {
 	char outcome[32];
 
-	assert_not_sent_on(DEADLY_PATH);
+	assert_quarantined(CRASHING_PATH);
 	for (unsigned int i = 0; i < cluster.count; i++) {
-		call_by(i, DEADLY_PATH, outcome, sizeof(outcome));
+		call_through(i, CRASHING_PATH, outcome, sizeof(outcome));
 		g_assert_cmpstr(outcome, ==, "not-run");
 	}
 }
@@ -108,7 +109,7 @@
 	return !holds;
 }
 
-static void lose_power(unsigned int hosts)
+static void kill_hosts(unsigned int hosts)
 {
 	for (unsigned int i = 0; i < hosts; i++) {
 		rig_signal(cluster.daemons[i], SIGKILL);
@@ -116,7 +117,7 @@
 	}
 }
 
-static void start_again(unsigned int hosts)
+static void restart_hosts(unsigned int hosts)
 {
 	for (unsigned int i = 0; i < hosts; i++) {
 		rig_kill(cluster.daemons[i]);
@@ -127,7 +128,7 @@
 	wait_all_up();
 }
 
-static bool all_hold_it(void *unused)
+static bool all_hold_request(void *unused)
 {
 	bool all = true;
 
@@ -139,18 +140,18 @@
 
 /* Guards against a request that ends upstreams anew after all daemons have lost
  * what they knew together. */
-static void test_it_is_known_after_all_lost_power(void)
+static void test_quarantine_survives_loss_of_all_hosts(void)
 {
-	lose_power(cluster.count);
-	start_again(cluster.count);
-	g_assert_true(rig_wait_until(all_hold_it, NULL, CALL_MS));
-	g_assert_cmpuint(
-		press(DEADLY_PATH, UINT_MAX, g_get_monotonic_time() + KNOWN_US),
-		==, 0);
+	kill_hosts(cluster.count);
+	restart_hosts(cluster.count);
+	g_assert_true(rig_wait_until(all_hold_request, NULL, CALL_MS));
+	g_assert_cmpuint(call_repeatedly(CRASHING_PATH, UINT_MAX,
+					 g_get_monotonic_time() + PROPAGATION_US),
+			 ==, 0);
 }
 
 /* Guards against a request that stays refused where its operator knows better. */
-static void test_an_operator_clears_it_everywhere(void)
+static void test_operator_clears_quarantine(void)
 {
 	char *list = rig_http_ok("GET", cluster.daemons[0]->admin_port,
 				 "/v1/quarantine", NULL);
@@ -176,38 +177,40 @@
 
 /* Guards against a request that goes on to end upstreams since some that failed all
  * requests had answered it. */
-static void test_a_failure_clears_nothing(void)
+static void test_failed_answers_clear_no_marks(void)
 {
 	char outcome[32];
 
 	set_upstreams("{\"fail_fast\": true}");
 	for (unsigned int i = 0; i < cluster.count; i++)
-		call_by(i, "/crash/failing", outcome, sizeof(outcome));
+		call_through(i, "/crash/failing", outcome, sizeof(outcome));
 	set_upstreams("{\"fail_fast\": false}");
-	assert_not_sent_on("/crash/failing");
+	assert_quarantined("/crash/failing");
 }
 
 /* Guards against callers that are refused since an upstream drops connections: it
  * has not crashed. */
 static void test_dropped_connections_mark_nothing(void)
 {
-	int64_t before = cluster_sum(&cluster, "quarantine_marked");
+	int64_t before = cluster_sum_counter(&cluster, "quarantine_marked");
 	char outcome[32];
 
 	set_upstreams("{\"drop_next\": 4, \"drop_runs\": true}");
 	for (unsigned int i = 0; i < 2 * cluster.count; i++) {
-		call_by(i % cluster.count, "/dropped", outcome, sizeof(outcome));
+		call_through(i % cluster.count, "/dropped", outcome,
+			     sizeof(outcome));
 		rig_sleep_ms(PAUSE_MS);
 	}
 	set_upstreams("{\"drop_next\": 0}");
-	g_assert_cmpint(cluster_sum(&cluster, "owner_broken"), >, 0);
-	g_assert_cmpint(cluster_sum(&cluster, "quarantine_marked"), ==, before);
+	g_assert_cmpint(cluster_sum_counter(&cluster, "owner_broken"), >, 0);
+	g_assert_cmpint(cluster_sum_counter(&cluster, "quarantine_marked"), ==,
+			before);
 	assert_served_everywhere("/dropped");
 }
 
 /* One call of each daemon, at work at the same time.
  * RETURN VALUE: their connections, in an array of cluster.count. */
-static void ask_all(const char *path, int *fds)
+static void send_to_all(const char *path, int *fds)
 {
 	for (unsigned int i = 0; i < cluster.count; i++) {
 		char *text = g_strdup_printf(
@@ -221,7 +224,7 @@
 	}
 }
 
-static void hang_up(const int *fds)
+static void close_all(const int *fds)
 {
 	for (unsigned int i = 0; i < cluster.count; i++)
 		close(fds[i]);
@@ -229,20 +232,21 @@
 
 /* Guards against callers of a popular request that are refused since it ran
  * wherever another one ended the upstream. */
-static void test_popular_requests_beside_it_are_served(void)
+static void test_concurrent_popular_request_is_served(void)
 {
 	int fds[CLUSTER_MAX] = {0};
 	char outcome[32];
 	unsigned int ended = 0;
 
-	while (ended < 2 * FATAL - 1) {
+	while (ended < 2 * CRASHES_TO_HOLD - 1) {
 		char *path = g_strdup_printf("/crash/other-%u", ended / 2);
 
-		ask_all("/popular", fds);
-		call_by(sent % cluster.count, path, outcome, sizeof(outcome));
+		send_to_all("/popular", fds);
+		call_through(sent % cluster.count, path, outcome,
+			     sizeof(outcome));
 		rig_sleep_ms(PAUSE_MS);
-		hang_up(fds);
-		ended += cluster_revive(&cluster, &options);
+		close_all(fds);
+		ended += cluster_restart_upstreams(&cluster, &options);
 		wait_all_up();
 		g_free(path);
 	}
@@ -251,17 +255,17 @@
 
 /* Guards against callers that are refused since upstreams crash by themselves while
  * their request runs. */
-static void test_requests_at_upstreams_that_crash_by_themselves(void)
+static void test_unrelated_crashes_hold_nothing(void)
 {
 	int fds[CLUSTER_MAX] = {0};
 
-	for (unsigned int round = 0; round < FATAL + 1; round++) {
-		ask_all("/alike", fds);
+	for (unsigned int round = 0; round < CRASHES_TO_HOLD + 1; round++) {
+		send_to_all("/alike", fds);
 		rig_sleep_ms(WORK_MS / 4);
 		rig_kill(cluster.upstreams[round]);
 		rig_sleep_ms(PAUSE_MS);
-		hang_up(fds);
-		cluster_revive(&cluster, &options);
+		close_all(fds);
+		cluster_restart_upstreams(&cluster, &options);
 		wait_all_up();
 	}
 	assert_served_everywhere("/alike");
@@ -269,15 +273,15 @@
 
 /* Guards against callers that are refused since hosts lost their power together
  * while their request ran there. */
-static void test_requests_at_hosts_that_lose_power(void)
+static void test_host_failures_hold_nothing(void)
 {
 	int fds[CLUSTER_MAX] = {0};
 
-	ask_all("/dark", fds);
+	send_to_all("/dark", fds);
 	rig_sleep_ms(WORK_MS / 4);
-	lose_power(FATAL);
-	hang_up(fds);
-	start_again(FATAL);
+	kill_hosts(CRASHES_TO_HOLD);
+	close_all(fds);
+	restart_hosts(CRASHES_TO_HOLD);
 	assert_served_everywhere("/dark");
 }
 
@@ -288,17 +292,17 @@
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
 	g_test_add_func("/deadly/not-sent-on",
-			test_a_deadly_request_is_not_sent_on);
+			test_crashing_request_is_quarantined);
 	g_test_add_func("/deadly/all-lost-power",
-			test_it_is_known_after_all_lost_power);
-	g_test_add_func("/deadly/cleared", test_an_operator_clears_it_everywhere);
-	g_test_add_func("/deadly/failing", test_a_failure_clears_nothing);
+			test_quarantine_survives_loss_of_all_hosts);
+	g_test_add_func("/deadly/cleared", test_operator_clears_quarantine);
+	g_test_add_func("/deadly/failing", test_failed_answers_clear_no_marks);
 	g_test_add_func("/deadly/dropped", test_dropped_connections_mark_nothing);
 	g_test_add_func("/deadly/popular",
-			test_popular_requests_beside_it_are_served);
+			test_concurrent_popular_request_is_served);
 	g_test_add_func("/deadly/by-themselves",
-			test_requests_at_upstreams_that_crash_by_themselves);
-	g_test_add_func("/deadly/power", test_requests_at_hosts_that_lose_power);
+			test_unrelated_crashes_hold_nothing);
+	g_test_add_func("/deadly/power", test_host_failures_hold_nothing);
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/test_edges.c
+++ b/tests/system/test_edges.c
@@ -21,7 +21,7 @@
 
 static struct cluster cluster;
 
-struct shape {
+struct malformed_request {
 	const char *name;
 	const char *head; /* of a request with the id "outer" */
 	const char *counter; /* NULL: caller_bad_requests */
@@ -30,7 +30,7 @@
 
 #define SIZED(text) .head = (text), .size = sizeof(text) - 1
 
-static const struct shape bad_shapes[] = {
+static const struct malformed_request malformed_requests[] = {
 	{"length-and-chunked",
 	 "POST /s HTTP/1.1\r\n" OUTER "Content-Length: 4\r\n"
 	 "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
@@ -115,20 +115,22 @@
  * another caller's answer as its price. So whatever can be read in two ways is
  * refused, and nothing after it on the connection is taken for a request.
  */
-static void test_bad_shape(const void *data)
+static void test_malformed_request(const void *data)
 {
-	const struct shape *shape = data;
+	const struct malformed_request *malformed_request = data;
 	GString *answer = g_string_new(NULL);
-	const char *counter =
-		shape->counter ? shape->counter : "caller_bad_requests";
+	const char *counter = malformed_request->counter ?
+				      malformed_request->counter :
+				      "caller_bad_requests";
 	int64_t before = cluster_counter(&cluster, 0, counter);
 	int fd = raw_connect(cluster.daemons[0]->caller_port);
 	bool closed;
 
-	raw_send(fd, shape->head,
-		 shape->size ? shape->size : strlen(shape->head));
+	raw_send(fd, malformed_request->head,
+		 malformed_request->size ? malformed_request->size :
+					   strlen(malformed_request->head));
 	raw_send_text(fd, NEXT);
-	closed = raw_read_to_close(fd, answer, CLOSE_MS);
+	closed = raw_read_until_close(fd, answer, CLOSE_MS);
 	g_test_message("%.*s", 60, answer->str);
 	g_assert_true(closed);
 	g_assert_null(strstr(answer->str, "HTTP/1.1 2"));
@@ -142,12 +144,14 @@
 	g_string_free(answer, TRUE);
 }
 
-static void add_bad_shapes(void)
+static void add_malformed_requests(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(bad_shapes); i++) {
-		char *path = g_strdup_printf("/edges/bad/%s", bad_shapes[i].name);
+	for (size_t i = 0; i < G_N_ELEMENTS(malformed_requests); i++) {
+		char *path = g_strdup_printf("/edges/bad/%s",
+					     malformed_requests[i].name);
 
-		g_test_add_data_func(path, &bad_shapes[i], test_bad_shape);
+		g_test_add_data_func(path, &malformed_requests[i],
+				     test_malformed_request);
 		g_free(path);
 	}
 }
@@ -158,7 +162,7 @@
 	int fd = raw_connect(cluster.daemons[0]->caller_port);
 
 	raw_send_text(fd, request);
-	*closed = raw_read_to_close(fd, answer, CLOSE_MS);
+	*closed = raw_read_until_close(fd, answer, CLOSE_MS);
 	close(fd);
 	return answer;
 }
@@ -238,10 +242,11 @@
 
 	raw_send_text(fd, "POST /echo HTTP/1.1\r\nHost: h\r\n"
 			  "Expect: 100-continue\r\nContent-Length: 5\r\n\r\n");
-	g_assert_true(raw_read_marks(fd, answer, "HTTP/1.1 100 Continue\r\n\r\n",
-				     1, CLOSE_MS));
+	g_assert_true(raw_read_until_found(
+		fd, answer, "HTTP/1.1 100 Continue\r\n\r\n", 1, CLOSE_MS));
 	raw_send_text(fd, "hello");
-	g_assert_true(raw_read_marks(fd, answer, "\r\n\r\nhello", 1, CLOSE_MS));
+	g_assert_true(
+		raw_read_until_found(fd, answer, "\r\n\r\nhello", 1, CLOSE_MS));
 	g_assert_nonnull(strstr(answer->str, "HTTP/1.1 200 OK"));
 	close(fd);
 	g_string_free(answer, TRUE);
@@ -269,8 +274,8 @@
 			  "Content-Length: 4000000\r\n\r\n");
 	for (int i = 0; i < 50000; i++)
 		raw_send_text(fd, NEXT);
-	g_assert_true(
-		raw_read_marks(fd, answer, "no service or rule", 1, CLOSE_MS));
+	g_assert_true(raw_read_until_found(fd, answer, "no service or rule", 1,
+					   CLOSE_MS));
 	g_assert_cmpuint(raw_count(answer->str, "HTTP/1.1 "), ==, 1);
 	g_assert_true(g_str_has_prefix(answer->str, "HTTP/1.1 404"));
 	close(fd);
@@ -320,7 +325,7 @@
 		raw_send(fd, request + i, 1);
 		rig_sleep_ms(i % 10 ? 1 : 10);
 	}
-	g_assert_true(raw_read_to_close(fd, answer, CLOSE_MS));
+	g_assert_true(raw_read_until_close(fd, answer, CLOSE_MS));
 	g_assert_true(g_str_has_prefix(answer->str, "HTTP/1.1 200"));
 	g_assert_true(g_str_has_suffix(answer->str, "\r\n\r\nhello, world"));
 	g_assert_cmpint(cluster_runs(&cluster, "slow"), ==, 1);
@@ -344,7 +349,7 @@
 	g_string_free(answer, TRUE);
 }
 
-static void add_sound_edges(void)
+static void add_other_edges(void)
 {
 	g_test_add_func("/edges/oversize-head", test_oversize_head);
 	g_test_add_func("/edges/pipelining", test_pipelining);
@@ -364,8 +369,8 @@
 
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
-	add_bad_shapes();
-	add_sound_edges();
+	add_malformed_requests();
+	add_other_edges();
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/test_failures.c
+++ b/tests/system/test_failures.c
@@ -43,10 +43,10 @@
 		rig_sleep_ms(1500);
 		rig_kill(cluster.daemons[VICTIM]);
 		rig_kill(cluster.upstreams[VICTIM]);
-		ledger_add(&ledger, &cluster, &load);
+		ledger_collect(&ledger, &cluster, &load);
 		restart_host(VICTIM);
 	}
-	ledger_assert_clean(&ledger);
+	ledger_assert_no_violations(&ledger);
 	g_assert_cmpuint(ledger.served, >, ledger.calls / 2);
 }
 
@@ -70,10 +70,10 @@
 			cluster_start_daemon(&cluster, VICTIM, &options);
 			cluster_announce(&cluster, VICTIM, &options);
 		}
-		ledger_add(&ledger, &cluster, &load);
+		ledger_collect(&ledger, &cluster, &load);
 		cluster_wait_up(&cluster, cluster.count, WAIT_UP_MS);
 	}
-	ledger_assert_clean(&ledger);
+	ledger_assert_no_violations(&ledger);
 	g_assert_cmpuint(ledger.served, >, ledger.calls / 2);
 }
 
@@ -92,11 +92,11 @@
 
 		rig_sleep_ms(1500);
 		rig_kill(cluster.upstreams[VICTIM]);
-		ledger_add(&ledger, &cluster, &load);
+		ledger_collect(&ledger, &cluster, &load);
 		cluster_start_upstream(&cluster, VICTIM, &options);
 		cluster_wait_up(&cluster, cluster.count, WAIT_UP_MS);
 	}
-	ledger_assert_clean(&ledger);
+	ledger_assert_no_violations(&ledger);
 	/* What it ran when it died, at most: its slots, twice. */
 	g_assert_cmpuint(ledger.unknown, <=, 2 * 16);
 	g_assert_cmpuint(ledger.broken, <=, 2 * 16);
@@ -117,9 +117,9 @@
 		rig_signal(process, SIGCONT);
 		rig_sleep_ms(1000);
 	}
-	ledger_add(&ledger, &cluster, &load);
+	ledger_collect(&ledger, &cluster, &load);
 	cluster_wait_up(&cluster, cluster.count, WAIT_UP_MS);
-	ledger_assert_clean(&ledger);
+	ledger_assert_no_violations(&ledger);
 	g_assert_cmpuint(ledger.served, >, ledger.calls / 2);
 }
 
@@ -141,9 +141,9 @@
 		rig_signal(cluster.daemons[VICTIM], SIGCONT);
 		rig_sleep_ms(1000);
 	}
-	ledger_add(&ledger, &cluster, &load);
+	ledger_collect(&ledger, &cluster, &load);
 	cluster_wait_up(&cluster, cluster.count, WAIT_UP_MS);
-	ledger_assert_clean(&ledger);
+	ledger_assert_no_violations(&ledger);
 	g_assert_cmpuint(ledger.broken, ==, 0);
 	g_assert_cmpuint(ledger.served, >, ledger.calls * 9 / 10);
 }
--- a/tests/system/test_gone.c
+++ b/tests/system/test_gone.c
@@ -97,7 +97,8 @@
 	pair_wait_for(&pair, pair_owner_count, "owner_attempts", attempts + 2);
 	close(second);
 	pair_wait_for(&pair, pair_entry_count, "caller_gone", gone + 1);
-	g_assert_true(raw_read_marks(first, answer, "\"stays\"", 1, WAIT_MS));
+	g_assert_true(
+		raw_read_until_found(first, answer, "\"stays\"", 1, WAIT_MS));
 	close(first);
 	expect_slot_is_free();
 	g_assert_cmpint(cluster_runs(&pair.cluster, "gone-queued"), ==, 0);
@@ -134,7 +135,8 @@
 	GString *answer = g_string_new(NULL);
 	int fd = send_request("GET", "/bytes/200000000", "gone-answered");
 
-	g_assert_true(raw_read_marks(fd, answer, "gone-answered", 1000, WAIT_MS));
+	g_assert_true(raw_read_until_found(fd, answer, "gone-answered", 1000,
+					   WAIT_MS));
 	close(fd);
 	pair_wait_for(&pair, pair_entry_count, "caller_gone", gone + 1);
 	pair_wait_for(&pair, pair_owner_count, "owner_cancels", cancels + 1);
@@ -199,7 +201,7 @@
 	fd = send_request("GET", "/slow", "half-closed");
 	pair_wait_for(&pair, pair_upstream_count, "started", started + 1);
 	shutdown(fd, SHUT_WR);
-	g_assert_true(raw_read_to_close(fd, answer, WAIT_MS));
+	g_assert_true(raw_read_until_close(fd, answer, WAIT_MS));
 	g_assert_cmpuint(answer->len, ==, 0);
 	pair_wait_for(&pair, pair_entry_count, "caller_gone", gone + 1);
 	close(fd);
--- a/tests/system/test_halves.c
+++ b/tests/system/test_halves.c
@@ -41,20 +41,20 @@
 	return true;
 }
 
-static bool halves_are_apart(void *data)
+static bool is_partition_detected(void *data)
 {
 	(void)data;
 	return all_see("dead", HOSTS / 2);
 }
 
-static bool halves_are_one(void *data)
+static bool is_partition_healed(void *data)
 {
 	(void)data;
 	return all_see("alive", HOSTS);
 }
 
 /* Gossip from the hosts of one half to those of the other is lost, both ways. */
-static void part(void)
+static void partition_network(void)
 {
 	for (unsigned int i = 0; i < HOSTS; i++) {
 		GString *command = g_string_new("{\"lose_from\": [");
@@ -70,7 +70,7 @@
 	}
 }
 
-static void join(void)
+static void heal_partition(void)
 {
 	for (unsigned int i = 0; i < HOSTS; i++)
 		cluster_set_relay(&cluster, i, "{\"lose_from\": []}");
@@ -95,18 +95,18 @@
  * nobody is told; without pings to the dead the halves would stay apart for good,
  * and callers would be served by half of the upstreams.
  */
-static void test_halves_meet_again(void)
+static void test_partition_heals(void)
 {
-	int64_t joined_us;
+	int64_t healed_us;
 
-	part();
-	g_assert_true(rig_wait_until(halves_are_apart, NULL, WAIT_DEAD_MS));
+	partition_network();
+	g_assert_true(rig_wait_until(is_partition_detected, NULL, WAIT_DEAD_MS));
 	assert_all_serve();
-	join();
-	joined_us = g_get_monotonic_time();
-	g_assert_true(rig_wait_until(halves_are_one, NULL, WAIT_MERGED_MS));
+	heal_partition();
+	healed_us = g_get_monotonic_time();
+	g_assert_true(rig_wait_until(is_partition_healed, NULL, WAIT_MERGED_MS));
 	g_test_message("one again after %.1f s",
-		       (double)(g_get_monotonic_time() - joined_us) / 1e6);
+		       (double)(g_get_monotonic_time() - healed_us) / 1e6);
 	cluster_wait_up(&cluster, HOSTS, WAIT_UP_MS);
 	assert_all_serve();
 }
@@ -116,7 +116,7 @@
 	int result;
 
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/halves/meet-again", test_halves_meet_again);
+	g_test_add_func("/halves/meet-again", test_partition_heals);
 	cluster_start(&cluster, &options);
 	result = g_test_run();
 	cluster_stop(&cluster);
--- a/tests/system/test_large_config.c
+++ b/tests/system/test_large_config.c
@@ -16,10 +16,10 @@
  */
 
 #define HOSTS 3
-#define APART (HOSTS - 1) /* the host that the store turns away */
+#define ISOLATED (HOSTS - 1) /* the host that the store turns away */
 #define MORE_ROUTES 8000
 #define WAIT_MS 10000
-#define IN_FORCE_MS 10000 /* what operators are promised */
+#define PROPAGATION_MAX_MS 10000 /* what operators are promised */
 
 static const struct fleet_options options = {
 	.count = HOSTS,
@@ -32,13 +32,13 @@
 
 static bool is_served(void *path)
 {
-	return fleet_get(&fleet, APART, path) == 200;
+	return fleet_get(&fleet, ISOLATED, path) == 200;
 }
 
 static bool knows_all(void *unused)
 {
 	(void)unused;
-	return fleet_metric(&fleet, APART,
+	return fleet_metric(&fleet, ISOLATED,
 			    "comfreydock_members{state=\"alive\"}") == HOSTS;
 }
 
@@ -52,26 +52,27 @@
 	struct new_route *route = data;
 	long status;
 
-	if (fleet_metric(&fleet, APART, "comfreydock_config_behind") > 0)
+	if (fleet_metric(&fleet, ISOLATED, "comfreydock_config_behind") > 0)
 		route->is_known_of = true;
-	status = fleet_get(&fleet, APART, "/fresh/1");
+	status = fleet_get(&fleet, ISOLATED, "/fresh/1");
 	route->denied += route->is_known_of && status == 404;
 	return status == 200;
 }
 
-static void test_large_configuration_reaches_a_host_apart(void)
+static void test_large_configuration_reaches_an_isolated_host(void)
 {
 	struct new_route route = {false};
 
 	fleet_put_config(&fleet, 3, "list");
 	g_assert_true(rig_wait_until(is_served, (void *)"/list/1", WAIT_MS));
 	g_assert_true(rig_wait_until(knows_all, NULL, WAIT_MS));
-	fleet_set_relay(&fleet, APART, FLEET_LINK_STORE, "{\"cut\": true}");
+	fleet_set_relay(&fleet, ISOLATED, FLEET_LINK_STORE, "{\"cut\": true}");
 	fleet_put_large_config(&fleet, 5, "fresh", MORE_ROUTES);
-	g_assert_true(rig_wait_until(is_new_route_served, &route, IN_FORCE_MS));
+	g_assert_true(rig_wait_until(is_new_route_served, &route,
+				     PROPAGATION_MAX_MS));
 	g_assert_cmpuint(route.denied, ==, 0);
-	g_assert_cmpint(fleet_get(&fleet, APART, "/more-7999/1"), ==, 200);
-	g_assert_cmpint(fleet_get(&fleet, APART, "/list/1"), ==, 404);
+	g_assert_cmpint(fleet_get(&fleet, ISOLATED, "/more-7999/1"), ==, 200);
+	g_assert_cmpint(fleet_get(&fleet, ISOLATED, "/list/1"), ==, 404);
 }
 
 int main(int argc, char **argv)
@@ -81,7 +82,7 @@
 	g_test_init(&argc, &argv, NULL);
 	fleet_start(&fleet, &options);
 	g_test_add_func("/large-config/apart",
-			test_large_configuration_reaches_a_host_apart);
+			test_large_configuration_reaches_an_isolated_host);
 	result = g_test_run();
 	fleet_stop(&fleet);
 	return result;
--- a/tests/system/test_links.c
+++ b/tests/system/test_links.c
@@ -26,8 +26,8 @@
 
 /* Disturbs the link twice under a load of both kinds.
  * RETURN VALUE: what callers were told. */
-static struct ledger disturb(const char *on, const char *off, int for_ms,
-			     const char *seed)
+static struct ledger disturb_link(const char *on, const char *off, int for_ms,
+				  const char *seed)
 {
 	struct ledger ledger = {0};
 	struct ledger_load load = ledger_start_load(
@@ -41,9 +41,9 @@
 		cluster_set_relay(&cluster, RELAYED, off);
 		rig_sleep_ms(500);
 	}
-	ledger_add(&ledger, &cluster, &load);
+	ledger_collect(&ledger, &cluster, &load);
 	cluster_wait_up(&cluster, cluster.count, WAIT_UP_MS);
-	ledger_assert_clean(&ledger);
+	ledger_assert_no_violations(&ledger);
 	return ledger;
 }
 
@@ -54,7 +54,7 @@
 static void test_cut_links(void)
 {
 	struct ledger ledger =
-		disturb("{\"cut\": true}", "{\"cut\": false}", 300, "51");
+		disturb_link("{\"cut\": true}", "{\"cut\": false}", 300, "51");
 
 	g_assert_cmpuint(ledger.served, >, ledger.calls * 9 / 10);
 }
@@ -66,10 +66,10 @@
  */
 static void test_half_open_links(void)
 {
-	struct ledger ledger =
-		disturb("{\"hold_forward\": true, \"hold_backward\": true}",
-			"{\"hold_forward\": false, \"hold_backward\": false}",
-			HOLD_MS, "52");
+	struct ledger ledger = disturb_link(
+		"{\"hold_forward\": true, \"hold_backward\": true}",
+		"{\"hold_forward\": false, \"hold_backward\": false}", HOLD_MS,
+		"52");
 
 	g_assert_cmpuint(ledger.served, >, ledger.calls * 9 / 10);
 }
@@ -81,8 +81,8 @@
 static void test_answers_that_come_late(void)
 {
 	struct ledger ledger =
-		disturb("{\"hold_backward\": true}",
-			"{\"hold_backward\": false}", HOLD_MS, "53");
+		disturb_link("{\"hold_backward\": true}",
+			     "{\"hold_backward\": false}", HOLD_MS, "53");
 
 	g_assert_cmpuint(ledger.served, >, ledger.calls * 9 / 10);
 }
@@ -97,8 +97,8 @@
 	int64_t before = cluster_counter(&cluster, 0, "peer_unmatched") +
 			 cluster_counter(&cluster, 1, "peer_unmatched");
 	struct ledger ledger =
-		disturb("{\"hold_backward\": true}",
-			"{\"hold_backward\": false}", SHORT_HOLD_MS, "55");
+		disturb_link("{\"hold_backward\": true}",
+			     "{\"hold_backward\": false}", SHORT_HOLD_MS, "55");
 
 	g_assert_cmpuint(ledger.served, >, ledger.calls * 8 / 10);
 	g_assert_cmpint(cluster_counter(&cluster, 0, "peer_unmatched") +
@@ -110,8 +110,8 @@
 static void test_requests_that_come_late(void)
 {
 	struct ledger ledger =
-		disturb("{\"hold_forward\": true}", "{\"hold_forward\": false}",
-			HOLD_MS, "54");
+		disturb_link("{\"hold_forward\": true}",
+			     "{\"hold_forward\": false}", HOLD_MS, "54");
 
 	g_assert_cmpuint(ledger.served, >, ledger.calls * 9 / 10);
 }
--- a/tests/system/test_load.c
+++ b/tests/system/test_load.c
@@ -26,11 +26,11 @@
 #define RATE_QUIET "90"
 #define RATE_OVERLOAD "900"
 /* A caller that has heard nothing at twice the deadline hangs up. */
-#define HANG_UP_MS "2000"
+#define CALLER_TIMEOUT_MS "2000"
 #define SETTLE_MS 2000
 #define LOAD_MS 60000
 /* Calls of the caller in a rush that are looked at one by one. */
-#define SINGLES 20
+#define CONCURRENT_CALLS 20
 
 static struct cluster cluster;
 
@@ -49,7 +49,7 @@
 			 targets[2], "--rate", rate, "--seconds", seconds,
 			 "--header", header, "--id-prefix", caller,
 			 "--share-nonidempotent", "0.2", "--deadline-ms",
-			 HANG_UP_MS, NULL);
+			 CALLER_TIMEOUT_MS, NULL);
 	for (unsigned int i = 0; i < G_N_ELEMENTS(targets); i++)
 		g_free(targets[i]);
 	g_free(header);
@@ -111,15 +111,15 @@
 
 /* All at once: one after the other, those that wait to be served would outlast
  * the rush. RETURN VALUE: how many were refused. */
-static int call_in_rush(void)
+static int call_during_overload(void)
 {
-	GThread *threads[SINGLES];
+	GThread *threads[CONCURRENT_CALLS];
 	int refused = 0;
 
-	for (int i = 0; i < SINGLES; i++)
+	for (int i = 0; i < CONCURRENT_CALLS; i++)
 		threads[i] = g_thread_new("single", call_in_thread,
 					  GINT_TO_POINTER(i));
-	for (int i = 0; i < SINGLES; i++)
+	for (int i = 0; i < CONCURRENT_CALLS; i++)
 		refused += GPOINTER_TO_INT(g_thread_join(threads[i]));
 	return refused;
 }
@@ -136,7 +136,7 @@
 	char *out;
 
 	rig_sleep_ms(1500);
-	refused = call_in_rush();
+	refused = call_during_overload();
 	out = finish_load(load);
 	g_assert_cmpint(refused, >, 0);
 	g_assert_cmpint(rig_json_int(out, "run"), >, 0);
--- a/tests/system/test_on_platform.c
+++ b/tests/system/test_on_platform.c
@@ -13,7 +13,7 @@
 #define SLOTS 8
 #define WAIT_MS 10000
 #define CALL_MS 5000
-#define IN_FORCE_MS 2000
+#define PROPAGATION_MAX_MS 2000
 
 static const struct fleet_options options = {
 	.count = HOSTS,
@@ -31,7 +31,7 @@
 
 static unsigned int runs_at(unsigned int i)
 {
-	return fleet_runs_at(&fleet, i);
+	return fleet_count_runs_on_host(&fleet, i);
 }
 
 static struct rig_answer *call_as(unsigned int i, const char *method,
@@ -129,7 +129,7 @@
 	fleet_put_config(&fleet, 3, "list");
 	for (unsigned int i = 0; i < HOSTS; i++) {
 		g_assert_true(rig_wait_until(is_ready, GUINT_TO_POINTER(i),
-					     IN_FORCE_MS));
+					     PROPAGATION_MAX_MS));
 		wait_upstream(i);
 		wait_served(i, "/list/1", WAIT_MS);
 		/* What follows counts on a choice of upstreams. */
@@ -155,7 +155,7 @@
 	g_assert_cmpstr(
 		g_hash_table_lookup(answer->headers, "x-seen-caller-service"),
 		==, "beside-1");
-	g_assert_cmpuint(fleet_runs_of(&fleet, "booking-1"), ==, 1);
+	g_assert_cmpuint(fleet_count_runs_of_id(&fleet, "booking-1"), ==, 1);
 	rig_answer_free(answer);
 }
 
@@ -164,7 +164,7 @@
  * comes next must not get it: a listing is fetched again, a booking of which
  * nobody knows is told so, and made once.
  */
-static void test_strange_answers_reach_nobody(void)
+static void test_mismatched_answers_are_discarded(void)
 {
 	for (unsigned int i = 0; i < HOSTS; i++)
 		set_upstream(i, "{\"strange_next\": 1}");
@@ -182,7 +182,7 @@
 				==, id);
 		else
 			g_assert_cmpint(answer->status, ==, 502);
-		g_assert_cmpuint(fleet_runs_of(&fleet, id), ==, 1);
+		g_assert_cmpuint(fleet_count_runs_of_id(&fleet, id), ==, 1);
 		rig_answer_free(answer);
 	}
 }
@@ -199,7 +199,7 @@
 
 /* 503 of a booking that was made, without a word that it was not: it must not
  * be passed on, nor lead to a second one. */
-static void test_empty_promises_are_not_passed_on(void)
+static void test_false_not_run_is_not_forwarded(void)
 {
 	unsigned int calls = 0;
 
@@ -216,7 +216,8 @@
 			answer = call_as(n % HOSTS, "POST", "/book/1", id);
 			g_assert_cmpint(answer->status, !=, 503);
 			broken = answer->status == 502;
-			g_assert_cmpuint(fleet_runs_of(&fleet, id), ==, 1);
+			g_assert_cmpuint(fleet_count_runs_of_id(&fleet, id), ==,
+					 1);
 			rig_answer_free(answer);
 		}
 		g_assert_true(broken);
@@ -249,7 +250,7 @@
 		     drains ? "{\"draining\": true}" : "{\"draining\": false}");
 }
 
-static gpointer call_patiently(gpointer data)
+static gpointer call_with_long_deadline(gpointer data)
 {
 	return GINT_TO_POINTER(call(GPOINTER_TO_UINT(data), "GET", "/patient/1"));
 }
@@ -261,7 +262,7 @@
  * and new ones are refused. Left waiting until the spell ends, all are
  * answered soon after it.
  */
-static void test_waiting_is_not_begun_slow(void)
+static void test_queued_attempts_wait_out_a_slow_spell(void)
 {
 	GThread *callers[2 * SLOTS];
 	uint64_t slow_starts = metric(0, "comfreydock_gate_slow_starts");
@@ -272,7 +273,7 @@
 	rig_sleep_ms(1000);
 	set_upstream(0, "{\"factor\": 40}");
 	for (size_t i = 0; i < G_N_ELEMENTS(callers); i++)
-		callers[i] = g_thread_new("caller", call_patiently,
+		callers[i] = g_thread_new("caller", call_with_long_deadline,
 					  GUINT_TO_POINTER(0));
 	rig_sleep_ms(200);
 	set_upstream(0, "{\"factor\": 1, \"pace_percent\": 300000}");
@@ -312,7 +313,7 @@
  * good-bye, and a heartbeat of before comes seconds late. What was told that it
  * may end must not get work by that.
  */
-static void test_late_report_after_a_good_bye(void)
+static void test_late_heartbeat_after_deregistration(void)
 {
 	unsigned int before;
 
@@ -384,11 +385,11 @@
 
 /* A change is in force everywhere within seconds, also where the store has
  * dropped its history in between. */
-static void test_changes_are_in_force(void)
+static void test_configuration_changes_reach_all_hosts(void)
 {
 	fleet_put_config(&fleet, 5, "moved");
 	for (unsigned int i = 0; i < HOSTS; i++) {
-		wait_served(i, "/moved/1", IN_FORCE_MS + 1000);
+		wait_served(i, "/moved/1", PROPAGATION_MAX_MS + 1000);
 		g_assert_cmpint(call(i, "GET", "/list/1"), ==, 404);
 	}
 	fleet_set_store(&fleet, "{\"status\": 503}");
@@ -397,7 +398,7 @@
 	rig_sleep_ms(300);
 	fleet_set_store(&fleet, "{\"status\": 0}");
 	for (unsigned int i = 0; i < HOSTS; i++)
-		wait_served(i, "/again/1", IN_FORCE_MS + 1000);
+		wait_served(i, "/again/1", PROPAGATION_MAX_MS + 1000);
 	/* An older one, or one that can't be read, changes nothing. */
 	fleet_put_config(&fleet, 8, "older");
 	rig_sleep_ms(500);
@@ -407,7 +408,7 @@
 	}
 	fleet_put_config(&fleet, 10, "list");
 	for (unsigned int i = 0; i < HOSTS; i++)
-		wait_served(i, "/list/1", IN_FORCE_MS + 1000);
+		wait_served(i, "/list/1", PROPAGATION_MAX_MS + 1000);
 }
 
 /*
@@ -416,7 +417,7 @@
  * became of it, and each entry would find that out anew: the daemon beside the
  * upstream knows it first.
  */
-static void test_failing_upstream_is_turned_away(void)
+static void test_failing_upstream_opens_the_breaker(void)
 {
 	gint64 began = g_get_monotonic_time();
 	unsigned int unknown = 0;
@@ -445,7 +446,7 @@
 
 /* What on-call engineers look at first: how many calls ended how, and where
  * their time went. */
-static void test_metrics_tell_calls_and_times(void)
+static void test_metrics_count_calls_and_latencies(void)
 {
 	uint64_t before = metric(0, "comfreydock_calls{rule=\"get\","
 				    "outcome=\"run\"}");
@@ -481,23 +482,24 @@
 			test_ready_with_a_configuration_only);
 	g_test_add_func("/on-platform/answers", test_answers_are_the_upstreams);
 	g_test_add_func("/on-platform/strange",
-			test_strange_answers_reach_nobody);
+			test_mismatched_answers_are_discarded);
 	g_test_add_func("/on-platform/promises",
-			test_empty_promises_are_not_passed_on);
+			test_false_not_run_is_not_forwarded);
 	g_test_add_func("/on-platform/slow", test_slow_host_is_avoided);
 	g_test_add_func("/on-platform/waiting-in-a-spell",
-			test_waiting_is_not_begun_slow);
+			test_queued_attempts_wait_out_a_slow_spell);
 	g_test_add_func("/on-platform/drain", test_drain_by_heartbeat);
 	g_test_add_func("/on-platform/good-bye",
-			test_late_report_after_a_good_bye);
+			test_late_heartbeat_after_deregistration);
 	g_test_add_func("/on-platform/other-instance",
 			test_other_instance_runs_nothing);
 	g_test_add_func("/on-platform/failing",
-			test_failing_upstream_is_turned_away);
+			test_failing_upstream_opens_the_breaker);
 	g_test_add_func("/on-platform/metrics",
-			test_metrics_tell_calls_and_times);
+			test_metrics_count_calls_and_latencies);
 	g_test_add_func("/on-platform/restart", test_restart_without_the_store);
-	g_test_add_func("/on-platform/changes", test_changes_are_in_force);
+	g_test_add_func("/on-platform/changes",
+			test_configuration_changes_reach_all_hosts);
 	status = g_test_run();
 	fleet_stop(&fleet);
 	return status;
--- a/tests/system/test_path.c
+++ b/tests/system/test_path.c
@@ -28,7 +28,7 @@
 	}
 }
 
-static void test_bodies_pass_both_ways_whole(void)
+static void test_bodies_are_forwarded_unchanged(void)
 {
 	GString *body = g_string_new(NULL);
 	struct rig_answer *answer;
@@ -44,7 +44,7 @@
 	g_string_free(body, TRUE);
 }
 
-static void test_no_route_is_told(void)
+static void test_other_methods_match_the_last_rule(void)
 {
 	char *url = g_strdup_printf("http://127.0.0.1:%u/",
 				    cluster.daemons[0]->caller_port);
@@ -62,7 +62,7 @@
  * An operator looks for the reason of one slow call and asks a daemon that the
  * call never passed. The time line must be whole, and say so if it is not.
  */
-static void test_any_daemon_tells_the_time_line(void)
+static void test_any_daemon_returns_the_timeline(void)
 {
 	static const char *const events[] = {"entry.taken",    "entry.sent",
 					     "owner.started",  "owner.done",
@@ -91,7 +91,7 @@
  * operator drains it; calls that run finish, new ones go to the others, and
  * no caller gets an error.
  */
-static void test_a_drain_cuts_nobody_off(void)
+static void test_drain_interrupts_no_calls(void)
 {
 	struct rig_process *load;
 	char *a = g_strdup_printf("http://127.0.0.1:%u",
@@ -127,10 +127,11 @@
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
 	g_test_add_func("/path/any-daemon", test_any_daemon_reaches_the_service);
-	g_test_add_func("/path/bodies", test_bodies_pass_both_ways_whole);
-	g_test_add_func("/path/other-methods", test_no_route_is_told);
-	g_test_add_func("/path/time-line", test_any_daemon_tells_the_time_line);
-	g_test_add_func("/path/drain", test_a_drain_cuts_nobody_off);
+	g_test_add_func("/path/bodies", test_bodies_are_forwarded_unchanged);
+	g_test_add_func("/path/other-methods",
+			test_other_methods_match_the_last_rule);
+	g_test_add_func("/path/time-line", test_any_daemon_returns_the_timeline);
+	g_test_add_func("/path/drain", test_drain_interrupts_no_calls);
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/test_planned.c
+++ b/tests/system/test_planned.c
@@ -9,7 +9,7 @@
 #define LEAVING 2 /* in the failure domain of daemon 0 */
 #define WAIT_UP_MS 15000
 /* "A few seconds": what the brief allows for the last new work. */
-#define LAST_WORK_MS 2000
+#define DRAIN_DELAY_MS 2000
 /* What an upstream takes to end that was told that it may. */
 #define STOP_MS 300
 
@@ -23,19 +23,19 @@
 /* RETURN VALUE: how many runs the leaving upstream has begun in all. */
 static unsigned int count_runs(void)
 {
-	return runs_count(cluster.runs_files[LEAVING], "");
+	return runs_count_prefix(cluster.runs_files[LEAVING], "");
 }
 
-static void command(const char *path)
+static void post_admin(const char *path)
 {
 	g_free(rig_http_ok("POST", cluster.daemons[LEAVING]->admin_port, path,
 			   ""));
 }
 
 /* Nobody was cut off, refused or left in doubt. */
-static void assert_nobody_noticed(const struct ledger *ledger)
+static void assert_all_served(const struct ledger *ledger)
 {
-	ledger_assert_clean(ledger);
+	ledger_assert_no_violations(ledger);
 	g_assert_cmpuint(ledger->served, ==, ledger->calls);
 }
 
@@ -44,7 +44,7 @@
 {
 	unsigned int before;
 
-	rig_sleep_ms(LAST_WORK_MS);
+	rig_sleep_ms(DRAIN_DELAY_MS);
 	before = count_runs();
 	rig_sleep_ms(500);
 	g_assert_cmpuint(count_runs(), ==, before);
@@ -64,15 +64,15 @@
 		unsigned int before;
 
 		rig_sleep_ms(600);
-		command("/v1/upstream/drain");
+		post_admin("/v1/upstream/drain");
 		assert_no_new_work();
 		before = count_runs();
-		command("/v1/upstream/resume");
+		post_admin("/v1/upstream/resume");
 		rig_sleep_ms(600);
 		g_assert_cmpuint(count_runs(), >, before);
 	}
-	ledger_add(&ledger, &cluster, &load);
-	assert_nobody_noticed(&ledger);
+	ledger_collect(&ledger, &cluster, &load);
+	assert_all_served(&ledger);
 }
 
 /*
@@ -89,7 +89,7 @@
 		unsigned int before;
 
 		rig_sleep_ms(800);
-		command("/v1/upstream/stop");
+		post_admin("/v1/upstream/stop");
 		before = count_runs();
 		rig_sleep_ms(STOP_MS);
 		g_assert_cmpuint(count_runs(), ==, before);
@@ -97,9 +97,9 @@
 		rig_sleep_ms(1000);
 		cluster_start_upstream(&cluster, LEAVING, &options);
 	}
-	ledger_add(&ledger, &cluster, &load);
+	ledger_collect(&ledger, &cluster, &load);
 	cluster_wait_up(&cluster, cluster.count, WAIT_UP_MS);
-	assert_nobody_noticed(&ledger);
+	assert_all_served(&ledger);
 }
 
 /*
@@ -121,9 +121,9 @@
 		rig_sleep_ms(1000);
 		rig_signal(cluster.daemons[LEAVING], SIGTERM);
 		assert_no_new_work();
-		ledger_add(&ledger, &cluster, &own);
-		ledger_add(&ledger, &cluster, &others);
-		assert_nobody_noticed(&ledger);
+		ledger_collect(&ledger, &cluster, &own);
+		ledger_collect(&ledger, &cluster, &others);
+		assert_all_served(&ledger);
 		g_assert_cmpint(rig_wait_end(cluster.daemons[LEAVING], 10000),
 				==, 0);
 		rig_kill(cluster.upstreams[LEAVING]);
--- a/tests/system/test_ports.c
+++ b/tests/system/test_ports.c
@@ -20,7 +20,7 @@
 	const char *admin_address;
 	const char *token_file; /* NULL: none */
 	const char *key_file;
-	bool alone; /* reaches no platform and no peer */
+	bool is_isolated; /* reaches no platform and no peer */
 };
 
 static const char *write_settings(const struct settings *settings)
@@ -30,7 +30,7 @@
 			      g_strdup_printf(", \"token_file\": \"%s\"",
 					      settings->token_file) :
 			      g_strdup("");
-	char *join = settings->alone ?
+	char *join = settings->is_isolated ?
 			     g_strdup("") :
 			     g_strdup_printf("\"127.0.0.1:%u\"",
 					     cluster.daemons[0]->peer_port);
@@ -44,7 +44,8 @@
 		"\"peer\": {\"address\": \"127.0.0.1\", \"port\": 0,\n"
 		" \"key_file\": \"%s\", \"join\": [%s]}}\n",
 		settings->host, settings->admin_address, token,
-		settings->alone ? cluster_find_port() : cluster.platform->port,
+		settings->is_isolated ? cluster_reserve_port() :
+					cluster.platform->port,
 		settings->key_file, join);
 
 	g_free(join);
@@ -61,7 +62,7 @@
 		.admin_address = "127.0.0.1",
 		.token_file = rig_write_file(cluster.rig, "token", TOKEN),
 		.key_file = cluster.key_file,
-		.alone = true,
+		.is_isolated = true,
 	};
 
 	guarded = rig_start_daemon(cluster.rig, "guarded",
@@ -150,7 +151,7 @@
 	GString *answer = g_string_new(NULL);
 
 	raw_send_text(fd, "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	g_assert_true(raw_read_marks(fd, answer, "not run: ", 1, CLOSE_MS));
+	g_assert_true(raw_read_until_found(fd, answer, "not run: ", 1, CLOSE_MS));
 	return answer;
 }
 
@@ -171,7 +172,7 @@
 	g_assert_nonnull(
 		strstr(answer->str, "Comfreydock-Reason: connections"));
 	g_assert_nonnull(strstr(answer->str, "Retry-After: 1"));
-	g_assert_true(raw_read_to_close(fds[4], answer, CLOSE_MS));
+	g_assert_true(raw_read_until_close(fds[4], answer, CLOSE_MS));
 	g_string_free(answer, TRUE);
 	/* This daemon has no configuration, which is another refusal. */
 	answer = call_over(fds[3]);
@@ -236,7 +237,7 @@
 	GString *answer = g_string_new(NULL);
 	struct rig_answer *call;
 
-	g_assert_true(raw_read_to_close(fd, answer, CLOSE_MS));
+	g_assert_true(raw_read_until_close(fd, answer, CLOSE_MS));
 	close(fd);
 	g_string_free(answer, TRUE);
 	g_assert_cmpint(cluster_counter(&cluster, 0, counter), ==, before + 1);
@@ -306,7 +307,7 @@
 	GString *answer = g_string_new(NULL);
 	int fd = raw_connect(cluster.daemons[0]->peer_port);
 
-	g_assert_true(raw_read_to_close(fd, answer, CLOSE_MS));
+	g_assert_true(raw_read_until_close(fd, answer, CLOSE_MS));
 	g_assert_cmpuint(answer->len, ==, 0);
 	close(fd);
 	g_string_free(answer, TRUE);
--- a/tests/system/test_restored.c
+++ b/tests/system/test_restored.c
@@ -6,8 +6,8 @@
 
 #define HOSTS 3
 #define WAIT_MS 10000
-#define IN_FORCE_MS 2000
-#define AWAY_MS 500
+#define PROPAGATION_MAX_MS 2000
+#define STORE_OUTAGE_MS 500
 
 static const struct fleet_options options = {
 	.count = HOSTS,
@@ -43,7 +43,7 @@
 	return all;
 }
 
-static void set_back(unsigned int transactions)
+static void restore_store(unsigned int transactions)
 {
 	char *body = g_strdup_printf("{\"transactions\": %u}", transactions);
 
@@ -69,13 +69,13 @@
 		char *prefix = g_strdup_printf("v%u", first + i);
 
 		fleet_put_config(&fleet, first + i, prefix);
-		in_time += is_served_everywhere(prefix, IN_FORCE_MS);
+		in_time += is_served_everywhere(prefix, PROPAGATION_MAX_MS);
 		g_free(prefix);
 	}
 	return in_time;
 }
 
-static void test_begins(void)
+static void test_changes_before_a_restore(void)
 {
 	fleet_put_config(&fleet, 1, "v1");
 	g_assert_true(is_served_everywhere("v1", WAIT_MS));
@@ -84,33 +84,33 @@
 
 /* Guards against a watch that goes on from a version of before the store was set
  * back: the change that is given just that one is missed. */
-static void test_changes_after_it_are_in_force(void)
+static void test_changes_after_a_restore(void)
 {
-	set_back(3);
+	restore_store(3);
 	rig_sleep_ms(500);
 	g_assert_cmpuint(write_versions(6, 5), ==, 5);
 }
 
 /* Guards against the same where the store has passed that version before anybody
  * asks: no watch is refused. */
-static void test_a_change_made_meanwhile_is_in_force(void)
+static void test_change_during_a_restore(void)
 {
 	fleet_set_store(&fleet, "{\"down\": true}");
-	set_back(2);
+	restore_store(2);
 	fleet_put_config(&fleet, 24, "v24");
 	for (unsigned int i = 0; i < 5; i++)
 		write_another_row();
-	rig_sleep_ms(AWAY_MS);
+	rig_sleep_ms(STORE_OUTAGE_MS);
 	fleet_set_store(&fleet, "{\"down\": false}");
-	g_assert_true(is_served_everywhere("v24", IN_FORCE_MS));
+	g_assert_true(is_served_everywhere("v24", PROPAGATION_MAX_MS));
 	g_assert_cmpuint(write_versions(25, 1), ==, 1);
 }
 
 /* Guards against daemons that go back with the store: what was confirmed stays. */
-static void test_nobody_goes_back(void)
+static void test_no_daemon_reverts(void)
 {
-	g_assert_true(is_served_everywhere("v25", IN_FORCE_MS));
-	set_back(1);
+	g_assert_true(is_served_everywhere("v25", PROPAGATION_MAX_MS));
+	restore_store(1);
 	for (unsigned int i = 0; i < 20; i++) {
 		for (unsigned int j = 0; j < HOSTS; j++)
 			g_assert_cmpint(fleet_get(&fleet, j, "/v25/1"), ==, 200);
@@ -124,11 +124,10 @@
 
 	g_test_init(&argc, &argv, NULL);
 	fleet_start(&fleet, &options);
-	g_test_add_func("/restored/begins", test_begins);
-	g_test_add_func("/restored/changes", test_changes_after_it_are_in_force);
-	g_test_add_func("/restored/meanwhile",
-			test_a_change_made_meanwhile_is_in_force);
-	g_test_add_func("/restored/forward", test_nobody_goes_back);
+	g_test_add_func("/restored/begins", test_changes_before_a_restore);
+	g_test_add_func("/restored/changes", test_changes_after_a_restore);
+	g_test_add_func("/restored/meanwhile", test_change_during_a_restore);
+	g_test_add_func("/restored/forward", test_no_daemon_reverts);
 	status = g_test_run();
 	fleet_stop(&fleet);
 	return status;
--- a/tests/system/test_returns.c
+++ b/tests/system/test_returns.c
@@ -72,7 +72,7 @@
  * one drains. The call goes back to wait where it was: told "not run", its
  * caller would have to come again although the slot is free within a second.
  */
-static void test_back_to_the_full_one(void)
+static void test_refused_call_returns_to_the_full_upstream(void)
 {
 	GThread *fillers[FILLERS];
 	unsigned int count = 0;
@@ -107,7 +107,7 @@
 	cluster_start(&cluster, &options);
 	cluster_wait_up(&cluster, 2, WAIT_UP_MS);
 	g_test_add_func("/returns/back-to-the-full-one",
-			test_back_to_the_full_one);
+			test_refused_call_returns_to_the_full_upstream);
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/test_second_tries.c
+++ b/tests/system/test_second_tries.c
@@ -43,7 +43,7 @@
 };
 static struct cluster cluster;
 
-static int64_t member_of(struct rig_process *load, const char *name)
+static int64_t read_summary_int(struct rig_process *load, const char *name)
 {
 	char *text;
 	int64_t value;
@@ -69,7 +69,7 @@
 	return load;
 }
 
-static void slow_all(const char *faults)
+static void set_all_upstreams(const char *faults)
 {
 	for (unsigned int i = 0; i < cluster.count; i++)
 		cluster_set_upstream(&cluster, i, faults);
@@ -83,25 +83,25 @@
  */
 static void test_hedged_bodies(void)
 {
-	int64_t hedges = cluster_sum(&cluster, "entry_hedges");
+	int64_t hedges = cluster_sum_counter(&cluster, "entry_hedges");
 	struct rig_process *load;
 
 	/* The rule's usual latency is learned first. */
 	load = start_load(cluster.daemons[0]->caller_port, "/hedged/1", "1000",
 			  "60");
-	g_assert_cmpint(member_of(load, "wrong"), ==, 0);
+	g_assert_cmpint(read_summary_int(load, "wrong"), ==, 0);
 	load = start_load(cluster.daemons[0]->caller_port, "/hedged/2",
 			  BODY_BYTES, "60");
 	for (int i = 0; i < 6; i++) {
-		slow_all("{\"factor\": 15}");
+		set_all_upstreams("{\"factor\": 15}");
 		rig_sleep_ms(300);
-		slow_all("{\"factor\": 1}");
+		set_all_upstreams("{\"factor\": 1}");
 		rig_sleep_ms(300);
 	}
-	g_assert_cmpint(member_of(load, "wrong"), ==, 0);
-	g_assert_cmpint(member_of(load, "served"), ==,
-			member_of(load, "started"));
-	g_assert_cmpint(cluster_sum(&cluster, "entry_hedges"), >, hedges);
+	g_assert_cmpint(read_summary_int(load, "wrong"), ==, 0);
+	g_assert_cmpint(read_summary_int(load, "served"), ==,
+			read_summary_int(load, "started"));
+	g_assert_cmpint(cluster_sum_counter(&cluster, "entry_hedges"), >, hedges);
 }
 
 /*
@@ -110,7 +110,7 @@
  * run". Such a booking goes to another upstream; no caller notices, and none
  * runs twice.
  */
-static void test_shed_bookings(void)
+static void test_shed_requests_run_elsewhere(void)
 {
 	struct ledger ledger = {0};
 	struct rig_process *own;
@@ -121,8 +121,8 @@
 			  "comfreydock_refusals{reason=\"REASON_SHED\"}");
 	load = ledger_start_load(&cluster, ALL, "100", "4", "32");
 	own = start_load(cluster.upstreams[VICTIM]->port, "/own/1", "10", "1500");
-	ledger_add(&ledger, &cluster, &load);
-	ledger_assert_clean(&ledger);
+	ledger_collect(&ledger, &cluster, &load);
+	ledger_assert_no_violations(&ledger);
 	g_assert_cmpuint(ledger.served, >=, ledger.calls * 95 / 100);
 	rig_wait_end(own, LOAD_MS);
 	g_assert_cmpint(
@@ -131,16 +131,16 @@
 		>, MAX(shed, 0));
 }
 
-struct patient {
+struct long_call {
 	char *url;
 	struct rig_answer *answer;
 };
 
-static gpointer call_patiently(gpointer data)
+static gpointer call_long(gpointer data)
 {
-	struct patient *patient = data;
+	struct long_call *long_call = data;
 
-	patient->answer = rig_http("GET", patient->url, NULL, NULL, END_MS);
+	long_call->answer = rig_http("GET", long_call->url, NULL, NULL, END_MS);
 	return NULL;
 }
 
@@ -149,24 +149,24 @@
  * It ends all the same, and its caller learns that nobody knows what became of
  * the call; a connection that just breaks would leave that to guessing.
  */
-static void test_stop_gives_up_long_calls(void)
+static void test_stop_aborts_long_calls(void)
 {
-	struct patient patient = {
+	struct long_call long_call = {
 		.url = g_strdup_printf("http://127.0.0.1:%u/long/1",
 				       cluster.daemons[VICTIM]->caller_port),
 	};
 	GThread *caller;
 
-	slow_all("{\"factor\": 3000}");
-	caller = g_thread_new("caller", call_patiently, &patient);
+	set_all_upstreams("{\"factor\": 3000}");
+	caller = g_thread_new("caller", call_long, &long_call);
 	rig_sleep_ms(500);
 	rig_signal(cluster.daemons[VICTIM], SIGTERM);
 	g_thread_join(caller);
-	g_assert_true(patient.answer->arrived);
-	g_assert_cmpstr(cluster_outcome(patient.answer), ==, "unknown");
+	g_assert_true(long_call.answer->arrived);
+	g_assert_cmpstr(cluster_outcome(long_call.answer), ==, "unknown");
 	g_assert_cmpint(rig_wait_end(cluster.daemons[VICTIM], END_MS), ==, 0);
-	rig_answer_free(patient.answer);
-	g_free(patient.url);
+	rig_answer_free(long_call.answer);
+	g_free(long_call.url);
 }
 
 int main(int argc, char **argv)
@@ -178,10 +178,9 @@
 	cluster_wait_up(&cluster, cluster.count, WAIT_UP_MS);
 	/* Hosts that were slow are avoided for some seconds, and then none is asked
 	 * that sheds: this comes while none was. */
-	g_test_add_func("/second-tries/shed", test_shed_bookings);
+	g_test_add_func("/second-tries/shed", test_shed_requests_run_elsewhere);
 	g_test_add_func("/second-tries/hedged-bodies", test_hedged_bodies);
-	g_test_add_func("/second-tries/long-calls",
-			test_stop_gives_up_long_calls);
+	g_test_add_func("/second-tries/long-calls", test_stop_aborts_long_calls);
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/test_thaw.c
+++ b/tests/system/test_thaw.c
@@ -22,8 +22,8 @@
 static struct cluster cluster;
 
 /* POST calls through the entry, 60 kB each; their callers hang up after a
- * second. RETURN VALUE: the load, for ledger_add(). */
-static struct ledger_load start_bookings(const char *prefix)
+ * second. RETURN VALUE: the load, for ledger_collect(). */
+static struct ledger_load start_posts(const char *prefix)
 {
 	char *target = g_strdup_printf("http://127.0.0.1:%u",
 				       cluster.daemons[ENTRY]->caller_port);
@@ -42,7 +42,7 @@
 /* RETURN VALUE: how many runs the upstream wrote down for the prefix. */
 static unsigned int count_runs(const char *prefix)
 {
-	return runs_count(cluster.runs_files[OWNER], prefix);
+	return runs_count_prefix(cluster.runs_files[OWNER], prefix);
 }
 
 /* All calls of the load were given up by their callers, and none ran. */
@@ -65,7 +65,7 @@
  * When it wakes, their requests lie in its buffers and behind them the word
  * that nobody waits any more. A booking that starts now is a second one.
  */
-static void test_work_of_gone_callers_does_not_start(void)
+static void test_cancelled_attempts_do_not_start(void)
 {
 	static const char *const prefixes[] = {"gone-a", "gone-b"};
 
@@ -74,7 +74,7 @@
 
 		open_connection();
 		rig_signal(cluster.daemons[OWNER], SIGSTOP);
-		load = start_bookings(prefixes[round]);
+		load = start_posts(prefixes[round]);
 		rig_sleep_ms(1800);
 		rig_signal(cluster.daemons[OWNER], SIGCONT);
 		assert_none_ran(&load, prefixes[round]);
@@ -87,7 +87,7 @@
  * its connection tells that nobody waits, behind more than one read's worth of
  * requests.
  */
-static void test_work_of_a_dead_entry_does_not_start(void)
+static void test_attempts_of_a_dead_entry_do_not_start(void)
 {
 	static const char *const prefixes[] = {"dead-a", "dead-b"};
 
@@ -98,7 +98,7 @@
 		rig_answer_free(cluster_call(&cluster, ENTRY, "GET", "/",
 					     "open", NULL, 5000));
 		rig_signal(cluster.daemons[OWNER], SIGSTOP);
-		load = start_bookings(prefixes[round]);
+		load = start_posts(prefixes[round]);
 		rig_sleep_ms(600);
 		rig_kill(cluster.daemons[ENTRY]);
 		rig_signal(cluster.daemons[OWNER], SIGCONT);
@@ -112,7 +112,7 @@
  * The entry itself is paused. Requests wait in its listener's backlog; their
  * callers have hung up long before it reads them.
  */
-static void test_a_paused_entry_starts_nothing_old(void)
+static void test_paused_entry_drops_abandoned_requests(void)
 {
 	static const char *const prefixes[] = {"entry-a", "entry-b"};
 
@@ -120,7 +120,7 @@
 		struct ledger_load load;
 
 		rig_signal(cluster.daemons[ENTRY], SIGSTOP);
-		load = start_bookings(prefixes[round]);
+		load = start_posts(prefixes[round]);
 		rig_sleep_ms(1800);
 		rig_signal(cluster.daemons[ENTRY], SIGCONT);
 		assert_none_ran(&load, prefixes[round]);
@@ -133,10 +133,10 @@
  * that the outcome is not known. The answer arrives when the owner wakes; it
  * must not reach the next caller of the same connection.
  */
-static void test_a_late_answer_reaches_nobody(void)
+static void test_late_answer_is_discarded(void)
 {
 	struct rig_answer *answer;
-	struct ledger_load load = start_bookings("late");
+	struct ledger_load load = start_posts("late");
 	int64_t before;
 
 	rig_sleep_ms(50);
@@ -165,12 +165,12 @@
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
 	g_test_add_func("/thaw/gone-callers",
-			test_work_of_gone_callers_does_not_start);
+			test_cancelled_attempts_do_not_start);
 	g_test_add_func("/thaw/dead-entry",
-			test_work_of_a_dead_entry_does_not_start);
+			test_attempts_of_a_dead_entry_do_not_start);
 	g_test_add_func("/thaw/paused-entry",
-			test_a_paused_entry_starts_nothing_old);
-	g_test_add_func("/thaw/late-answer", test_a_late_answer_reaches_nobody);
+			test_paused_entry_drops_abandoned_requests);
+	g_test_add_func("/thaw/late-answer", test_late_answer_is_discarded);
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/test_trials.c
+++ b/tests/system/test_trials.c
@@ -11,11 +11,11 @@
 #define TRIAL_MS 2000
 #define CALL_MS 3000
 #define PAUSE_MS 60
-#define FATAL 3
+#define CRASHES_TO_HOLD 3
 /* Within WATCH_MS: after TRIAL_MS, and twice as long after it. */
 #define TRIALS 2
 #define WATCH_MS (4 * TRIAL_MS)
-#define PATIENCE_MS 40000
+#define CRASH_TIMEOUT_MS 40000
 #define PATH "/crash/report"
 
 static const struct cluster_options options = {
@@ -26,7 +26,7 @@
 static struct cluster cluster;
 static unsigned int sent;
 
-static bool call_by(unsigned int daemon)
+static bool call_through(unsigned int daemon)
 {
 	char *id = g_strdup_printf("trial-%u", ++sent);
 	struct rig_answer *answer =
@@ -39,27 +39,30 @@
 }
 
 /* RETURN VALUE: the upstreams that ended. */
-static unsigned int press(unsigned int until_ended, int ms)
+static unsigned int call_repeatedly(unsigned int until_ended, int ms)
 {
 	gint64 until_us = g_get_monotonic_time() + ms * G_TIME_SPAN_MILLISECOND;
 	unsigned int ended = 0;
 
 	while (ended < until_ended && g_get_monotonic_time() < until_us) {
-		call_by(sent % cluster.count);
+		call_through(sent % cluster.count);
 		rig_sleep_ms(PAUSE_MS);
-		ended += cluster_revive(&cluster, &options);
+		ended += cluster_restart_upstreams(&cluster, &options);
 	}
 	return ended;
 }
 
 /* Guards against a trial at each host, which ends an upstream at each. */
-static void test_one_host_tries(void)
+static void test_one_host_runs_the_trials(void)
 {
-	g_assert_cmpuint(press(FATAL, PATIENCE_MS), ==, FATAL);
-	press(UINT_MAX, TRIAL_MS / 2);
-	g_assert_cmpuint(press(UINT_MAX, WATCH_MS), <=, TRIALS);
-	g_assert_cmpint(cluster_sum(&cluster, "quarantine_trials"), >=, 1);
-	g_assert_cmpint(cluster_sum(&cluster, "quarantine_trials"), <=, TRIALS);
+	g_assert_cmpuint(call_repeatedly(CRASHES_TO_HOLD, CRASH_TIMEOUT_MS), ==,
+			 CRASHES_TO_HOLD);
+	call_repeatedly(UINT_MAX, TRIAL_MS / 2);
+	g_assert_cmpuint(call_repeatedly(UINT_MAX, WATCH_MS), <=, TRIALS);
+	g_assert_cmpint(cluster_sum_counter(&cluster, "quarantine_trials"), >=,
+			1);
+	g_assert_cmpint(cluster_sum_counter(&cluster, "quarantine_trials"), <=,
+			TRIALS);
 }
 
 static bool is_served_by_all(void *unused)
@@ -68,16 +71,16 @@
 
 	(void)unused;
 	for (unsigned int i = 0; i < cluster.count; i++)
-		all &= call_by(i);
+		all &= call_through(i);
 	return all;
 }
 
 /* Guards against a request that stays refused after its upstreams were mended. */
-static void test_a_good_trial_ends_it_everywhere(void)
+static void test_successful_trial_clears_quarantine(void)
 {
 	for (unsigned int i = 0; i < cluster.count; i++)
 		cluster_set_upstream(&cluster, i, "{\"mended\": true}");
-	g_assert_true(rig_wait_until(is_served_by_all, NULL, PATIENCE_MS));
+	g_assert_true(rig_wait_until(is_served_by_all, NULL, CRASH_TIMEOUT_MS));
 }
 
 int main(int argc, char **argv)
@@ -86,8 +89,9 @@
 
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
-	g_test_add_func("/trials/one-host", test_one_host_tries);
-	g_test_add_func("/trials/mended", test_a_good_trial_ends_it_everywhere);
+	g_test_add_func("/trials/one-host", test_one_host_runs_the_trials);
+	g_test_add_func("/trials/mended",
+			test_successful_trial_clears_quarantine);
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/test_upstream_faults.c
+++ b/tests/system/test_upstream_faults.c
@@ -10,8 +10,8 @@
 #define FAULTY 1
 #define WAIT_UP_MS 15000
 /* The deadline, what silence is allowed after it, and a margin. */
-#define STUCK_BYTES 30000000
-#define STUCK_END_MS 6000
+#define STALLED_BYTES 30000000
+#define STALL_ABORT_MAX_MS 6000
 
 static const struct cluster_options options = {
 	.count = 3,
@@ -34,8 +34,8 @@
 		rig_sleep_ms(1500);
 		cluster_set_upstream(&cluster, FAULTY, mended);
 	}
-	ledger_add(&ledger, &cluster, &load);
-	ledger_assert_clean(&ledger);
+	ledger_collect(&ledger, &cluster, &load);
+	ledger_assert_no_violations(&ledger);
 	return ledger;
 }
 
@@ -128,7 +128,7 @@
  * A caller sends a long booking and its entry dies in the middle of it. The
  * upstream must not take the part that it got for the whole and book that.
  */
-static void test_a_request_cut_in_the_middle_does_not_run(void)
+static void test_truncated_request_does_not_run(void)
 {
 	for (int round = 0; round < 2; round++) {
 		char *id = g_strdup_printf("half-%d", round);
@@ -147,7 +147,7 @@
 
 /* A caller that has asked and reads nothing yet.
  * RETURN VALUE: its connection, which ends with the answer. */
-static int ask_for(const char *path)
+static int send_get(const char *path)
 {
 	int fd = raw_connect(cluster.daemons[0]->caller_port);
 
@@ -168,28 +168,28 @@
  * A bundle is on its way when its upstream stops, without a reset. The caller
  * must learn of it in a bounded time, and must not take the part for the whole.
  */
-static void test_an_answer_that_stops_is_broken_off(void)
+static void test_stalled_answer_is_aborted(void)
 {
 	for (int round = 0; round < 2; round++) {
-		int fd = ask_for("/bytes/" G_STRINGIFY(STUCK_BYTES));
+		int fd = send_get("/bytes/" G_STRINGIFY(STALLED_BYTES));
 		GString *got = g_string_new(NULL);
 		bool closed;
 
 		/* Nothing is read yet, so most of it is still there. */
 		rig_sleep_ms(500);
 		signal_upstreams(SIGSTOP);
-		closed = raw_read_to_close(fd, got, STUCK_END_MS);
+		closed = raw_read_until_close(fd, got, STALL_ABORT_MAX_MS);
 		signal_upstreams(SIGCONT);
 		close(fd);
 		g_assert_true(closed);
 		g_assert_cmpuint(got->len, >, 0);
-		g_assert_cmpuint(got->len, <, STUCK_BYTES);
+		g_assert_cmpuint(got->len, <, STALLED_BYTES);
 		g_string_free(got, TRUE);
 	}
 }
 
 /* RETURN VALUE: whether a chunked answer was ended as if it were whole. */
-static bool is_ended(const GString *answer)
+static bool has_last_chunk(const GString *answer)
 {
 	static const char end[] = "\r\n0\r\n\r\n";
 
@@ -211,20 +211,20 @@
  * owner. A franchise that gets the end of the chunks takes the half for the
  * whole and works from it the next day.
  */
-static void test_half_an_answer_is_not_ended(void)
+static void test_truncated_answer_has_no_last_chunk(void)
 {
 	for (int round = 0; round < 2; round++) {
 		struct rig_process **victims =
 			round ? cluster.daemons : cluster.upstreams;
-		int fd = ask_for("/chunks/" G_STRINGIFY(STUCK_BYTES));
+		int fd = send_get("/chunks/" G_STRINGIFY(STALLED_BYTES));
 		GString *got = g_string_new(NULL);
 
 		rig_sleep_ms(500);
 		rig_kill(victims[1]);
 		rig_kill(victims[2]);
-		g_assert_true(raw_read_to_close(fd, got, STUCK_END_MS));
+		g_assert_true(raw_read_until_close(fd, got, STALL_ABORT_MAX_MS));
 		g_assert_cmpuint(got->len, >, 0);
-		g_assert_false(is_ended(got));
+		g_assert_false(has_last_chunk(got));
 		g_string_free(got, TRUE);
 		close(fd);
 		replace_host(1, round);
@@ -247,11 +247,11 @@
 			test_an_upstream_fails_fast);
 	g_test_add_func("/upstream-faults/freezes", test_an_upstream_freezes);
 	g_test_add_func("/upstream-faults/cut-request",
-			test_a_request_cut_in_the_middle_does_not_run);
+			test_truncated_request_does_not_run);
 	g_test_add_func("/upstream-faults/stuck-answer",
-			test_an_answer_that_stops_is_broken_off);
+			test_stalled_answer_is_aborted);
 	g_test_add_func("/upstream-faults/half-answer",
-			test_half_an_answer_is_not_ended);
+			test_truncated_answer_has_no_last_chunk);
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/wall_clock.c
+++ b/tests/system/wall_clock.c
@@ -9,7 +9,7 @@
 #include <time.h>
 #include <unistd.h>
 
-static time_t moved_s(void)
+static time_t offset_s(void)
 {
 	const char *text = getenv("WALL_CLOCK_S");
 
@@ -21,7 +21,7 @@
 	long result = syscall(SYS_clock_gettime, clock, time);
 
 	if (result == 0 && clock == CLOCK_REALTIME)
-		time->tv_sec += moved_s();
+		time->tv_sec += offset_s();
 	return (int)result;
 }
 
