--- a/tests/system/call_log.h
+++ b/tests/system/call_log.h
@@ -1,14 +1,16 @@
 /*
  * NAME
- *	call_log - what the load generator wrote down of its calls
+ *	call_log - reads the load generator's log of its calls
  *
  * DESCRIPTION
- *	One line a call: id, method, status, outcome, how long it took, when it
- *	began, path and, where the answer was wrong, a word on what was wrong. A
- *	line that is cut off, by a kill of the generator, is left out.
+ *	The log has one line for each call: id, method, status, outcome,
+ *	duration, start time, path and, if the answer was wrong, a word that
+ *	says what was wrong. A line that was truncated because the generator was
+ *	killed is skipped.
  *
  * UNITS
- *	Wall-clock microseconds.
+ *	Microseconds. The start time is the monotonic time at which the call was
+ *	due; the duration counts from it.
  */
 #ifndef TESTS_SYSTEM_CALL_LOG_H
 #define TESTS_SYSTEM_CALL_LOG_H
@@ -27,7 +29,8 @@
 	bool is_wrong;
 };
 
-/* Hands over each line; its texts live as long as the handler runs. */
+/* Calls the handler for each line. The strings of the record are valid only
+ * while the handler runs. */
 void call_log_read(const char *file,
 		   void (*handle_record)(const struct call_record *line,
 					 void *data),
--- a/tests/system/cluster.c
+++ b/tests/system/cluster.c
@@ -37,11 +37,11 @@
 }
 
 /*
- * A port that the kernel chooses, kept for this test until it ends. A daemon
- * that is started again needs the port that it had, and without a hold on it
- * the kernel may have given it to anybody's outgoing connection by then. The
- * socket stays bound and never listens; with SO_REUSEADDR on both sides another
- * process may listen there, and the kernel gives the port to nobody else.
+ * A restarted daemon needs its former port. Unless the test reserves the port,
+ * the kernel may meanwhile assign it to an outgoing connection of any process.
+ * The reserving socket stays bound and never listens. As both sockets set
+ * SO_REUSEADDR, another process may listen on the port, and the kernel assigns
+ * it to no one else.
  */
 uint16_t cluster_reserve_port(void)
 {
--- a/tests/system/fleet.c
+++ b/tests/system/fleet.c
@@ -70,8 +70,8 @@
 	return path;
 }
 
-/* The wall clock of the processes started until clear_wall_clock_offset() is another;
- * see wall_clock.c. */
+/* Shifts the wall clock of each process that is started until
+ * clear_wall_clock_offset(); see wall_clock.c. */
 static void set_wall_clock_offset(int seconds)
 {
 	const char *sanitizer = g_getenv("ASAN_OPTIONS");
@@ -85,7 +85,8 @@
 	text = g_strdup_printf("%d", seconds);
 	g_setenv("LD_PRELOAD", path, TRUE);
 	g_setenv("WALL_CLOCK_S", text, TRUE);
-	/* The sanitizer wants to be loaded first, and does without it. */
+	/* AddressSanitizer refuses to start if another library is loaded before
+	 * it, unless this check is disabled. */
 	g_setenv("ASAN_OPTIONS", options, TRUE);
 	g_free(options);
 	g_free(text);
--- a/tests/system/fleet.h
+++ b/tests/system/fleet.h
@@ -3,12 +3,14 @@
  *	fleet - daemons and upstreams as the users' platform runs them
  *
  * DESCRIPTION
- *	The operator's row is in the store, upstreams send heartbeats to the
- *	daemon beside them, readiness is asked from outside. Host number i is
- *	called d0, d1, ..., its upstream's starts i-0-1, i-0-2, ...
+ *	The operator's configuration is a row in the store, upstreams send
+ *	heartbeats to the daemon on their host, and the platform polls the
+ *	daemons' readiness. Hosts are named d0, d1, ...; the instances of the
+ *	upstream on d0 are named i-0-1, i-0-2, ..., one for each start.
  *
- *	Where the fleet is relayed, a relay stands before the peer port of each
- *	daemon, before its upstream, and between it and the store.
+ *	If the option relayed is set, each daemon has three relays: in front of
+ *	its peer port, between it and its upstream, and between it and the
+ *	store.
  */
 #ifndef TESTS_SYSTEM_FLEET_H
 #define TESTS_SYSTEM_FLEET_H
@@ -19,7 +21,7 @@
 #define FLEET_VIRTUAL_HOST "a.example"
 #define FLEET_GRACE_S 6
 #define FLEET_DEADLINE_MS 2000
-/* Of /patient/. */
+/* The deadline of the rule for /patient/. */
 #define FLEET_LONG_DEADLINE_MS 20000
 
 enum fleet_link {
@@ -35,12 +37,12 @@
 	uint16_t admin;
 	uint16_t ready;
 	uint16_t reports;
-	uint16_t upstream_port; /* relayed: the same for each start */
+	uint16_t upstream_port; /* with a relay, the same for each start */
 	struct rig_process *daemon;
 	struct rig_process *upstream;
 	struct rig_process *relays[FLEET_LINKS]; /* NULL: none */
 	const char *runs_file;
-	unsigned int starts; /* of the upstream */
+	unsigned int starts; /* how often the upstream was started */
 	int wall_clock_s; /* added to the daemon's wall clock */
 };
 
@@ -57,31 +59,34 @@
 	struct rig_process *store;
 	struct fleet_host *hosts;
 	struct fleet_options options;
-	unsigned int config_version; /* kept by whoever changes it */
-	unsigned int gets; /* sent by fleet_get() */
+	unsigned int config_version; /* maintained by the caller */
+	unsigned int gets; /* requests sent by fleet_get() */
 };
 
-/* Starts all; the store has no configuration yet. */
+/* Starts all programs. The store has no configuration yet. */
 void fleet_start(struct fleet *fleet, const struct fleet_options *options);
 void fleet_stop(struct fleet *fleet);
 
-/* Starts the daemon, or the upstream under a new id, of host i (again). */
+/* Starts or restarts the daemon of host i, or its upstream with a new instance
+ * id. */
 void fleet_start_daemon(struct fleet *fleet, unsigned int i);
 void fleet_start_upstream(struct fleet *fleet, unsigned int i);
 
-/* The same under the id of the last start. */
+/* Starts the upstream with the instance id of its last start. */
 void fleet_start_upstream_again(struct fleet *fleet, unsigned int i);
 
-/* Writes the operator's row: GET below /prefix/, /patient/, /bytes/ and, with
- * one attempt only, /once/; POST below /book/. */
+/* Writes the operator's row. Its idempotent routes are /PREFIX/, /patient/,
+ * /bytes/ and, with a single attempt, /once/; /book/ is not idempotent. */
 void fleet_put_config(const struct fleet *fleet, unsigned int version,
 		      const char *prefix);
 
-/* The same with so many routes more, of some 200 bytes each. */
+/* Same as fleet_put_config(), with more additional routes of about 200 bytes
+ * each. */
 void fleet_put_large_config(const struct fleet *fleet, unsigned int version,
 			    const char *prefix, unsigned int more);
 
-/* Commands to the stand-ins; the body as in their own pages. */
+/* Send a command to a stand-in. The header of each stand-in describes the
+ * bodies. */
 void fleet_set_store(const struct fleet *fleet, const char *body);
 void fleet_set_upstream(const struct fleet *fleet, unsigned int i,
 			const char *body);
@@ -89,21 +94,23 @@
 		     enum fleet_link link, const char *body);
 
 /* RETURN VALUE: how often the upstreams ran the request; how many requests the
- * upstream of host i has run. */
+ * upstreams of host i have run. */
 unsigned int fleet_count_runs_of_id(const struct fleet *fleet, const char *id);
 unsigned int fleet_count_runs_on_host(const struct fleet *fleet, unsigned int i);
 
-/* Sends a GET to the daemon of host i, under an id of its own.
- * RETURN VALUE: the status, 0 where no answer came. */
+/* Sends a GET with a unique request id to the daemon of host i.
+ * RETURN VALUE: the status, or 0 if no complete answer arrived. */
 long fleet_get(struct fleet *fleet, unsigned int i, const char *path);
 
-/* RETURN VALUE: the status of the readiness that the platform asks for. */
+/* RETURN VALUE: the status of the readiness endpoint that the platform
+ * polls. */
 long fleet_readiness(const struct fleet *fleet, unsigned int i);
 
-/* RETURN VALUE: whether the daemon holds its upstream for up. */
+/* RETURN VALUE: whether the daemon considers its upstream up. */
 bool fleet_has_upstream(const struct fleet *fleet, unsigned int i);
 
-/* RETURN VALUE: of the daemon's metrics, 0 where it has none of that name. */
+/* RETURN VALUE: the value of a metric of the daemon, or 0 if there is none of
+ * this name. */
 uint64_t fleet_metric(const struct fleet *fleet, unsigned int i,
 		      const char *name);
 
--- a/tests/system/ledger.c
+++ b/tests/system/ledger.c
@@ -23,8 +23,8 @@
 						cluster->daemons[i]->caller_port);
 	}
 	g_assert_cmpuint(count, >, 0);
-	/* The first target again where there are fewer: an option may come
-	 * more than once, and the shares stay even for one and for three. */
+	/* Targets repeat if there are fewer than three, as an option may be
+	 * given more than once. The shares are even for one and for three. */
 	load.process =
 		rig_start(cluster->rig, "standin/load/standin-load", "--calls",
 			  load.calls_file, "--rate", rate, "--seconds", seconds,
--- a/tests/system/ledger.h
+++ b/tests/system/ledger.h
@@ -1,23 +1,24 @@
 /*
  * NAME
- *	ledger - what callers were told, held against what was run
+ *	ledger - compares the outcomes that callers got with what ran
  *
  * DESCRIPTION
- *	A load of GET (idempotent) and POST (not) calls writes a line for each
- *	call, and each upstream writes the id of each run, also if it is killed
- *	later. The ledger puts both together and counts what must never be.
+ *	The load generator makes GET calls (idempotent) and POST calls (not
+ *	idempotent) and logs each of them. Each upstream records the id of each
+ *	request before it runs it, so that the record survives a SIGKILL. The
+ *	ledger joins both by the id and counts violations.
  *
  *	The deadline is that of LEDGER_CONFIG. A call may end LEDGER_MARGIN_MS
- *	after it: the daemons of the tests run under sanitizers, on a machine
- *	that others use.
+ *	later, because the daemons of the tests run under sanitizers on a
+ *	machine that other processes use as well.
  */
 #ifndef TESTS_SYSTEM_LEDGER_H
 #define TESTS_SYSTEM_LEDGER_H
 
 #include "cluster.h"
 
-/* Both kinds of call have attempts left, so that what keeps a POST from being
- * sent again is that it may have run, and nothing else. */
+/* Both rules allow retries, so that only the fact that a POST may have run
+ * keeps the entry from retrying it. */
 #define LEDGER_CONFIG                                                      \
 	"{\"namespace\": \"t\", \"services\": {\"s\": {\n"                 \
 	"  \"path_prefixes\": [\"/\"], \"group\": \"s\",\n"                \
@@ -38,41 +39,41 @@
 };
 
 struct ledger {
-	/* What callers were told. */
+	/* Outcomes that callers got. */
 	unsigned int calls;
-	unsigned int posts; /* of them, not idempotent */
-	unsigned int run; /* whole, whatever its status */
-	unsigned int served; /* of them, 2xx */
+	unsigned int posts; /* calls that are not idempotent */
+	unsigned int run; /* complete answers, whatever their status */
+	unsigned int served; /* complete answers with a 2xx status */
 	unsigned int not_run;
 	unsigned int unknown;
-	unsigned int broken; /* connection cut, before or in the answer */
-	unsigned int unconnected;
-	/* What must never be. */
+	unsigned int broken; /* connection lost before or during the answer */
+	unsigned int unconnected; /* no connection to the daemon */
+	/* Violations. */
 	unsigned int duplicate_runs; /* POST that ran more than once */
-	unsigned int false_not_run; /* said "not run", and it ran */
-	unsigned int false_run; /* said "run" with a 2xx, and none ran it */
-	unsigned int wrong; /* another's answer, or not the whole */
-	unsigned int late; /* no end by the deadline and margin */
-	unsigned int without_outcome; /* a whole answer that tells no outcome */
+	unsigned int false_not_run; /* "not run", but an upstream ran it */
+	unsigned int false_run; /* "run" with a 2xx, but no upstream ran it */
+	unsigned int wrong; /* answer of another request, or incomplete */
+	unsigned int late; /* not over at the deadline plus the margin */
+	unsigned int without_outcome; /* complete answer with no outcome field */
 };
 
-/* Calls through the daemons of the mask (bit i: daemon i), by turns. */
+/* Starts a load that uses the daemons of the mask (bit i: daemon i) in turn. */
 struct ledger_load ledger_start_load(struct cluster *cluster,
 				     unsigned int daemons, const char *rate,
 				     const char *seconds, const char *seed);
 
-/* Waits for the load's end and adds its calls to the ledger. */
+/* Waits until the load has ended and adds its calls to the ledger. */
 void ledger_collect(struct ledger *ledger, struct cluster *cluster,
 		    struct ledger_load *load);
 
-/* The same for a load that goes on for so long. */
+/* Same as ledger_collect(), for a load that lasts the given seconds longer. */
 void ledger_collect_within(struct ledger *ledger, struct cluster *cluster,
 			   struct ledger_load *load, int seconds);
 
-/* Sums what must never be. */
+/* RETURN VALUE: the number of violations. */
 unsigned int ledger_violations(const struct ledger *ledger);
 
-/* Prints the ledger as a test message, and asserts that there are none. */
+/* Prints the ledger as a test message and asserts that it has no violations. */
 void ledger_assert_no_violations(const struct ledger *ledger);
 
 #endif
--- a/tests/system/pair.c
+++ b/tests/system/pair.c
@@ -77,5 +77,5 @@
 	struct pair_wait mark = {pair, count, name, value};
 
 	if (!rig_wait_until(counter_has_reached, &mark, pair->wait_ms))
-		g_error("%s does not reach %" G_GINT64_FORMAT, name, value);
+		g_error("%s did not reach %" G_GINT64_FORMAT, name, value);
 }
--- a/tests/system/raw.c
+++ b/tests/system/raw.c
@@ -42,7 +42,8 @@
 	raw_send(fd, text, strlen(text));
 }
 
-/* RETURN VALUE: as read(2); -1 also when the time is over. */
+/* RETURN VALUE: the bytes read, 0 if the connection is closed or reset, -1
+ * after a timeout. */
 static ssize_t read_some(int fd, GString *out, size_t most, gint64 end_us)
 {
 	struct pollfd poller = {.fd = fd, .events = POLLIN};
@@ -55,7 +56,7 @@
 	got = recv(fd, block, MIN(most, sizeof(block)), 0);
 	if (got > 0)
 		g_string_append_len(out, block, got);
-	return got < 0 ? 0 : got; /* a reset is a close */
+	return got < 0 ? 0 : got; /* a reset counts as a close */
 }
 
 bool raw_read_some(int fd, GString *out, size_t most, int timeout_ms)
--- a/tests/system/relay.c
+++ b/tests/system/relay.c
@@ -41,7 +41,7 @@
 	return ntohs(address.sin_port);
 }
 
-/* A port that the kernel gave for TCP may be taken for UDP. */
+/* Tries again if the port that the kernel chose for TCP is in use for UDP. */
 static bool bind_pair(uint16_t port, int *tcp, int *udp)
 {
 	for (int i = 0; i < PORT_TRIES; i++) {
@@ -157,21 +157,22 @@
 	static int port;
 	static const GOptionEntry entries[] = {
 		{"target", 0, 0, G_OPTION_ARG_STRING, &target,
-		 "where to pass on to", "IP:PORT"},
+		 "address to forward to", "IP:PORT"},
 		{"port", 0, 0, G_OPTION_ARG_INT, &port, "port; 0: any", "N"},
 		{0},
 	};
 	struct relay relay = {.loop = ev_default_loop(0)};
 	int result = 2;
 
-	standin_parse_options(&argc, &argv, entries, "A relay for tests.");
+	standin_parse_options(&argc, &argv, entries,
+			      "A fault-injecting relay for tests.");
 	log_init(LOG_FORMAT_JSON, "relay");
 	relay.random = g_rand_new_with_seed(1);
 	relay.lose_from = g_array_new(FALSE, FALSE, sizeof(uint16_t));
 	if (parse_target(target, &relay.target))
 		result = relay_run(&relay, (uint16_t)port);
 	else
-		fprintf(stderr, "--target IP:PORT is needed\n");
+		fprintf(stderr, "relay: --target IP:PORT is required\n");
 	g_rand_free(relay.random);
 	g_array_free(relay.lose_from, TRUE);
 	g_free(target);
--- a/tests/system/relay.h
+++ b/tests/system/relay.h
@@ -1,23 +1,25 @@
 /*
  * NAME
- *	relay - stands between two processes and disturbs what passes
+ *	relay - a proxy between two processes that injects network faults
  *
  * DESCRIPTION
- *	Takes TCP connections and UDP datagrams on one port and passes them on
- *	to its target. Commands come over HTTP to its control port:
+ *	Accepts TCP connections and UDP datagrams on one port and forwards them
+ *	to its target. Commands arrive over HTTP at its control port:
  *
  *	POST /set {"cut": bool, "hold_forward": bool, "hold_backward": bool,
  *	           "delay_ms": N, "lose_share": 0..1, "lose_from": [PORT, ...]}
  *
- *	cut		connections are reset, new ones too; datagrams are lost
- *	hold_forward	towards the target nothing passes, not even a close;
- *			bytes go on once it ends, datagrams are lost
- *	hold_backward	the same from the target
- *	delay_ms	all that passes, each way
- *	lose_share	of the datagrams, drawn with a fixed seed
- *	lose_from	all datagrams of senders on these ports, each way
+ *	cut		resets all connections, new ones too; drops datagrams
+ *	hold_forward	forwards nothing to the target, not even a close; when
+ *			it is cleared, the bytes held back are sent; datagrams
+ *			are dropped
+ *	hold_backward	does the same for the direction from the target
+ *	delay_ms	delays bytes and datagrams in each direction
+ *	lose_share	drops this share of the datagrams, drawn with a fixed
+ *			seed
+ *	lose_from	drops all datagrams from and to these ports
  *
- *	GET /stats gives the counts of connections, bytes and datagrams.
+ *	GET /stats returns the counts of connections, bytes and datagrams.
  */
 #ifndef TESTS_SYSTEM_RELAY_H
 #define TESTS_SYSTEM_RELAY_H
@@ -62,14 +64,15 @@
 	struct datagram_list in_flight;
 };
 
-/* RETURN VALUE: a bound non-blocking socket, or -1. port 0: any. */
+/* Binds a socket on the loopback address; port 0 means any.
+ * RETURN VALUE: a non-blocking socket, or -1. */
 int relay_bind(int type, uint16_t port);
 uint16_t relay_port_of(int fd);
 
 void tcp_start(struct relay *relay, int listen_fd);
 void tcp_finish(struct relay *relay);
 
-/* Takes up a change of what is cut, held or delayed. */
+/* Applies changed settings to the open connections. */
 void tcp_apply(struct relay *relay);
 
 void udp_start(struct relay *relay, int fd);
--- a/tests/system/relay_tcp.c
+++ b/tests/system/relay_tcp.c
@@ -13,9 +13,9 @@
 struct chunk {
 	TAILQ_ENTRY(chunk) link;
 	int64_t due_us;
-	size_t size; /* 0: the end of the stream */
+	size_t size; /* 0: end of the stream */
 	size_t written;
-	bool is_reset; /* which was not a clean one */
+	bool is_reset; /* the stream ended with an error */
 	char data[CHUNK_BYTES];
 };
 
@@ -23,19 +23,19 @@
 struct flow {
 	struct tcp_connection *connection;
 	enum direction direction;
-	ev_io readable; /* on the side it comes from */
-	ev_io writable; /* on the side it goes to */
+	ev_io readable; /* on the source socket */
+	ev_io writable; /* on the destination socket */
 	ev_timer due;
 	TAILQ_HEAD(, chunk) chunks;
 	size_t queued_bytes;
-	bool has_read_end; /* to its end */
-	bool has_forwarded_end; /* the end was passed on */
+	bool has_read_end;
+	bool has_forwarded_end;
 };
 
 struct tcp_connection {
 	LIST_ENTRY(tcp_connection) link;
 	struct relay *relay;
-	int fds[DIRECTIONS]; /* where each direction comes from */
+	int fds[DIRECTIONS]; /* the source socket of each direction */
 	struct flow flows[DIRECTIONS];
 };
 
@@ -80,7 +80,8 @@
 		ev_io_start(flow->connection->relay->loop, &flow->readable);
 }
 
-/* RETURN VALUE: 1 where all of it went, 0 where the socket is full, or -1. */
+/* RETURN VALUE: 1 if the whole chunk was written, 0 if the socket buffer is
+ * full, -1 if the connection must be reset. */
 static int chunk_write(struct flow *flow, struct chunk *chunk)
 {
 	while (chunk->written < chunk->size) {
@@ -110,7 +111,8 @@
 	ev_timer_start(flow->connection->relay->loop, &flow->due);
 }
 
-/* Passes on what is due. RETURN VALUE: false where the connection is gone. */
+/* Forwards the chunks that are due. RETURN VALUE: false if this freed the
+ * connection. */
 static bool flow_flush(struct flow *flow)
 {
 	struct tcp_connection *connection = flow->connection;
@@ -172,7 +174,8 @@
 		g_free(chunk);
 		return;
 	}
-	/* The end takes its turn in the queue: held, it must not show. */
+	/* The end of the stream is queued as well: while the direction is held,
+	 * the destination must not see it. */
 	flow->has_read_end = size <= 0;
 	chunk->is_reset = size < 0;
 	chunk->size = (size_t)MAX(size, 0);
@@ -202,8 +205,8 @@
 	ev_io_start(connection->relay->loop, &flow->readable);
 }
 
-/* Otherwise the end of each larger answer waits for a delayed acknowledgement, and
- * the host behind the relay is taken for a slow one. */
+/* With Nagle's algorithm the tail of each larger answer waits for a delayed
+ * ACK, and the host behind the relay appears slow. */
 static void disable_nagle(int fd)
 {
 	int one = 1;
--- a/tests/system/relay_udp.c
+++ b/tests/system/relay_udp.c
@@ -6,7 +6,7 @@
 
 #define MAX_DATAGRAM_BYTES 65536
 
-/* One sender, for whom a socket of its own stands before the target. */
+/* One sender, with a separate socket to the target. */
 struct udp_session {
 	LIST_ENTRY(udp_session) link;
 	struct relay *relay;
--- a/tests/system/rig.c
+++ b/tests/system/rig.c
@@ -21,7 +21,7 @@
 	bool keeps_files;
 };
 
-/* For the signal handler; a test has one rig at a time. */
+/* The signal handler needs the rig; a test has one rig at a time. */
 static struct rig *active_rig;
 
 static void print_log_end(const char *path)
@@ -41,7 +41,7 @@
 	close(fd);
 }
 
-/* RETURN VALUE: the bytes of the whole lines in the text. */
+/* RETURN VALUE: the number of bytes that complete lines take in the text. */
 static size_t print_whole_frozen_lines(char *text, size_t size)
 {
 	char *line = text;
@@ -61,9 +61,10 @@
 }
 
 /*
- * A daemon that stood still in a test that stops none makes calls late, and the
- * line that says so is written long before the assertion fails: it is not in the
- * end of its log, and the failure would look like the daemon's own.
+ * A daemon whose event loop was blocked, for example because it got no CPU
+ * time, answers calls late. It logs the pause long before the assertion fails,
+ * so the line is not in the tail of the log, and without it the failure would
+ * look like a fault of the daemon.
  */
 static void print_frozen_lines(const char *path)
 {
@@ -79,7 +80,7 @@
 
 		held += (size_t)got;
 		used = print_whole_frozen_lines(text, held);
-		/* A line that is longer than all others may be is cut. */
+		/* A line that does not fit into the buffer is skipped. */
 		if (!used && held == sizeof(text))
 			used = held;
 		held -= used;
@@ -104,9 +105,9 @@
 }
 
 /*
- * A failed assertion ends in abort(), and a test that takes too long is sent
- * SIGTERM. Neither runs any cleanup: daemons would stay behind, with their
- * ports, and the logs that tell why would be lost.
+ * A failed assertion calls abort(), and meson sends SIGTERM to a test that
+ * exceeds its timeout. Neither runs any cleanup: daemons would keep running and
+ * hold their ports, and the logs that explain the failure would be lost.
  */
 static void handle_fatal_signal(int signal)
 {
@@ -126,7 +127,7 @@
 	}
 	remove_files(active_rig);
 	active_rig = NULL;
-	/* g_error() expects that its trap is not survived: it would loop. */
+	/* g_error() raises SIGTRAP in a loop until the process dies. */
 	if (signal == SIGTRAP)
 		abort();
 	if (signal != SIGABRT)
@@ -143,10 +144,10 @@
 }
 
 /*
- * Where there is a file system in memory the logs go there. Daemons of a test
- * write theirs to files, and while a build beside it writes hundreds of megabytes
- * a write to a disk waits for seconds, whatever its flags; the daemons stand still
- * and calls come late. On the platform their output is a pipe.
+ * Uses a file system in memory if there is one. The daemons of a test log to
+ * files, and while a concurrent build writes hundreds of megabytes, a write to
+ * the disk blocks for seconds, whatever its flags: the daemons' event loops
+ * block and calls are answered late. In production a daemon's output is a pipe.
  */
 static char *make_directory(GError **error)
 {
@@ -216,8 +217,8 @@
 	return path;
 }
 
-/* Runs between fork and exec. The process dies with the test, even where that
- * is killed for taking too long. */
+/* Runs between fork and exec. The kernel kills the process when the test
+ * process ends, even if that is killed after a timeout. */
 static void handle_child_setup(void *data)
 {
 	(void)data;
@@ -265,7 +266,7 @@
 	return g_build_filename(build, program, NULL);
 }
 
-/* Takes ownership of the arguments, which end with NULL. */
+/* Takes ownership of argv, which is NULL-terminated. */
 static struct rig_process *spawn_program(struct rig *rig, const char *program,
 					 GPtrArray *argv)
 {
@@ -297,7 +298,8 @@
 	return text;
 }
 
-/* RETURN VALUE: the text from the mark on, if a whole line has it, or NULL. */
+/* RETURN VALUE: the text after the mark, or NULL if no complete line contains
+ * the mark. */
 static char *find_line(const char *path, const char *mark)
 {
 	char *text = read_file(path);
@@ -323,10 +325,10 @@
 		if (found)
 			return found;
 		if (rig_has_ended(process))
-			g_error("%s ended before it was ready", process->name);
+			g_error("%s exited before it was ready", process->name);
 		rig_sleep_ms(POLL_MS);
 	}
-	g_error("%s was not ready in time", process->name);
+	g_error("%s was not ready within %d ms", process->name, RIG_START_MS);
 }
 
 static uint16_t read_port(const char *line, const char *name)
@@ -418,7 +420,7 @@
 
 	while (!rig_has_ended(process)) {
 		if (g_get_monotonic_time() > end_us)
-			g_error("%s did not end in time", process->name);
+			g_error("%s did not exit in time", process->name);
 		rig_sleep_ms(POLL_MS);
 	}
 	return process->exit_status;
--- a/tests/system/test_ahead.c
+++ b/tests/system/test_ahead.c
@@ -1,4 +1,4 @@
-/* Callers that send further requests before the first is answered. */
+/* Pipelining: callers send further requests before the first is answered. */
 #include <glib.h>
 #include <signal.h>
 #include <string.h>
@@ -11,8 +11,8 @@
 #define CALLS 8
 #define SLOTS 16
 #define TARGET_MS 300
-/* The target of the rule "aimed", and time for the way on a busy machine; its
- * deadline is 8 s. */
+/* The target of the rule "aimed" (300 ms) plus a margin for a busy machine. The
+ * deadline of the rule is 8 s. */
 #define TARGET_REFUSAL_MAX_US (2000 * 1000)
 
 static const char config[] =
@@ -31,8 +31,8 @@
 
 static struct pair pair = {.wait_ms = WAIT_MS};
 
-static void add_lookups(GString *text, const char *path, const char *prefix,
-			int from, int to)
+static void add_gets(GString *text, const char *path, const char *prefix,
+		     int from, int to)
 {
 	for (int i = from; i < to; i++) {
 		char *id = g_strdup_printf("%s%d", prefix, i);
@@ -48,7 +48,8 @@
 	g_string_free(text, TRUE);
 }
 
-/* The answers name their requests, in the order of the requests. */
+/* Asserts that the answers contain the request ids in the order of the
+ * requests. */
 static void expect_order(const GString *answers, const char *prefix, int count)
 {
 	const char *at = answers->str;
@@ -63,8 +64,8 @@
 	}
 }
 
-/* Sends one lookup that takes so many times as long, and waits for its start; what
- * follows is quick. RETURN VALUE: the connection. */
+/* Sends one GET that takes factor times as long and waits until it has started.
+ * Later requests take the usual time. RETURN VALUE: the connection. */
 static int start_slow_request(const char *factor, const char *path, const char *id)
 {
 	int64_t started = pair_upstream_count(&pair, "started");
@@ -80,8 +81,8 @@
 }
 
 /*
- * A desk sends eight lookups at once on its connection. Read one after the
- * other, the last would wait for seven others, and its operator with it.
+ * A caller sends eight GETs at once on one connection. If the daemon ran them
+ * one after the other, the last would wait for the seven others.
  */
 static void test_pipelined_requests_run_concurrently(void)
 {
@@ -91,7 +92,7 @@
 	int fd = pair_connect(&pair);
 
 	pair_set_upstream(&pair, "{\"freeze\": true}");
-	add_lookups(text, "/s/a", "at-once-", 0, CALLS);
+	add_gets(text, "/s/a", "at-once-", 0, CALLS);
 	send_and_free(fd, text);
 	pair_wait_for(&pair, pair_upstream_count, "started", started + CALLS);
 	pair_set_upstream(&pair, "{\"freeze\": false}");
@@ -102,8 +103,8 @@
 	g_string_free(answers, TRUE);
 }
 
-/* The first is the slowest: the others are ready before it, and wait for their
- * turn. */
+/* The first request is the slowest. The answers to the others are ready before
+ * its own and wait for their turn. */
 static void test_first_is_slowest(void)
 {
 	int64_t finished = pair_upstream_count(&pair, "finished");
@@ -111,7 +112,7 @@
 	GString *text = g_string_new(NULL);
 	int fd = start_slow_request("{\"factor\": 400}", "/s/a", "slow-0");
 
-	add_lookups(text, "/s/a", "slow-", 1, CALLS);
+	add_gets(text, "/s/a", "slow-", 1, CALLS);
 	send_and_free(fd, text);
 	pair_wait_for(&pair, pair_upstream_count, "finished",
 		      finished + CALLS - 1);
@@ -123,8 +124,8 @@
 }
 
 /*
- * The first runs into its own deadline of 300 ms. Its caller is told so then,
- * and those behind it get their answers on the same connection.
+ * The first request exceeds its deadline of 300 ms. The daemon answers it with
+ * an error then and goes on with the later answers on the same connection.
  */
 static void test_first_times_out(void)
 {
@@ -132,7 +133,7 @@
 	GString *text = g_string_new(NULL);
 	int fd = start_slow_request("{\"factor\": 5000}", "/s/short", "late-0");
 
-	add_lookups(text, "/s/a", "late-", 1, 4);
+	add_gets(text, "/s/a", "late-", 1, 4);
 	send_and_free(fd, text);
 	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"late-", 3,
 					   WAIT_MS));
@@ -143,7 +144,8 @@
 	g_string_free(answers, TRUE);
 }
 
-/* One in the middle goes nowhere; it is told so in its turn. */
+/* A request in the middle matches no service. Its refusal keeps its place in
+ * the order of answers. */
 static void test_refusal_in_the_middle(void)
 {
 	GString *answers = g_string_new(NULL);
@@ -151,9 +153,9 @@
 	int fd = pair_connect(&pair);
 	const char *refusal;
 
-	add_lookups(text, "/s/a", "mid-", 0, 1);
+	add_gets(text, "/s/a", "mid-", 0, 1);
 	pair_add_request(text, "GET", "/nowhere", "mid-none");
-	add_lookups(text, "/s/a", "mid-", 1, 2);
+	add_gets(text, "/s/a", "mid-", 1, 2);
 	send_and_free(fd, text);
 	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"mid-1\"", 1,
 					   WAIT_MS));
@@ -165,8 +167,8 @@
 	g_string_free(answers, TRUE);
 }
 
-/* The desk closes its connection while eight lookups run. Each of them would
- * hold a slot for ten seconds. */
+/* The caller closes its connection while eight GETs run. The daemon has to
+ * cancel them, since each would hold a slot for ten seconds. */
 static void test_caller_disconnects(void)
 {
 	int64_t gone = pair_entry_count(&pair, "caller_gone");
@@ -176,7 +178,7 @@
 	int fd = pair_connect(&pair);
 
 	pair_set_upstream(&pair, "{\"factor\": 5000}");
-	add_lookups(text, "/s/a", "gone-", 0, CALLS);
+	add_gets(text, "/s/a", "gone-", 0, CALLS);
 	send_and_free(fd, text);
 	pair_wait_for(&pair, pair_upstream_count, "started", started + CALLS);
 	close(fd);
@@ -187,11 +189,11 @@
 }
 
 /*
- * A booking stands behind a lookup, and the connection breaks before either is
- * answered. The desk sends the booking again, as what stood behind was never
- * read. Had it been begun ahead, the franchise would be billed twice.
+ * A POST follows a GET on one connection, which breaks before either is
+ * answered. The caller retries the POST, as a request behind an unanswered one
+ * counts as not run. If the daemon had started it early, it would run twice.
  */
-static void test_booking_runs_once(void)
+static void test_post_behind_unanswered_get_runs_once(void)
 {
 	int64_t waited = pair_entry_count(&pair, "caller_waited");
 	int64_t started = pair_upstream_count(&pair, "started");
@@ -214,17 +216,16 @@
 	rig_answer_free(answer);
 }
 
-/* A booking behind a lookup runs once that is answered, on the same
- * connection. */
-static void test_booking_follows(void)
+/* A POST behind a GET runs once the GET is answered, on the same connection. */
+static void test_post_runs_after_the_get(void)
 {
 	GString *answers = g_string_new(NULL);
 	GString *text = g_string_new(NULL);
 	int fd = pair_connect(&pair);
 
-	add_lookups(text, "/s/a", "then-", 0, 1);
+	add_gets(text, "/s/a", "then-", 0, 1);
 	pair_add_request(text, "POST", "/s/book", "then-1");
-	add_lookups(text, "/s/a", "then-", 2, 3);
+	add_gets(text, "/s/a", "then-", 2, 3);
 	send_and_free(fd, text);
 	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"then-", 3,
 					   WAIT_MS));
@@ -235,8 +236,8 @@
 }
 
 /*
- * Large answers stand behind a slow one. Their upstreams are held back until
- * their turn, and each then comes whole.
+ * Large answers wait behind a slow one. The daemon stops reading from their
+ * upstreams until it is their turn, and each answer then arrives complete.
  */
 static void test_large_answers_wait(void)
 {
@@ -244,8 +245,8 @@
 	GString *text = g_string_new(NULL);
 	int fd = start_slow_request("{\"factor\": 400}", "/s/a", "large-0");
 
-	add_lookups(text, "/bytes/1000000", "x", 1, CALLS);
-	add_lookups(text, "/s/a", "large-", 1, 2);
+	add_gets(text, "/bytes/1000000", "x", 1, CALLS);
+	add_gets(text, "/s/a", "large-", 1, 2);
 	send_and_free(fd, text);
 	g_assert_true(raw_read_until_found(fd, answers, "{\"id\":\"large-1\"",
 					   1, WAIT_MS));
@@ -263,7 +264,7 @@
 	GString *text = g_string_new(NULL);
 	int fd = pair_connect(&pair);
 
-	add_lookups(text, "/s/a", "byte-", 0, 3);
+	add_gets(text, "/s/a", "byte-", 0, 3);
 	for (size_t i = 0; i < text->len; i++)
 		raw_send(fd, text->str + i, 1);
 	g_string_free(text, TRUE);
@@ -274,7 +275,7 @@
 	g_string_free(answers, TRUE);
 }
 
-/* Takes all slots of the upstream, until it thaws. */
+/* Occupies all slots of the upstream until its freeze is lifted. */
 static void occupy_all_slots(int fds[SLOTS / CALLS])
 {
 	int64_t started = pair_upstream_count(&pair, "started");
@@ -284,7 +285,7 @@
 		GString *text = g_string_new(NULL);
 
 		fds[i] = pair_connect(&pair);
-		add_lookups(text, "/s/a", "hog-", i * CALLS, (i + 1) * CALLS);
+		add_gets(text, "/s/a", "hog-", i * CALLS, (i + 1) * CALLS);
 		send_and_free(fds[i], text);
 	}
 	pair_wait_for(&pair, pair_upstream_count, "started", started + SLOTS);
@@ -299,10 +300,11 @@
 }
 
 /*
- * A rush has taken all slots. A desk sends one lookup, then another on the same
- * connection. As it was alone when it came, the first would wait for a slot to its
- * deadline, long after anybody can use its answer, and what the desk asked for
- * since would wait behind it although it has been answered.
+ * All slots are occupied. A caller sends one GET and then another on the same
+ * connection. If the first waited for a slot until its deadline, because it was
+ * alone when it arrived, its answer would come too late to be useful, and it
+ * would block the second answer although that is ready. Both must be refused
+ * once the target latency has passed.
  */
 static void test_first_waits_for_its_target(void)
 {
@@ -329,8 +331,9 @@
 	g_string_free(answers, TRUE);
 }
 
-/* Nobody waits behind a lookup that came alone: its late answer is of more use
- * to its caller than none. */
+/* A request with no other behind it blocks no answer. It waits for a slot
+ * beyond its target, since a late answer is of more use to its caller than
+ * none. */
 static void test_single_request_waits_past_target(void)
 {
 	GString *answers = g_string_new(NULL);
@@ -351,8 +354,8 @@
 }
 
 /*
- * The daemon is stopped while eight lookups are on their way. All of them were
- * begun, so all are answered, and only the last answer closes the connection.
+ * The daemon is stopped while eight GETs are in flight. As all of them have
+ * started, all are answered, and only the last answer closes the connection.
  */
 static void test_stop_with_requests_in_flight(void)
 {
@@ -362,7 +365,7 @@
 	int fd = pair_connect(&pair);
 
 	pair_set_upstream(&pair, "{\"freeze\": true}");
-	add_lookups(text, "/s/a", "stop-", 0, CALLS);
+	add_gets(text, "/s/a", "stop-", 0, CALLS);
 	send_and_free(fd, text);
 	pair_wait_for(&pair, pair_upstream_count, "started", started + CALLS);
 	rig_signal(pair.cluster.daemons[0], SIGHUP);
@@ -383,19 +386,19 @@
 
 	g_test_init(&argc, &argv, NULL);
 	pair_start(&pair, config, G_STRINGIFY(SLOTS));
-	g_test_add_func("/ahead/at-once",
+	g_test_add_func("/ahead/concurrent",
 			test_pipelined_requests_run_concurrently);
 	g_test_add_func("/ahead/first-slowest", test_first_is_slowest);
 	g_test_add_func("/ahead/first-times-out", test_first_times_out);
 	g_test_add_func("/ahead/refusal", test_refusal_in_the_middle);
-	g_test_add_func("/ahead/caller-goes", test_caller_disconnects);
-	g_test_add_func("/ahead/booking-once", test_booking_runs_once);
-	g_test_add_func("/ahead/booking-follows", test_booking_follows);
+	g_test_add_func("/ahead/disconnect", test_caller_disconnects);
+	g_test_add_func("/ahead/post-once",
+			test_post_behind_unanswered_get_runs_once);
+	g_test_add_func("/ahead/post-follows", test_post_runs_after_the_get);
 	g_test_add_func("/ahead/large", test_large_answers_wait);
 	g_test_add_func("/ahead/bytes", test_bytes_one_at_a_time);
 	g_test_add_func("/ahead/first-waits", test_first_waits_for_its_target);
-	g_test_add_func("/ahead/one-alone",
-			test_single_request_waits_past_target);
+	g_test_add_func("/ahead/single", test_single_request_waits_past_target);
 	g_test_add_func("/ahead/stop", test_stop_with_requests_in_flight);
 	status = g_test_run();
 	cluster_stop(&pair.cluster);
--- a/tests/system/test_config.c
+++ b/tests/system/test_config.c
@@ -5,7 +5,7 @@
 
 #include "cluster.h"
 
-#define PROPAGATION_MAX_MS 10000 /* what is promised */
+#define PROPAGATION_MAX_MS 10000 /* the documented limit */
 #define OPERATORS 5
 
 static struct cluster cluster;
@@ -23,7 +23,8 @@
 		note);
 }
 
-/* RETURN VALUE: the status; the answer's body in *out where given. */
+/* RETURN VALUE: the status. Unless out is NULL, *out receives the answer's
+ * body. */
 static long apply(unsigned int daemon, uint64_t base, const char *note, char **out)
 {
 	char *text = file_text(note);
@@ -81,7 +82,8 @@
 			   json));
 }
 
-/* How often the namespace's row was written, by the platform's own record. */
+/* RETURN VALUE: how often the namespace's row was written, according to the
+ * platform's history. */
 static uint64_t count_commits(void)
 {
 	char *text = rig_http_ok("GET", cluster.platform->port,
@@ -118,13 +120,15 @@
 }
 
 /*
- * Five people of one team apply in the same moment, each through the daemon
- * beside them. One gets its file in force; the others are told who did, or
- * their customers would be served by rules that nobody meant to keep.
+ * Five operators apply different files at the same moment, each through another
+ * daemon. Exactly one apply may succeed; the others report a conflict and name
+ * the operator who succeeded. Otherwise one of them would silently overwrite
+ * the rules of another.
  */
 static void test_one_concurrent_apply_succeeds(void)
 {
-	/* So that all have read the same version before the first one writes. */
+	/* Slow answers let all read the same version before the first
+	 * writes. */
 	set_platform_faults("{\"slow_ms\": 100}");
 	for (int round = 0; round < 5; round++) {
 		struct rig_process *tools[OPERATORS];
@@ -166,9 +170,9 @@
 	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
 }
 
-/* The platform takes writes, but most answers are lost on the way. The apply
- * rereads: what is said matches what the platform holds, and nothing is
- * applied twice. */
+/* The platform takes writes, but most of its answers are lost. The apply then
+ * reads the row again, so that it reports what the platform holds and writes
+ * nothing twice. */
 static void test_lost_answers_are_resolved(void)
 {
 	char *stats;
@@ -187,9 +191,9 @@
 }
 
 /*
- * The platform is down for a long stretch. Calls go on; an apply is refused
- * and changes nothing. A host that is replaced meanwhile gets what the others
- * hold, never something older.
+ * The platform is down for a long time. Calls are still served; an apply is
+ * refused and changes nothing. A host that is replaced meanwhile gets the
+ * version that its peers hold, never an older one.
  */
 static void test_outage_stops_only_applies(void)
 {
@@ -216,8 +220,8 @@
 	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
 }
 
-/* A daemon that is alone and finds no platform can't know any rule. It says
- * so: told "no such service", callers would not come back. */
+/* A daemon that reaches neither a platform nor a peer has no rules. It must
+ * answer 503, since callers would not retry after "no such service". */
 static void test_without_any_configuration_nothing_runs(void)
 {
 	struct rig_process *alone;
@@ -248,8 +252,8 @@
 	g_free(url);
 }
 
-/* Each answer of the platform takes a second. Applies take longer, but end
- * well, and callers notice nothing. */
+/* Each answer of the platform takes a second. Applies take longer but succeed,
+ * and calls are not affected. */
 static void test_slow_platform_only_slows_applies(void)
 {
 	struct rig_answer *answer;
@@ -295,7 +299,7 @@
 	g_test_add_func("/config/race", test_one_concurrent_apply_succeeds);
 	g_test_add_func("/config/lost", test_lost_answers_are_resolved);
 	g_test_add_func("/config/outage", test_outage_stops_only_applies);
-	g_test_add_func("/config/nothing",
+	g_test_add_func("/config/no-configuration",
 			test_without_any_configuration_nothing_runs);
 	g_test_add_func("/config/slow", test_slow_platform_only_slows_applies);
 	g_test_add_func("/config/wait", test_wait_reports_adopting_daemons);
--- a/tests/system/test_deadly.c
+++ b/tests/system/test_deadly.c
@@ -7,19 +7,19 @@
 #include "raw.h"
 
 /*
- * Requests that end each upstream that runs them, and requests that run there as
- * upstreams end for other reasons.
+ * Requests that crash each upstream that runs them, and requests that run while
+ * upstreams crash for other reasons.
  */
 
 #define CRASHING_PATH "/crash/report"
 #define CALL_MS 3000
 #define PAUSE_MS 60
-#define WORK_MS 20 /* of each request */
+#define WORK_MS 20 /* the service time of each request */
 #define WAIT_UP_MS 15000
-#define CRASHES_TO_HOLD 3 /* upstreams */
-#define PROPAGATION_US (3 * G_TIME_SPAN_SECOND) /* by then all daemons know */
-#define WATCH_US (5 * G_TIME_SPAN_SECOND) /* from then on */
-#define LATE_CRASHES_MAX 3 /* that may follow */
+#define CRASHES_TO_HOLD 3 /* crashed upstreams after which a request is held */
+#define PROPAGATION_US (3 * G_TIME_SPAN_SECOND) /* until all daemons know */
+#define WATCH_US (5 * G_TIME_SPAN_SECOND) /* observed after that */
+#define LATE_CRASHES_MAX 3 /* crashes allowed in that time */
 #define CRASH_TIMEOUT_US (40 * G_TIME_SPAN_SECOND)
 
 static const struct cluster_options options = {
@@ -41,7 +41,9 @@
 	g_free(id);
 }
 
-/* RETURN VALUE: the upstreams that ended. */
+/* Sends the request through the daemons in turn and restarts crashed upstreams,
+ * until so many have crashed or the time is over.
+ * RETURN VALUE: the number of upstreams that crashed. */
 static unsigned int call_repeatedly(const char *path, unsigned int until_ended,
 				    gint64 until_us)
 {
@@ -80,8 +82,8 @@
 	g_assert_cmpuint(ended, <=, LATE_CRASHES_MAX);
 }
 
-/* Guards against a request that ends each upstream that runs it and is sent on, by
- * any entry, until none is left. */
+/* Guards against entries that retry a request which crashes each upstream,
+ * until no upstream is left. */
 static void test_crashing_request_is_quarantined(void)
 {
 	char outcome[32];
@@ -138,8 +140,8 @@
 	return all;
 }
 
-/* Guards against a request that ends upstreams anew after all daemons have lost
- * what they knew together. */
+/* Guards against a held request that crashes upstreams again after all daemons
+ * lost their state at the same time. */
 static void test_quarantine_survives_loss_of_all_hosts(void)
 {
 	kill_hosts(cluster.count);
@@ -150,7 +152,8 @@
 			 ==, 0);
 }
 
-/* Guards against a request that stays refused where its operator knows better. */
+/* Guards against a request that stays refused on some daemon after an operator
+ * has cleared it. */
 static void test_operator_clears_quarantine(void)
 {
 	char *list = rig_http_ok("GET", cluster.daemons[0]->admin_port,
@@ -175,8 +178,8 @@
 		cluster_set_upstream(&cluster, i, body);
 }
 
-/* Guards against a request that goes on to end upstreams since some that failed all
- * requests had answered it. */
+/* Guards against a request that keeps crashing upstreams because others, which
+ * answer all requests with an error, have cleared its marks. */
 static void test_failed_answers_clear_no_marks(void)
 {
 	char outcome[32];
@@ -188,8 +191,8 @@
 	assert_quarantined("/crash/failing");
 }
 
-/* Guards against callers that are refused since an upstream drops connections: it
- * has not crashed. */
+/* Guards against requests that are held because an upstream drops connections
+ * without having crashed. */
 static void test_dropped_connections_mark_nothing(void)
 {
 	int64_t before = cluster_sum_counter(&cluster, "quarantine_marked");
@@ -208,8 +211,8 @@
 	assert_served_everywhere("/dropped");
 }
 
-/* One call of each daemon, at work at the same time.
- * RETURN VALUE: their connections, in an array of cluster.count. */
+/* Sends one request to each daemon, so that they run at the same time, and
+ * stores the cluster.count connections in fds. */
 static void send_to_all(const char *path, int *fds)
 {
 	for (unsigned int i = 0; i < cluster.count; i++) {
@@ -230,8 +233,8 @@
 		close(fds[i]);
 }
 
-/* Guards against callers of a popular request that are refused since it ran
- * wherever another one ended the upstream. */
+/* Guards against a frequent request that is held because it ran on each
+ * upstream at the time when another request crashed it. */
 static void test_concurrent_popular_request_is_served(void)
 {
 	int fds[CLUSTER_MAX] = {0};
@@ -253,8 +256,8 @@
 	assert_served_everywhere("/popular");
 }
 
-/* Guards against callers that are refused since upstreams crash by themselves while
- * their request runs. */
+/* Guards against a request that is held because upstreams happened to crash for
+ * other reasons while it ran. */
 static void test_unrelated_crashes_hold_nothing(void)
 {
 	int fds[CLUSTER_MAX] = {0};
@@ -271,8 +274,8 @@
 	assert_served_everywhere("/alike");
 }
 
-/* Guards against callers that are refused since hosts lost their power together
- * while their request ran there. */
+/* Guards against a request that is held because several hosts lost power at the
+ * same time while it ran there. */
 static void test_host_failures_hold_nothing(void)
 {
 	int fds[CLUSTER_MAX] = {0};
@@ -291,18 +294,18 @@
 
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
-	g_test_add_func("/deadly/not-sent-on",
+	g_test_add_func("/deadly/quarantined",
 			test_crashing_request_is_quarantined);
-	g_test_add_func("/deadly/all-lost-power",
+	g_test_add_func("/deadly/all-hosts-killed",
 			test_quarantine_survives_loss_of_all_hosts);
 	g_test_add_func("/deadly/cleared", test_operator_clears_quarantine);
 	g_test_add_func("/deadly/failing", test_failed_answers_clear_no_marks);
 	g_test_add_func("/deadly/dropped", test_dropped_connections_mark_nothing);
-	g_test_add_func("/deadly/popular",
+	g_test_add_func("/deadly/concurrent",
 			test_concurrent_popular_request_is_served);
-	g_test_add_func("/deadly/by-themselves",
+	g_test_add_func("/deadly/unrelated-crashes",
 			test_unrelated_crashes_hold_nothing);
-	g_test_add_func("/deadly/power", test_host_failures_hold_nothing);
+	g_test_add_func("/deadly/host-failures", test_host_failures_hold_nothing);
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/test_edges.c
+++ b/tests/system/test_edges.c
@@ -24,8 +24,8 @@
 struct malformed_request {
 	const char *name;
 	const char *head; /* of a request with the id "outer" */
-	const char *counter; /* NULL: caller_bad_requests */
-	size_t size; /* of a head that holds a NUL byte; 0: its text */
+	const char *counter; /* the counter that rises; NULL: caller_bad_requests */
+	size_t size; /* of a head with a NUL byte; 0: up to its terminator */
 };
 
 #define SIZED(text) .head = (text), .size = sizeof(text) - 1
@@ -110,10 +110,11 @@
 };
 
 /*
- * Two readers of one byte stream may disagree on where a request ends. A
- * caller who makes them disagree gets a second request past the rules, with
- * another caller's answer as its price. So whatever can be read in two ways is
- * refused, and nothing after it on the connection is taken for a request.
+ * Request smuggling: two parsers of one byte stream may disagree on where a
+ * request ends. A caller that exploits this gets a second request past the
+ * rules, and another caller may receive the wrong answer. The daemon therefore
+ * refuses every ambiguous request and parses no further request on the
+ * connection.
  */
 static void test_malformed_request(const void *data)
 {
@@ -147,7 +148,7 @@
 static void add_malformed_requests(void)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(malformed_requests); i++) {
-		char *path = g_strdup_printf("/edges/bad/%s",
+		char *path = g_strdup_printf("/edges/malformed/%s",
 					     malformed_requests[i].name);
 
 		g_test_add_data_func(path, &malformed_requests[i],
@@ -199,8 +200,8 @@
 	g_free(filler);
 }
 
-/* The first takes longest. Answers keep the order of the requests, and each
- * names the request that it belongs to. */
+/* The first request takes longest. Answers are sent in the order of the
+ * requests all the same, and each carries the id of its request. */
 static void test_pipelining(void)
 {
 	GString *request = g_string_new(
@@ -252,7 +253,7 @@
 	g_string_free(answer, TRUE);
 }
 
-/* A caller that waits for leave to send its body gets the refusal instead. */
+/* A caller that waits for "100 Continue" gets the refusal instead. */
 static void test_continue_refused(void)
 {
 	expect_closed_with("POST /nowhere HTTP/1.1\r\nHost: h\r\n"
@@ -262,8 +263,9 @@
 }
 
 /*
- * The request is refused by its head while its body is on the way. The caller
- * reads why, and the body is not taken for further requests.
+ * The daemon refuses the request by its head while the body is still being
+ * sent. The caller can read the refusal, and the daemon does not parse the body
+ * as further requests.
  */
 static void test_early_refusal(void)
 {
@@ -312,7 +314,7 @@
 	g_string_free(answer, TRUE);
 }
 
-/* One byte at a time, with a pause now and then. */
+/* A caller sends one byte at a time, with a longer pause after each ten. */
 static void test_slow_caller(void)
 {
 	static const char request[] =
@@ -333,8 +335,8 @@
 	g_string_free(answer, TRUE);
 }
 
-/* The chunks' own form, after a sound head. Whatever was sent on may have
- * run, but nothing behind the broken chunk is a request. */
+/* A valid head is followed by a malformed chunk. The upstream may have run what
+ * was forwarded, but nothing after the chunk may be parsed as a request. */
 static void test_bad_chunk(void)
 {
 	bool closed;
--- a/tests/system/test_failures.c
+++ b/tests/system/test_failures.c
@@ -4,16 +4,17 @@
 #include "ledger.h"
 
 #define ALL 7u /* daemons 0, 1 and 2 */
-/* In the failure domain of daemon 0, which therefore sends it much work. */
+/* In the failure domain of daemon 0, which therefore prefers it as an owner. */
 #define VICTIM 2
 #define WAIT_UP_MS 15000
-/* Longer than the deadline, its grace at the owner and the suspicion. */
+/* Longer than the deadline, the owner's grace after it and the suspicion
+ * timeout. */
 #define FREEZE_MS 4500
 
 static const struct cluster_options options = {
 	.count = 3,
 	.config = LEDGER_CONFIG,
-	/* So that several calls run on each upstream at any time. */
+	/* Long enough that several calls run on each upstream at any time. */
 	.slots = "16",
 	.service_time_us = "60000",
 };
@@ -28,9 +29,10 @@
 }
 
 /*
- * A host loses its power while callers use its daemon, which is owner to the
- * others and entry to some. Its own callers' connections break; the others
- * may be told "unknown" for calls that were out to it, and go on with the rest.
+ * A host loses power while its daemon is entry for some callers and owner for
+ * the other daemons. Connections of its own callers break. Other callers may
+ * get "unknown" for calls that it was running; all their other calls are
+ * served.
  */
 static void test_a_host_is_killed(void)
 {
@@ -51,9 +53,9 @@
 }
 
 /*
- * A daemon crashes; its upstream goes on. Work that it had started runs to its
- * end without anyone to tell of it. The daemon comes back with a new
- * incarnation and its upstream announces itself again, under the load.
+ * A daemon crashes and its upstream keeps running. Requests that the daemon had
+ * started complete, but nobody receives their answers. The daemon restarts with
+ * a new incarnation and its upstream announces itself again, under load.
  */
 static void test_a_daemon_crashes_and_comes_back(void)
 {
@@ -78,9 +80,9 @@
 }
 
 /*
- * An upstream crashes with calls in it; its daemon goes on. Calls that it was
- * running end unknown, calls that found no connection are not run here and go
- * elsewhere: callers of the rest notice nothing.
+ * An upstream crashes with calls running and its daemon keeps running. The
+ * running calls end as unknown. Calls that can't connect are not run there and
+ * are retried elsewhere, so that no other caller is affected.
  */
 static void test_an_upstream_is_killed(void)
 {
@@ -97,13 +99,14 @@
 		cluster_wait_up(&cluster, cluster.count, WAIT_UP_MS);
 	}
 	ledger_assert_no_violations(&ledger);
-	/* What it ran when it died, at most: its slots, twice. */
+	/* At most the calls that ran when it crashed: its 16 slots, twice. */
 	g_assert_cmpuint(ledger.unknown, <=, 2 * 16);
 	g_assert_cmpuint(ledger.broken, <=, 2 * 16);
 	g_assert_cmpuint(ledger.not_run, ==, 0);
 }
 
-/* Stops a process for longer than every timeout, twice, under load. */
+/* Suspends a process twice under load, each time for longer than every
+ * timeout. */
 static void freeze_under_load(struct rig_process *process, const char *seed)
 {
 	struct ledger ledger = {0};
@@ -124,9 +127,10 @@
 }
 
 /*
- * A host's daemon is paused, as by its hypervisor, and wakes with the work of
- * seconds ago in its buffers. Callers have long been told; what has not
- * started must not start, and answers that come late reach nobody.
+ * An owner is suspended, as by a hypervisor, and resumes with attempts in its
+ * buffers that are seconds old. Their callers have been answered long ago, so
+ * attempts that have not started must not start, and late answers must not
+ * reach any caller.
  */
 static void test_an_owner_is_paused(void)
 {
@@ -149,8 +153,8 @@
 }
 
 /*
- * The same for an upstream. Its daemon sees calls that give no answer, and
- * breaks them off after their deadline.
+ * An upstream is suspended. Its daemon gets no answers and aborts the calls
+ * after their deadline.
  */
 static void test_an_upstream_is_paused(void)
 {
--- a/tests/system/test_gone.c
+++ b/tests/system/test_gone.c
@@ -1,4 +1,4 @@
-/* Callers that go away, at each stage of their request. */
+/* Callers that disconnect, at each stage of their request. */
 #include <glib.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -54,9 +54,9 @@
 }
 
 /*
- * A caller hangs up while its lookup runs on a slow upstream. Were the work
- * left to run, the only slot would stay taken for ten seconds by an answer
- * that nobody reads.
+ * A caller disconnects while its GET runs on a slow upstream. Unless the daemon
+ * cancels it, an answer that nobody reads occupies the only slot for ten
+ * seconds.
  */
 static void test_gone_while_running(void)
 {
@@ -78,8 +78,8 @@
 }
 
 /*
- * A caller hangs up while its booking waits behind another. It never runs, and
- * the one that runs gets its answer.
+ * A caller disconnects while its POST waits in the queue behind another. The
+ * queued request never runs, and the running one is answered.
  */
 static void test_gone_while_queued(void)
 {
@@ -106,8 +106,9 @@
 	g_string_free(answer, TRUE);
 }
 
-/* A booking that runs is not broken off half-way, though nobody waits. */
-static void test_gone_while_booking(void)
+/* A POST that runs is not cancelled half-way when its caller disconnects,
+ * although nobody waits for the answer. */
+static void test_gone_while_post_runs(void)
 {
 	int64_t gone = pair_entry_count(&pair, "caller_gone");
 	int64_t started = pair_upstream_count(&pair, "started");
@@ -127,7 +128,7 @@
 	expect_slot_is_free();
 }
 
-/* A caller stops in the middle of a long answer. */
+/* A caller disconnects in the middle of a long answer. */
 static void test_gone_while_answered(void)
 {
 	int64_t gone = pair_entry_count(&pair, "caller_gone");
@@ -144,7 +145,8 @@
 	g_string_free(answer, TRUE);
 }
 
-/* A caller that breaks off inside its own body has asked for nothing yet. */
+/* A caller disconnects inside a short request body. The request is incomplete
+ * and never runs. */
 static void test_gone_while_sending(void)
 {
 	int64_t gone = pair_entry_count(&pair, "caller_gone");
@@ -161,9 +163,10 @@
 }
 
 /*
- * A caller breaks off inside a long body, of which the first part has reached
- * the upstream. Ended there, what came would look whole, and half a file would
- * be kept as the file. The upstream's connection breaks as the caller's did.
+ * A caller disconnects inside a long body whose first part has reached the
+ * upstream. If the daemon ended the body there, the upstream would take the
+ * part for the whole and store half a file. The daemon must break the
+ * connection to the upstream instead.
  */
 static void test_gone_while_sending_long(void)
 {
@@ -186,9 +189,10 @@
 }
 
 /*
- * A caller closes its sending side and still reads. TCP shows the same as for
- * one that has gone, so it is treated as gone: its connection ends at once and
- * the slot goes to a caller who surely waits.
+ * A caller shuts down its sending side and still reads. TCP can't distinguish
+ * this from a caller that has disconnected, so the daemon treats it as
+ * disconnected: it closes the connection at once and gives the slot to a caller
+ * that certainly waits.
  */
 static void test_half_closed(void)
 {
@@ -217,7 +221,7 @@
 	pair_start(&pair, config, "1");
 	g_test_add_func("/gone/running", test_gone_while_running);
 	g_test_add_func("/gone/queued", test_gone_while_queued);
-	g_test_add_func("/gone/booking", test_gone_while_booking);
+	g_test_add_func("/gone/running-post", test_gone_while_post_runs);
 	g_test_add_func("/gone/answered", test_gone_while_answered);
 	g_test_add_func("/gone/sending", test_gone_while_sending);
 	g_test_add_func("/gone/sending-long", test_gone_while_sending_long);
--- a/tests/system/test_halves.c
+++ b/tests/system/test_halves.c
@@ -3,12 +3,13 @@
 
 #include "cluster.h"
 
-/* Half of them on each side. */
+/* Half of the hosts are on each side of the partition. */
 #define HOSTS 6
 #define WAIT_UP_MS 15000
-/* A suspicion, and the time to refute it, at this size; see membership.md. */
+/* The suspicion timeout, which includes the time to refute, for this number of
+ * hosts; see membership.md. */
 #define WAIT_DEAD_MS 60000
-/* The dead are pinged every 2 s. */
+/* Dead members are pinged every 2 s. */
 #define WAIT_MERGED_MS 30000
 #define CALL_MS 5000
 
@@ -53,7 +54,7 @@
 	return all_see("alive", HOSTS);
 }
 
-/* Gossip from the hosts of one half to those of the other is lost, both ways. */
+/* Drops gossip between the two halves, in both directions. */
 static void partition_network(void)
 {
 	for (unsigned int i = 0; i < HOSTS; i++) {
@@ -90,10 +91,10 @@
 }
 
 /*
- * A link between two parts of an installation fails, and each half holds the
- * other one for dead. Both go on serving by themselves. When the link is back
- * nobody is told; without pings to the dead the halves would stay apart for good,
- * and callers would be served by half of the upstreams.
+ * A link between two halves of an installation fails, and each half declares
+ * the members of the other dead. Both keep serving on their own. Nothing
+ * announces that the link is back: without pings to dead members the partition
+ * would never heal, and callers would be served by half of the upstreams.
  */
 static void test_partition_heals(void)
 {
@@ -105,7 +106,7 @@
 	heal_partition();
 	healed_us = g_get_monotonic_time();
 	g_assert_true(rig_wait_until(is_partition_healed, NULL, WAIT_MERGED_MS));
-	g_test_message("one again after %.1f s",
+	g_test_message("partition healed after %.1f s",
 		       (double)(g_get_monotonic_time() - healed_us) / 1e6);
 	cluster_wait_up(&cluster, HOSTS, WAIT_UP_MS);
 	assert_all_serve();
@@ -116,7 +117,7 @@
 	int result;
 
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/halves/meet-again", test_partition_heals);
+	g_test_add_func("/halves/heals", test_partition_heals);
 	cluster_start(&cluster, &options);
 	result = g_test_run();
 	cluster_stop(&cluster);
--- a/tests/system/test_large_config.c
+++ b/tests/system/test_large_config.c
@@ -3,23 +3,24 @@
 #include "fleet.h"
 
 /*
- * Operators give a host name thousands of routes more, and the platform's store
- * turns one host away meanwhile. It hears from its peers that there is a newer
- * configuration and has to get it from them. Where it could not, for the size of the
- * file, callers there were answered 404 on every new route, which no client tries
- * again, for as long as the file stayed that large; all other hosts served them.
+ * Operators add thousands of routes while one host can't reach the platform's
+ * store. That host learns from its peers that there is a newer configuration
+ * and has to fetch it from them.
  *
- * A body had to go from peer to peer in one answer, and an answer has a size: each
- * peer was asked in vain, again and again. And 404 came from the version held, though
- * a higher one was known of. The evidence: the host's lines of these requests with
- * head=3 and known_head=5, and a config.fetch-failed for each peer it had asked.
+ * Guards against a configuration that is too large for one answer of a peer. A
+ * host that asks for it in one piece fails with each peer, again and again, and
+ * answers 404 on every new route for as long as the file stays that large,
+ * while all other hosts serve the routes. Clients don't retry a 404, so a host
+ * must not send one if it knows of a higher version than its own. The log shows
+ * this fault as requests with head=3 and known_head=5, and as a
+ * config.fetch-failed for each peer.
  */
 
 #define HOSTS 3
-#define ISOLATED (HOSTS - 1) /* the host that the store turns away */
+#define ISOLATED (HOSTS - 1) /* the host that can't reach the store */
 #define MORE_ROUTES 8000
 #define WAIT_MS 10000
-#define PROPAGATION_MAX_MS 10000 /* what operators are promised */
+#define PROPAGATION_MAX_MS 10000 /* the documented limit */
 
 static const struct fleet_options options = {
 	.count = HOSTS,
@@ -43,8 +44,8 @@
 }
 
 struct new_route {
-	bool is_known_of; /* that there is a newer configuration */
-	unsigned int denied; /* though it was */
+	bool is_known_of; /* the host knows that there is a newer configuration */
+	unsigned int denied; /* 404 answers since then */
 };
 
 static bool is_new_route_served(void *data)
@@ -81,7 +82,7 @@
 
 	g_test_init(&argc, &argv, NULL);
 	fleet_start(&fleet, &options);
-	g_test_add_func("/large-config/apart",
+	g_test_add_func("/large-config/isolated-host",
 			test_large_configuration_reaches_an_isolated_host);
 	result = g_test_run();
 	fleet_stop(&fleet);
--- a/tests/system/test_links.c
+++ b/tests/system/test_links.c
@@ -3,29 +3,29 @@
 
 #include "ledger.h"
 
-/* Reached by the others through a relay only. It lies in the failure domain of
- * daemon 0, which therefore sends it much work. */
+/* The others reach this daemon only through a relay. It is in the failure
+ * domain of daemon 0, which therefore prefers it as an owner. */
 #define RELAYED 2
 #define CALLERS (1u << 0 | 1u << 1)
 #define WAIT_UP_MS 15000
-/* Longer than the deadline and than the suspicion of a lost host. */
+/* Longer than the deadline and than the suspicion timeout. */
 #define HOLD_MS 4500
-/* Longer than the deadline, and over before the host is taken for lost and its
+/* Longer than the deadline, but over before the host is declared dead and its
  * connections are closed. */
 #define SHORT_HOLD_MS 2300
 
 static const struct cluster_options options = {
 	.count = 3,
 	.config = LEDGER_CONFIG,
-	/* So that several calls run on each upstream at any time. */
+	/* Long enough that several calls run on each upstream at any time. */
 	.slots = "16",
 	.service_time_us = "60000",
 	.relayed = 1u << RELAYED,
 };
 static struct cluster cluster;
 
-/* Disturbs the link twice under a load of both kinds.
- * RETURN VALUE: what callers were told. */
+/* Disturbs the link twice under a load of GET and POST calls.
+ * RETURN VALUE: the outcomes that callers got. */
 static struct ledger disturb_link(const char *on, const char *off, int for_ms,
 				  const char *seed)
 {
@@ -48,8 +48,8 @@
 }
 
 /*
- * A switch resets all connections to a host. Calls that were out to it end
- * unknown; those whose frames never left go elsewhere.
+ * A switch resets all connections to a host. Calls that it was running end as
+ * unknown; attempts that were never sent are retried elsewhere.
  */
 static void test_cut_links(void)
 {
@@ -60,9 +60,9 @@
 }
 
 /*
- * The network to a host swallows everything without a reset, both ways, for
- * seconds. Connections look open. No caller may wait beyond its deadline, and
- * the work that arrives when it is over must not run.
+ * The network drops all traffic with a host for seconds, in both directions and
+ * without a reset, so that connections look open. No caller may wait beyond its
+ * deadline, and attempts that arrive afterwards must not run.
  */
 static void test_half_open_links(void)
 {
@@ -75,8 +75,8 @@
 }
 
 /*
- * Only what comes from the host is swallowed: it gets work and runs it, and
- * its answers and refusals arrive seconds later, together.
+ * Only traffic from the host is held back: it gets attempts and runs them, and
+ * its answers and refusals arrive together seconds later.
  */
 static void test_answers_that_come_late(void)
 {
@@ -88,9 +88,10 @@
 }
 
 /*
- * The same, and over so soon that the connections live on. The answers of calls
- * that have ended come among those of new ones on the same connection; a caller
- * who got one of them would read what was meant for another.
+ * Traffic from the host is held back for so short a time that the connections
+ * survive. Answers to calls that have ended arrive between those to new calls
+ * on the same connection. The entry must discard them, or a caller would
+ * receive the answer to another call.
  */
 static void test_answers_to_ended_calls(void)
 {
@@ -106,7 +107,8 @@
 			>, before);
 }
 
-/* The other way: requests and cancels are held back, and flow together. */
+/* Only traffic to the host is held back: attempts and cancels arrive together
+ * seconds later. */
 static void test_requests_that_come_late(void)
 {
 	struct ledger ledger =
@@ -122,7 +124,8 @@
 
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
-	/* First: after the others the host may be left out for a while. */
+	/* This test is first, because after the others the entries may avoid
+	 * the host for a while. */
 	g_test_add_func("/links/answers-to-ended", test_answers_to_ended_calls);
 	g_test_add_func("/links/cut", test_cut_links);
 	g_test_add_func("/links/half-open", test_half_open_links);
--- a/tests/system/test_load.c
+++ b/tests/system/test_load.c
@@ -1,6 +1,7 @@
 /*
- * What callers receive when there is more than the upstreams can do. Nothing
- * here asserts a speed: only who is answered, and what the others are told.
+ * What callers receive while the upstreams are overloaded or faulty. These
+ * tests assert no latency: only which calls are served, and how the others are
+ * refused.
  */
 #include <glib.h>
 #include <stdlib.h>
@@ -20,16 +21,17 @@
 	"   {\"name\": \"post\", \"deadline_ms\": 1000,\n"   \
 	"    \"fairness_header\": \"X-Caller\"}]}}}\n"
 
-/* Three upstreams of four slots and 40 ms: 300 calls a second. */
+/* Three upstreams with four slots each and a service time of 40 ms have a
+ * capacity of 300 calls per second. */
 #define SLOTS "4"
 #define SERVICE_TIME_US "40000"
 #define RATE_QUIET "90"
 #define RATE_OVERLOAD "900"
-/* A caller that has heard nothing at twice the deadline hangs up. */
+/* Callers disconnect if they have no answer after twice the deadline. */
 #define CALLER_TIMEOUT_MS "2000"
 #define SETTLE_MS 2000
 #define LOAD_MS 60000
-/* Calls of the caller in a rush that are looked at one by one. */
+/* Calls during the overload whose answers are checked one by one. */
 #define CONCURRENT_CALLS 20
 
 static struct cluster cluster;
@@ -56,7 +58,8 @@
 	return load;
 }
 
-/* RETURN VALUE: its summary, freed by the caller. */
+/* Waits until the load has ended, and asserts that no answer was wrong, late or
+ * truncated. RETURN VALUE: its summary, which the caller frees. */
 static char *finish_load(struct rig_process *load)
 {
 	char *out;
@@ -79,8 +82,9 @@
 	g_free(out);
 }
 
-/* A call of the caller in a rush. RETURN VALUE: true if it was refused, which is
- * then told in full. */
+/* Makes a call as the overloading caller. If it is refused, asserts that the
+ * refusal is complete: the outcome, when to retry, and that it did not run.
+ * RETURN VALUE: whether it was refused. */
 static bool call_is_refused(int number)
 {
 	char *id = g_strdup_printf("single-%d", number);
@@ -109,8 +113,8 @@
 	return GINT_TO_POINTER(call_is_refused(GPOINTER_TO_INT(number)));
 }
 
-/* All at once: one after the other, those that wait to be served would outlast
- * the rush. RETURN VALUE: how many were refused. */
+/* Makes the calls concurrently: one after the other, those that wait to be
+ * served would outlast the overload. RETURN VALUE: how many were refused. */
 static int call_during_overload(void)
 {
 	GThread *threads[CONCURRENT_CALLS];
@@ -125,9 +129,9 @@
 }
 
 /*
- * Three times as many calls come as the upstreams can run, for some seconds.
- * Every caller gets an answer: some their own, the others that theirs was not
- * run and when to come back. Once the rush is over everybody is served again.
+ * For some seconds there are three times as many calls as the upstreams can
+ * run. Every call is answered: it is either served, or refused as not run with
+ * a time to retry. Once the overload is over all calls are served again.
  */
 static void test_overload_is_refused_and_ends(void)
 {
@@ -147,8 +151,9 @@
 }
 
 /*
- * A new release of one caller's program calls in a loop, three times as much as
- * the upstreams can run. The other callers, who ask for little, must not notice.
+ * One caller makes three times as many calls as the upstreams can run, for
+ * example after a faulty release. Other callers with few calls must still be
+ * served.
  */
 static void test_hot_caller_does_not_starve_others(void)
 {
@@ -170,9 +175,9 @@
 }
 
 /*
- * One upstream of three answers each call with an error, at once. Its slots are
- * always free, and a policy that looks for free slots would send most calls
- * there; a third would be its fair share.
+ * One of three upstreams answers each call with an error immediately. Its slots
+ * are always free, so a policy that prefers free slots would send it most
+ * calls, where a third would be its fair share.
  */
 static void test_fail_fast_gets_few_calls(void)
 {
@@ -193,8 +198,8 @@
 }
 
 /*
- * An upstream slows down ten times, as when its host's disk fails. There is
- * room at the others: nobody is refused, and nobody waits until the deadline.
+ * An upstream becomes ten times slower, as with a failing disk. The others have
+ * capacity left: no call may be refused, and none may wait until its deadline.
  */
 static void test_slow_upstream_refuses_nobody(void)
 {
--- a/tests/system/test_on_platform.c
+++ b/tests/system/test_on_platform.c
@@ -5,8 +5,8 @@
 #include "fleet.h"
 
 /*
- * The daemons as the users' platform runs them: the operator's row in the
- * store, heartbeats from the upstreams, readiness asked from outside.
+ * The daemons as the users' platform runs them: the operator's row is in the
+ * store, upstreams send heartbeats, and the platform polls readiness.
  */
 
 #define HOSTS 3
@@ -55,7 +55,7 @@
 	return answer;
 }
 
-/* RETURN VALUE: the status, 0 where no answer came. */
+/* RETURN VALUE: the status, or 0 if no complete answer arrived. */
 static long call(unsigned int i, const char *method, const char *path)
 {
 	char id[32];
@@ -120,8 +120,8 @@
 		      "comfreydock_members{state=\"alive\"}") == HOSTS;
 }
 
-/* Without a configuration nobody may be sent here: each path would be told
- * that it does not exist. */
+/* A daemon without a configuration must not be ready, as it would answer 404 on
+ * each path. */
 static void test_ready_with_a_configuration_only(void)
 {
 	g_assert_cmpint(fleet_readiness(&fleet, 0), ==, 503);
@@ -132,15 +132,15 @@
 					     PROPAGATION_MAX_MS));
 		wait_upstream(i);
 		wait_served(i, "/list/1", WAIT_MS);
-		/* What follows counts on a choice of upstreams. */
+		/* The later tests need a choice of upstreams. */
 		g_assert_true(rig_wait_until(knows_all, GUINT_TO_POINTER(i),
 					     WAIT_MS));
 	}
 	g_assert_cmpint(call(0, "GET", "/none/1"), ==, 404);
 }
 
-/* The answer is the upstream's, and names the service of the entry's host,
- * whatever the caller claimed. */
+/* The answer is the upstream's own. The upstream sees the service of the
+ * entry's host as the caller, whatever the request claimed. */
 static void test_answers_are_the_upstreams(void)
 {
 	struct rig_answer *answer = call_as(1, "POST", "/book/1", "booking-1");
@@ -160,9 +160,9 @@
 }
 
 /*
- * An upstream leaves another request's answer on its connection. The caller who
- * comes next must not get it: a listing is fetched again, a booking of which
- * nobody knows is told so, and made once.
+ * An upstream leaves the answer to another request on its connection. The next
+ * caller must not receive it: an idempotent request is retried, and a POST of
+ * unknown outcome is reported as such and runs only once.
  */
 static void test_mismatched_answers_are_discarded(void)
 {
@@ -187,7 +187,7 @@
 	}
 }
 
-/* Slows all other hosts, so that the calls go there; HOSTS: none is slow. */
+/* Slows all other hosts, so that calls prefer this one; HOSTS slows none. */
 static void prefer_host(unsigned int preferred)
 {
 	for (unsigned int i = 0; i < HOSTS; i++)
@@ -197,8 +197,8 @@
 	rig_sleep_ms(100);
 }
 
-/* 503 of a booking that was made, without a word that it was not: it must not
- * be passed on, nor lead to a second one. */
+/* An upstream runs a POST and answers 503 without the field that says it did
+ * not run. The daemon must neither forward the 503 nor retry the request. */
 static void test_false_not_run_is_not_forwarded(void)
 {
 	unsigned int calls = 0;
@@ -225,7 +225,7 @@
 	prefer_host(HOSTS);
 }
 
-/* A slow spell of one host: its share of the calls goes to the others. */
+/* While one host is slow, the others take over its share of the calls. */
 static void test_slow_host_is_avoided(void)
 {
 	unsigned int before;
@@ -256,11 +256,11 @@
 }
 
 /*
- * All slots of a host are busy and more requests wait there when a slow spell of
- * it begins. Each slot that comes free takes one of them, which then runs
- * thousands of times as long and keeps its slot long after the spell: callers wait,
- * and new ones are refused. Left waiting until the spell ends, all are
- * answered soon after it.
+ * All slots of a host are busy and more requests are queued when the host
+ * becomes slow for a while. If each free slot took a queued request, that would
+ * run thousands of times as long and occupy the slot long after the slow spell:
+ * callers would wait, and new calls would be refused. If the queued requests
+ * wait until the spell ends, all are answered soon after it.
  */
 static void test_queued_attempts_wait_out_a_slow_spell(void)
 {
@@ -291,8 +291,8 @@
 	}
 }
 
-/* Heartbeats say that the upstream drains: nothing new begins there, and no
- * caller notices. */
+/* Heartbeats report that the upstream is draining: no new request starts there,
+ * and no call fails. */
 static void test_drain_by_heartbeat(void)
 {
 	unsigned int before;
@@ -308,10 +308,10 @@
 }
 
 /*
- * An upstream says good-bye without having drained and goes on for a while. Its
- * daemon is killed and started again just then: it knows nothing of the
- * good-bye, and a heartbeat of before comes seconds late. What was told that it
- * may end must not get work by that.
+ * An upstream deregisters without having drained and keeps running for a while.
+ * Its daemon is killed and restarted at that moment, so it does not know of the
+ * deregistration, and then a delayed heartbeat from before it arrives. The
+ * upstream must not get attempts again, because it was told that it may stop.
  */
 static void test_late_heartbeat_after_deregistration(void)
 {
@@ -330,7 +330,7 @@
 	for (unsigned int i = 0; i < HOSTS; i++)
 		call_some(i, 10);
 	g_assert_cmpuint(runs_at(2), ==, before);
-	/* Another start at another address is taken. */
+	/* A new instance at another address is accepted. */
 	rig_kill(fleet.hosts[2].upstream);
 	fleet_start_upstream(&fleet, 2);
 	wait_upstream(2);
@@ -338,8 +338,8 @@
 }
 
 /*
- * The upstream crashes and another instance takes its place without a
- * heartbeat yet. It must not run what was meant for the other.
+ * The upstream crashes and another instance listens on its port before it has
+ * sent a heartbeat. It must not run requests that were meant for the former.
  */
 static void test_other_instance_runs_nothing(void)
 {
@@ -364,9 +364,9 @@
 }
 
 /*
- * The store is away while a daemon is replaced. It finds its peers and the
- * configuration all the same, since those that knew the one before it look for
- * it; without that its callers would be refused until the store is back.
+ * The store is down while a daemon is replaced. The new daemon still finds its
+ * peers and the configuration, because the peers that knew its predecessor
+ * contact it. Otherwise it would refuse all calls until the store is back.
  */
 static void test_restart_without_the_store(void)
 {
@@ -383,8 +383,8 @@
 	fleet_set_store(&fleet, "{\"down\": false}");
 }
 
-/* A change is in force everywhere within seconds, also where the store has
- * dropped its history in between. */
+/* A change is in force on all hosts within seconds, even if the store has
+ * compacted its history in between. */
 static void test_configuration_changes_reach_all_hosts(void)
 {
 	fleet_put_config(&fleet, 5, "moved");
@@ -399,7 +399,7 @@
 	fleet_set_store(&fleet, "{\"status\": 0}");
 	for (unsigned int i = 0; i < HOSTS; i++)
 		wait_served(i, "/again/1", PROPAGATION_MAX_MS + 1000);
-	/* An older one, or one that can't be read, changes nothing. */
+	/* An older version changes nothing. */
 	fleet_put_config(&fleet, 8, "older");
 	rig_sleep_ms(500);
 	for (unsigned int i = 0; i < HOSTS; i++) {
@@ -412,10 +412,10 @@
 }
 
 /*
- * An upstream answers each request with another's answer, while its health path
- * says that it is well. The caller of a booking is told that nobody knows what
- * became of it, and each entry would find that out anew: the daemon beside the
- * upstream knows it first.
+ * An upstream sends mismatched answers while its health path reports that it is
+ * healthy. Each such POST ends with an unknown outcome. If only the entries
+ * learned of the fault, each would lose calls before it avoids the upstream;
+ * the upstream's own daemon knows first and opens its breaker.
  */
 static void test_failing_upstream_opens_the_breaker(void)
 {
@@ -427,25 +427,25 @@
 	set_upstream(1, "{\"strange_next\": 100000}");
 	for (unsigned int n = 0; n < 60; n++) {
 		unknown += call(n % HOSTS, "POST", "/book/1") == 502;
-		/* The rule allows no second attempt. */
+		/* The rule allows a single attempt. */
 		unknown += call(n % HOSTS, "GET", "/once/1") == 502;
 		call(n % HOSTS, "GET", "/list/1");
 	}
-	g_test_message("%u of 120 are of unknown outcome", unknown);
+	g_test_message("%u of 120 calls had an unknown outcome", unknown);
 	g_assert_cmpuint(unknown, >, 0);
-	/* Those that opened the breaker, and a trial in a second in which none
-	 * was made by a request that may be repeated. */
+	/* The calls that opened the breaker, and one trial for each second in
+	 * which no idempotent request served as the trial. */
 	took_s = (unsigned int)((g_get_monotonic_time() - began) / G_USEC_PER_SEC);
 	g_assert_cmpuint(unknown, <=, 5 + took_s * 3 / 4);
 	set_upstream(1, "{\"strange_next\": 0}");
 	prefer_host(HOSTS);
-	/* Requests that may be repeated find out that it is well again. */
+	/* Idempotent requests serve as trials and close the breaker. */
 	for (unsigned int n = 0; n < 100; n++)
 		g_assert_cmpint(call(n % HOSTS, "GET", "/list/1"), ==, 200);
 }
 
-/* What on-call engineers look at first: how many calls ended how, and where
- * their time went. */
+/* The metrics that on-call engineers look at first: how calls ended, and where
+ * their time was spent. */
 static void test_metrics_count_calls_and_latencies(void)
 {
 	uint64_t before = metric(0, "comfreydock_calls{rule=\"get\","
@@ -481,15 +481,15 @@
 	g_test_add_func("/on-platform/ready",
 			test_ready_with_a_configuration_only);
 	g_test_add_func("/on-platform/answers", test_answers_are_the_upstreams);
-	g_test_add_func("/on-platform/strange",
+	g_test_add_func("/on-platform/mismatched-answers",
 			test_mismatched_answers_are_discarded);
-	g_test_add_func("/on-platform/promises",
+	g_test_add_func("/on-platform/false-not-run",
 			test_false_not_run_is_not_forwarded);
 	g_test_add_func("/on-platform/slow", test_slow_host_is_avoided);
-	g_test_add_func("/on-platform/waiting-in-a-spell",
+	g_test_add_func("/on-platform/slow-spell-queue",
 			test_queued_attempts_wait_out_a_slow_spell);
 	g_test_add_func("/on-platform/drain", test_drain_by_heartbeat);
-	g_test_add_func("/on-platform/good-bye",
+	g_test_add_func("/on-platform/late-heartbeat",
 			test_late_heartbeat_after_deregistration);
 	g_test_add_func("/on-platform/other-instance",
 			test_other_instance_runs_nothing);
--- a/tests/system/test_path.c
+++ b/tests/system/test_path.c
@@ -50,8 +50,8 @@
 				    cluster.daemons[0]->caller_port);
 	struct rig_answer *answer;
 
-	/* Every path is the service's here, so only a rule can be missing;
-	 * the rule "post" takes all that "get" does not. */
+	/* The service has all paths, so only a rule could be missing. The rule
+	 * "post" matches every method that "get" does not. */
 	answer = rig_http("DELETE", url, NULL, NULL, 5000);
 	expect(answer, 200, "run");
 	rig_answer_free(answer);
@@ -59,8 +59,8 @@
 }
 
 /*
- * An operator looks for the reason of one slow call and asks a daemon that the
- * call never passed. The time line must be whole, and say so if it is not.
+ * An operator investigates a slow call and asks a daemon that never handled it.
+ * The timeline must be complete, or list the daemons that are missing from it.
  */
 static void test_any_daemon_returns_the_timeline(void)
 {
@@ -87,9 +87,8 @@
 }
 
 /*
- * A host's upstream is taken out for maintenance while callers use it. The
- * operator drains it; calls that run finish, new ones go to the others, and
- * no caller gets an error.
+ * An operator drains an upstream for maintenance under load. Running calls
+ * finish, new calls go to the other upstreams, and no caller gets an error.
  */
 static void test_drain_interrupts_no_calls(void)
 {
@@ -106,7 +105,8 @@
 	rig_sleep_ms(1000);
 	g_free(rig_http_ok("POST", cluster.daemons[1]->admin_port,
 			   "/v1/upstream/stop", ""));
-	/* "May stop" was said: nothing may be cut off by this. */
+	/* The daemon has reported that the upstream may stop, so this must not
+	 * interrupt any call. */
 	rig_signal(cluster.upstreams[1], SIGTERM);
 	rig_wait_end(load, 20000);
 	out = rig_read_output(load);
--- a/tests/system/test_planned.c
+++ b/tests/system/test_planned.c
@@ -8,9 +8,10 @@
 #define ALL 7u /* daemons 0, 1 and 2 */
 #define LEAVING 2 /* in the failure domain of daemon 0 */
 #define WAIT_UP_MS 15000
-/* "A few seconds": what the brief allows for the last new work. */
+/* New attempts may start on a draining upstream for so long; the requirement is
+ * a few seconds. */
 #define DRAIN_DELAY_MS 2000
-/* What an upstream takes to end that was told that it may. */
+/* How long an upstream takes to exit once it was told that it may stop. */
 #define STOP_MS 300
 
 static const struct cluster_options options = {
@@ -20,7 +21,7 @@
 };
 static struct cluster cluster;
 
-/* RETURN VALUE: how many runs the leaving upstream has begun in all. */
+/* RETURN VALUE: how many runs the leaving upstream has started so far. */
 static unsigned int count_runs(void)
 {
 	return runs_count_prefix(cluster.runs_files[LEAVING], "");
@@ -32,14 +33,14 @@
 			   ""));
 }
 
-/* Nobody was cut off, refused or left in doubt. */
+/* No call was interrupted, refused or of unknown outcome. */
 static void assert_all_served(const struct ledger *ledger)
 {
 	ledger_assert_no_violations(ledger);
 	g_assert_cmpuint(ledger->served, ==, ledger->calls);
 }
 
-/* After two seconds nothing new begins there. */
+/* Asserts that after two seconds no new run starts on the leaving upstream. */
 static void assert_no_new_work(void)
 {
 	unsigned int before;
@@ -51,8 +52,8 @@
 }
 
 /*
- * An operator takes an upstream out of use and puts it back, twice, while
- * callers book. Work in flight finishes; new work goes elsewhere.
+ * An operator drains an upstream and resumes it, twice, under load. Running
+ * calls finish, and new calls go elsewhere.
  */
 static void test_drain_and_resume(void)
 {
@@ -76,8 +77,9 @@
 }
 
 /*
- * An upstream asks to stop and is told when it may. From then on nothing begins
- * there: what did would be cut off by its end. It is then replaced by a new one.
+ * An upstream asks to stop and is told when it may. From then on no run starts
+ * there, since it would be interrupted when the upstream exits. A new upstream
+ * then replaces it.
  */
 static void test_stop_of_an_upstream(void)
 {
@@ -103,9 +105,9 @@
 }
 
 /*
- * A host is replaced: its daemon gets SIGTERM while callers use it as their
- * entry and the others send it work. Its callers have two seconds to go
- * elsewhere; no call of theirs is cut off, and it ends by itself.
+ * A host is replaced: its daemon gets SIGTERM while it is entry for callers and
+ * owner for the other daemons. Its callers have two seconds to move to another
+ * daemon. None of their calls is interrupted, and the daemon exits by itself.
  */
 static void test_sigterm_of_a_daemon(void)
 {
--- a/tests/system/test_ports.c
+++ b/tests/system/test_ports.c
@@ -1,4 +1,5 @@
-/* Strangers on the ports for operators and for peers; too many callers. */
+/* Unauthorized and malformed access to the admin port and the peer port, and
+ * too many connections to the caller port. */
 #include <arpa/inet.h>
 #include <glib.h>
 #include <string.h>
@@ -13,14 +14,14 @@
 #define PROTOCOL_VERSION 1
 
 static struct cluster cluster;
-static struct rig_process *guarded; /* its admin API needs the token */
+static struct rig_process *guarded; /* its admin API requires the token */
 
 struct settings {
 	const char *host;
 	const char *admin_address;
 	const char *token_file; /* NULL: none */
 	const char *key_file;
-	bool is_isolated; /* reaches no platform and no peer */
+	bool is_isolated; /* the daemon reaches no platform and no peer */
 };
 
 static const char *write_settings(const struct settings *settings)
@@ -54,7 +55,7 @@
 	return path;
 }
 
-/* Alone, so that it is without a configuration for as long as it runs. */
+/* Starts the daemon isolated, so that it never gets a configuration. */
 static void start_guarded(void)
 {
 	const struct settings settings = {
@@ -70,8 +71,8 @@
 }
 
 /*
- * An operator opens the admin port to the network and forgets the token. The
- * daemon does not start, since anyone could put a configuration in force.
+ * An operator binds the admin port to all addresses without a token. The daemon
+ * refuses to start, since anyone could apply a configuration.
  */
 static void test_open_admin_does_not_start(void)
 {
@@ -145,7 +146,7 @@
 	g_free(body);
 }
 
-/* RETURN VALUE: the answer to one call over a connection that stays open. */
+/* Makes one call on a connection that stays open. RETURN VALUE: the answer. */
 static GString *call_over(int fd)
 {
 	GString *answer = g_string_new(NULL);
@@ -156,9 +157,9 @@
 }
 
 /*
- * Callers open more connections than the daemon holds. The surplus ones are
- * told at once when to come back; left unread they would wait until their own
- * time is over. The others go on.
+ * Callers open more connections than the daemon allows. It refuses the surplus
+ * ones at once with a time to retry; if it left them unread, they would wait
+ * until the callers' own timeouts. The other connections keep working.
  */
 static void test_too_many_callers(void)
 {
@@ -174,7 +175,8 @@
 	g_assert_nonnull(strstr(answer->str, "Retry-After: 1"));
 	g_assert_true(raw_read_until_close(fds[4], answer, CLOSE_MS));
 	g_string_free(answer, TRUE);
-	/* This daemon has no configuration, which is another refusal. */
+	/* This daemon has no configuration, so it refuses with another
+	 * reason. */
 	answer = call_over(fds[3]);
 	g_assert_nonnull(strstr(answer->str, "no-configuration"));
 	g_string_free(answer, TRUE);
@@ -231,7 +233,8 @@
 	send_frame(fd, &frame);
 }
 
-/* Closed, counted, and nothing run; the port serves its peers as before. */
+/* Asserts that the connection was closed and counted, that no attempt arrived
+ * and that the daemon still works with its peers. */
 static void expect_refused(int fd, const char *counter, int64_t before)
 {
 	GString *answer = g_string_new(NULL);
@@ -270,8 +273,8 @@
 	}
 }
 
-/* During a roll-out both releases run. One of another protocol is refused at
- * the greeting, before any request of a caller is trusted to it. */
+/* During a rollout two releases run. A daemon with another protocol version is
+ * refused in the handshake, before it gets any caller's request. */
 static void test_peer_version(void)
 {
 	int64_t before = cluster_counter(&cluster, 0, "peer_handshakes_failed");
@@ -313,7 +316,8 @@
 	g_string_free(answer, TRUE);
 }
 
-/* A daemon that was given another key can't get work by gossip either. */
+/* A daemon with another key is not accepted as a member through gossip
+ * either. */
 static void test_daemon_with_another_key(void)
 {
 	const struct settings settings = {
@@ -342,7 +346,8 @@
 
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
-	/* All calls of this test go to d1, so that d0 can be seen to run none. */
+	/* d0 drains, so all calls run on d1 and any attempt at d0 is an
+	 * error. */
 	g_free(rig_http_ok("POST", cluster.daemons[0]->admin_port,
 			   "/v1/upstream/drain", ""));
 	cluster_wait_up(&cluster, 1, 5000);
--- a/tests/system/test_restored.c
+++ b/tests/system/test_restored.c
@@ -2,7 +2,8 @@
 
 #include "fleet.h"
 
-/* The platform's store is set back to a copy, and the operator writes again. */
+/* The platform's store is restored from an older copy, and the operator writes
+ * new versions after that. */
 
 #define HOSTS 3
 #define WAIT_MS 10000
@@ -59,8 +60,8 @@
 			   " \"key\": \"a\", \"value\": \"YQ==\"}]}"));
 }
 
-/* RETURN VALUE: how many of the versions, each written as the one before is in
- * force, were in force in time. */
+/* Writes the versions one after the other, each once the one before is in
+ * force. RETURN VALUE: how many were in force in time. */
 static unsigned int write_versions(unsigned int first, unsigned int count)
 {
 	unsigned int in_time = 0;
@@ -82,8 +83,8 @@
 	g_assert_cmpuint(write_versions(2, 4), ==, 4);
 }
 
-/* Guards against a watch that goes on from a version of before the store was set
- * back: the change that is given just that one is missed. */
+/* Guards against a watch that resumes from a store version from before the
+ * restore: it misses the change that gets the same version number again. */
 static void test_changes_after_a_restore(void)
 {
 	restore_store(3);
@@ -91,8 +92,8 @@
 	g_assert_cmpuint(write_versions(6, 5), ==, 5);
 }
 
-/* Guards against the same where the store has passed that version before anybody
- * asks: no watch is refused. */
+/* Guards against the same fault if the store has passed that version before any
+ * daemon asks, so that it refuses no watch. */
 static void test_change_during_a_restore(void)
 {
 	fleet_set_store(&fleet, "{\"down\": true}");
@@ -106,7 +107,8 @@
 	g_assert_cmpuint(write_versions(25, 1), ==, 1);
 }
 
-/* Guards against daemons that go back with the store: what was confirmed stays. */
+/* Guards against daemons that revert with the store: a confirmed version stays
+ * in force. */
 static void test_no_daemon_reverts(void)
 {
 	g_assert_true(is_served_everywhere("v25", PROPAGATION_MAX_MS));
@@ -124,10 +126,10 @@
 
 	g_test_init(&argc, &argv, NULL);
 	fleet_start(&fleet, &options);
-	g_test_add_func("/restored/begins", test_changes_before_a_restore);
-	g_test_add_func("/restored/changes", test_changes_after_a_restore);
-	g_test_add_func("/restored/meanwhile", test_change_during_a_restore);
-	g_test_add_func("/restored/forward", test_no_daemon_reverts);
+	g_test_add_func("/restored/before", test_changes_before_a_restore);
+	g_test_add_func("/restored/after", test_changes_after_a_restore);
+	g_test_add_func("/restored/during", test_change_during_a_restore);
+	g_test_add_func("/restored/no-revert", test_no_daemon_reverts);
 	status = g_test_run();
 	fleet_stop(&fleet);
 	return status;
--- a/tests/system/test_returns.c
+++ b/tests/system/test_returns.c
@@ -4,20 +4,21 @@
 #include "cluster.h"
 
 /*
- * A call that no upstream has room for at its moment, and what becomes of it when
- * the choice shrinks meanwhile.
+ * A call that no upstream has a free slot for, while the number of available
+ * upstreams shrinks.
  */
 
 #define ENTRY 0
 #define OTHER 1
-#define NEAR 2 /* in the failure domain of the entry, and preferred */
+#define NEAR 2 /* in the failure domain of the entry, so it is preferred */
 #define WAIT_UP_MS 15000
 #define CALL_MS 10000
-/* Some of them go to the other upstream, and end there soon. */
+/* Some of these calls run on the other upstream and finish there soon. */
 #define FILLERS 10
 #define FILL_MS 100
 #define DELAY "{\"delay_ms\": 200}"
-/* Until the other is known to drain, and before the refusal is back. */
+/* Long enough that the call is on its way, and shorter than the delay of its
+ * refusal. */
 #define DRAIN_AFTER_MS 50
 
 static const struct cluster_options options = {
@@ -67,10 +68,11 @@
 }
 
 /*
- * A call is sent to a near upstream that turns out to be full. It is refused at
- * once, since another seemed to have room; but before the refusal is back that
- * one drains. The call goes back to wait where it was: told "not run", its
- * caller would have to come again although the slot is free within a second.
+ * A call is sent to a near upstream that turns out to be full. The owner
+ * refuses it at once, because another upstream seemed to have a free slot, but
+ * that one starts to drain before the refusal arrives. The entry must send the
+ * call back to wait at the near upstream: if it answered "not run", the caller
+ * would have to retry although the slot is free within a second.
  */
 static void test_refused_call_returns_to_the_full_upstream(void)
 {
@@ -78,7 +80,8 @@
 	unsigned int count = 0;
 	GThread *caller;
 
-	/* The entry learns that both have room, and that the other takes longer. */
+	/* The entry learns that both have free slots and that the other
+	 * upstream is slower. */
 	cluster_set_upstream(&cluster, OTHER, "{\"factor\": 5}");
 	for (int i = 0; i < 20; i++)
 		rig_answer_free(cluster_call(&cluster, ENTRY, "POST", "/",
@@ -106,7 +109,7 @@
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
 	cluster_wait_up(&cluster, 2, WAIT_UP_MS);
-	g_test_add_func("/returns/back-to-the-full-one",
+	g_test_add_func("/returns/full-upstream",
 			test_refused_call_returns_to_the_full_upstream);
 	status = g_test_run();
 	cluster_stop(&cluster);
--- a/tests/system/test_second_tries.c
+++ b/tests/system/test_second_tries.c
@@ -5,17 +5,17 @@
 #include "ledger.h"
 
 /*
- * What is sent a second time although the first may still run, or because the
- * upstream itself says that it ran nothing; and calls that outlast the time
- * that a stop has for them.
+ * Hedges, which are sent while the first attempt may still run; retries after
+ * an upstream reported that it ran nothing; and calls that take longer than the
+ * time that a daemon has to stop.
  */
 
 #define ALL 7u /* daemons 0, 1 and 2 */
 #define VICTIM 1
 #define WAIT_UP_MS 15000
-#define BODY_BYTES "50000" /* no more is kept for another attempt */
+#define BODY_BYTES "50000" /* below the limit of a body kept for a retry */
 #define LOAD_MS 20000
-/* Of a call that a stop gives up. */
+/* The timeout of a call that is aborted when the daemon stops. */
 #define END_MS 15000
 
 static const struct cluster_options options = {
@@ -76,17 +76,17 @@
 }
 
 /*
- * Requests with a body that may be repeated are sent to a second upstream while
- * the first, which is slow just then, still reads or runs them. Each upstream must get the
- * whole body, and the caller one answer; half a body in two places would be
- * seen as an answer of another length.
+ * Idempotent requests with a body are hedged while the first upstream, which is
+ * slow at that moment, still reads or runs them. Each upstream must get the
+ * whole body, and the caller exactly one answer. A body that is split between
+ * the two would show as an answer of another length.
  */
 static void test_hedged_bodies(void)
 {
 	int64_t hedges = cluster_sum_counter(&cluster, "entry_hedges");
 	struct rig_process *load;
 
-	/* The rule's usual latency is learned first. */
+	/* The entry first learns the usual latency of the rule. */
 	load = start_load(cluster.daemons[0]->caller_port, "/hedged/1", "1000",
 			  "60");
 	g_assert_cmpint(read_summary_int(load, "wrong"), ==, 0);
@@ -105,10 +105,10 @@
 }
 
 /*
- * An upstream has callers of its own, and its slots are full of their work: it
- * answers what its daemon sends with a status that the operator named as "not
- * run". Such a booking goes to another upstream; no caller notices, and none
- * runs twice.
+ * Direct callers occupy all slots of an upstream, so it answers its daemon's
+ * requests with a status that the configuration lists as "not run"
+ * (shed_statuses). Such a POST is retried on another upstream; no caller sees
+ * the status, and no POST runs twice.
  */
 static void test_shed_requests_run_elsewhere(void)
 {
@@ -145,9 +145,9 @@
 }
 
 /*
- * A daemon is told to end while a call runs that takes longer than a stop may.
- * It ends all the same, and its caller learns that nobody knows what became of
- * the call; a connection that just breaks would leave that to guessing.
+ * A daemon is told to stop while a call runs that takes longer than its drain
+ * timeout. The daemon exits all the same, and first tells the caller that the
+ * outcome is unknown; a broken connection would leave the caller guessing.
  */
 static void test_stop_aborts_long_calls(void)
 {
@@ -176,8 +176,9 @@
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
 	cluster_wait_up(&cluster, cluster.count, WAIT_UP_MS);
-	/* Hosts that were slow are avoided for some seconds, and then none is asked
-	 * that sheds: this comes while none was. */
+	/* This test is first: entries avoid hosts that were slow for some
+	 * seconds, and would then send no request to the upstream that
+	 * sheds. */
 	g_test_add_func("/second-tries/shed", test_shed_requests_run_elsewhere);
 	g_test_add_func("/second-tries/hedged-bodies", test_hedged_bodies);
 	g_test_add_func("/second-tries/long-calls", test_stop_aborts_long_calls);
--- a/tests/system/test_streaming.c
+++ b/tests/system/test_streaming.c
@@ -11,12 +11,14 @@
 
 static const char id[] = "stream";
 
-/* The body repeats the id from end to end. */
+/* Asserts that the bytes at this position repeat the request id, as the whole
+ * body does. */
 static void check_bytes(const GString *bytes, size_t position)
 {
 	for (size_t i = 0; i < bytes->len; i++) {
 		if (bytes->str[i] != id[(position + i) % strlen(id)])
-			g_error("byte %zu is not the caller's own", position + i);
+			g_error("byte %zu differs from the request's body",
+				position + i);
 	}
 }
 
@@ -39,7 +41,7 @@
 
 	while (bytes->len < most) {
 		if (!raw_read_some(fd, bytes, most - bytes->len, WAIT_MS))
-			g_error("cut off after %zu bytes", position + bytes->len);
+			g_error("no data after %zu bytes", position + bytes->len);
 	}
 	check_bytes(bytes, position);
 	size = bytes->len;
@@ -65,10 +67,10 @@
 }
 
 /*
- * A franchise office takes its nightly bundle over a slow line while callers
- * use the same daemons for short lookups. The bundle must come whole and the
- * lookups must not wait behind it. The caller stops between the parts that it
- * takes, so the daemons must hold the upstream back and go on again.
+ * A caller downloads a 200 MB answer over a slow line while others use the same
+ * daemons for short calls. The answer must arrive complete, and the short calls
+ * must not wait behind it. The caller pauses between reads, so the daemons must
+ * stop reading from the upstream (backpressure) and resume.
  */
 static void test_long_answer_beside_short_calls(void)
 {
--- a/tests/system/test_thaw.c
+++ b/tests/system/test_thaw.c
@@ -8,10 +8,10 @@
 #define OWNER 1
 #define ENTRY 0
 #define WAIT_UP_MS 15000
-/* What is allowed to start after a pause has started by then. */
+/* Attempts that start after a pause have started by then. */
 #define SETTLE_MS 1500
 
-/* One slot, so that all but one call wait at the owner. */
+/* With one slot, all calls but one wait at the owner. */
 static const struct cluster_options options = {
 	.count = 2,
 	.config = LEDGER_CONFIG,
@@ -21,8 +21,8 @@
 };
 static struct cluster cluster;
 
-/* POST calls through the entry, 60 kB each; their callers hang up after a
- * second. RETURN VALUE: the load, for ledger_collect(). */
+/* Starts a load of POST calls of 60 kB each through the entry. Their callers
+ * disconnect after a second. */
 static struct ledger_load start_posts(const char *prefix)
 {
 	char *target = g_strdup_printf("http://127.0.0.1:%u",
@@ -39,13 +39,13 @@
 	return load;
 }
 
-/* RETURN VALUE: how many runs the upstream wrote down for the prefix. */
+/* RETURN VALUE: how many requests whose id has the prefix the upstream ran. */
 static unsigned int count_runs(const char *prefix)
 {
 	return runs_count_prefix(cluster.runs_files[OWNER], prefix);
 }
 
-/* All calls of the load were given up by their callers, and none ran. */
+/* Asserts that none of the calls ran. Their callers have disconnected. */
 static void assert_none_ran(struct ledger_load *load, const char *prefix)
 {
 	rig_sleep_ms(SETTLE_MS);
@@ -53,7 +53,8 @@
 	g_assert_cmpuint(count_runs(prefix), ==, 0);
 }
 
-/* Makes the entry greet the owner, so that what it sends next leaves at once. */
+/* Completes the handshake between entry and owner, so that later attempts are
+ * sent at once. */
 static void open_connection(void)
 {
 	rig_answer_free(
@@ -61,9 +62,10 @@
 }
 
 /*
- * An owner is paused; callers send bookings to it, hang up and book elsewhere.
- * When it wakes, their requests lie in its buffers and behind them the word
- * that nobody waits any more. A booking that starts now is a second one.
+ * An owner is suspended while callers send POSTs to it, disconnect and retry
+ * elsewhere. When it resumes, its buffers contain the attempts and, behind
+ * them, the cancels. It must start none of them: an attempt that starts now
+ * would be a second run.
  */
 static void test_cancelled_attempts_do_not_start(void)
 {
@@ -83,9 +85,9 @@
 }
 
 /*
- * The same, but the entry has died meanwhile: in place of a cancel the end of
- * its connection tells that nobody waits, behind more than one read's worth of
- * requests.
+ * An owner is suspended and the entry is killed meanwhile. Instead of cancels,
+ * the end of the connection tells the owner that nobody waits, and it comes
+ * after more attempts than one read returns.
  */
 static void test_attempts_of_a_dead_entry_do_not_start(void)
 {
@@ -94,7 +96,7 @@
 	for (int round = 0; round < 2; round++) {
 		struct ledger_load load;
 
-		/* Opens the connection between the two. */
+		/* Opens the connection between entry and owner. */
 		rig_answer_free(cluster_call(&cluster, ENTRY, "GET", "/",
 					     "open", NULL, 5000));
 		rig_signal(cluster.daemons[OWNER], SIGSTOP);
@@ -109,8 +111,8 @@
 }
 
 /*
- * The entry itself is paused. Requests wait in its listener's backlog; their
- * callers have hung up long before it reads them.
+ * The entry is suspended. Requests wait in its listen backlog, and their
+ * callers have disconnected long before it reads them.
  */
 static void test_paused_entry_drops_abandoned_requests(void)
 {
@@ -129,9 +131,9 @@
 }
 
 /*
- * A booking runs while its owner is paused. Its caller is told at the deadline
- * that the outcome is not known. The answer arrives when the owner wakes; it
- * must not reach the next caller of the same connection.
+ * A POST runs while its owner is suspended. Its caller is told at the deadline
+ * that the outcome is unknown. The answer arrives when the owner resumes, and
+ * it must not reach the next call on the same connection.
  */
 static void test_late_answer_is_discarded(void)
 {
@@ -153,7 +155,7 @@
 	rig_wait_end(load.process, 10000);
 	g_assert_cmpint(cluster_counter(&cluster, ENTRY, "peer_unmatched"), >,
 			before);
-	/* Those that had run before the pause, and the one of the slot. */
+	/* The calls that ran before the pause, and the one in the slot. */
 	g_assert_cmpuint(count_runs("late"), <=, 4);
 	g_assert_cmpuint(count_runs("late"), >=, 1);
 }
@@ -164,8 +166,7 @@
 
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
-	g_test_add_func("/thaw/gone-callers",
-			test_cancelled_attempts_do_not_start);
+	g_test_add_func("/thaw/cancelled", test_cancelled_attempts_do_not_start);
 	g_test_add_func("/thaw/dead-entry",
 			test_attempts_of_a_dead_entry_do_not_start);
 	g_test_add_func("/thaw/paused-entry",
--- a/tests/system/test_trials.c
+++ b/tests/system/test_trials.c
@@ -4,15 +4,16 @@
 #include "cluster.h"
 
 /*
- * A request that crashes upstreams is held, and after a time run once, at one host:
- * in vain, and then with its fault mended.
+ * A held request is run once on one host after a time, as a trial: first while
+ * it still crashes upstreams, and then once the upstreams are fixed.
  */
 
 #define TRIAL_MS 2000
 #define CALL_MS 3000
 #define PAUSE_MS 60
 #define CRASHES_TO_HOLD 3
-/* Within WATCH_MS: after TRIAL_MS, and twice as long after it. */
+/* The trials within WATCH_MS: one after TRIAL_MS, and one twice as long after
+ * the first. */
 #define TRIALS 2
 #define WATCH_MS (4 * TRIAL_MS)
 #define CRASH_TIMEOUT_MS 40000
@@ -38,7 +39,9 @@
 	return is_served;
 }
 
-/* RETURN VALUE: the upstreams that ended. */
+/* Sends the request through the daemons in turn and restarts crashed upstreams,
+ * until so many have crashed or the time is over.
+ * RETURN VALUE: the number of upstreams that crashed. */
 static unsigned int call_repeatedly(unsigned int until_ended, int ms)
 {
 	gint64 until_us = g_get_monotonic_time() + ms * G_TIME_SPAN_MILLISECOND;
@@ -52,7 +55,8 @@
 	return ended;
 }
 
-/* Guards against a trial at each host, which ends an upstream at each. */
+/* Guards against a trial on each host, which would crash an upstream on
+ * each. */
 static void test_one_host_runs_the_trials(void)
 {
 	g_assert_cmpuint(call_repeatedly(CRASHES_TO_HOLD, CRASH_TIMEOUT_MS), ==,
@@ -75,7 +79,8 @@
 	return all;
 }
 
-/* Guards against a request that stays refused after its upstreams were mended. */
+/* Guards against a request that stays refused after the upstreams were
+ * fixed. */
 static void test_successful_trial_clears_quarantine(void)
 {
 	for (unsigned int i = 0; i < cluster.count; i++)
@@ -90,7 +95,7 @@
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
 	g_test_add_func("/trials/one-host", test_one_host_runs_the_trials);
-	g_test_add_func("/trials/mended",
+	g_test_add_func("/trials/successful",
 			test_successful_trial_clears_quarantine);
 	status = g_test_run();
 	cluster_stop(&cluster);
--- a/tests/system/test_upstream_faults.c
+++ b/tests/system/test_upstream_faults.c
@@ -9,7 +9,8 @@
 #define ALL 7u /* daemons 0, 1 and 2 */
 #define FAULTY 1
 #define WAIT_UP_MS 15000
-/* The deadline, what silence is allowed after it, and a margin. */
+/* STALL_ABORT_MAX_MS covers the deadline, the silence that is allowed after it
+ * and a margin. */
 #define STALLED_BYTES 30000000
 #define STALL_ABORT_MAX_MS 6000
 
@@ -40,9 +41,9 @@
 }
 
 /*
- * An upstream reads requests and drops their connections: some after it ran
- * them, some before. Nobody outside it can tell which. A booking must not be
- * sent again; its caller is told that the outcome is not known.
+ * An upstream reads requests and drops their connections, some after it ran
+ * them and some before. The daemon can't tell which, so it must not retry a
+ * POST and reports the outcome as unknown.
  */
 static void test_connections_dropped_after_the_run(void)
 {
@@ -62,9 +63,9 @@
 }
 
 /*
- * A cancellation has no body, and its connection was used before. To an HTTP
- * client that looks like a server that closed an idle connection, and like a
- * request that is easily sent again. It ran all the same.
+ * A DELETE without a body is sent on a reused connection, which the upstream
+ * drops after it ran the request. To an HTTP client library this looks like an
+ * idle connection that the server closed, so it would send the request again.
  */
 static void test_a_request_without_body_is_sent_once(void)
 {
@@ -87,8 +88,8 @@
 }
 
 /*
- * An upstream answers 500 at once. Its slots are always free, so it would draw
- * most of the calls and fail them all.
+ * An upstream answers 500 immediately. Its slots are always free, so it would
+ * attract most of the calls and fail them all.
  */
 static void test_an_upstream_fails_fast(void)
 {
@@ -98,7 +99,7 @@
 	g_assert_cmpuint(ledger.served, >, ledger.calls * 9 / 10);
 }
 
-/* An upstream takes work and gives no answer, for less than a deadline. */
+/* An upstream accepts requests and does not answer for less than a deadline. */
 static void test_an_upstream_freezes(void)
 {
 	struct ledger ledger =
@@ -110,7 +111,8 @@
 
 #define PART_BYTES 200000
 
-/* A caller that sends the head and a part of the body, and waits. */
+/* Sends the head of a request and a part of its body.
+ * RETURN VALUE: the connection. */
 static int send_part(const char *id)
 {
 	char *part = g_strnfill(PART_BYTES, 'b');
@@ -125,8 +127,8 @@
 }
 
 /*
- * A caller sends a long booking and its entry dies in the middle of it. The
- * upstream must not take the part that it got for the whole and book that.
+ * A caller sends a POST with a long body, and its entry is killed in the middle
+ * of it. The upstream must not take the part for the whole and run it.
  */
 static void test_truncated_request_does_not_run(void)
 {
@@ -145,8 +147,8 @@
 	}
 }
 
-/* A caller that has asked and reads nothing yet.
- * RETURN VALUE: its connection, which ends with the answer. */
+/* Sends a GET and reads nothing yet.
+ * RETURN VALUE: the connection, which closes after the answer. */
 static int send_get(const char *path)
 {
 	int fd = raw_connect(cluster.daemons[0]->caller_port);
@@ -165,8 +167,9 @@
 }
 
 /*
- * A bundle is on its way when its upstream stops, without a reset. The caller
- * must learn of it in a bounded time, and must not take the part for the whole.
+ * An upstream stalls in the middle of a long answer without a reset. The daemon
+ * must abort the answer in a bounded time, and in a way that the caller can't
+ * take the part for the whole.
  */
 static void test_stalled_answer_is_aborted(void)
 {
@@ -175,7 +178,8 @@
 		GString *got = g_string_new(NULL);
 		bool closed;
 
-		/* Nothing is read yet, so most of it is still there. */
+		/* The caller has read nothing, so most of the answer is still
+		 * at the upstream. */
 		rig_sleep_ms(500);
 		signal_upstreams(SIGSTOP);
 		closed = raw_read_until_close(fd, got, STALL_ABORT_MAX_MS);
@@ -188,7 +192,8 @@
 	}
 }
 
-/* RETURN VALUE: whether a chunked answer was ended as if it were whole. */
+/* RETURN VALUE: whether a chunked answer has its last chunk, which marks it as
+ * complete. */
 static bool has_last_chunk(const GString *answer)
 {
 	static const char end[] = "\r\n0\r\n\r\n";
@@ -207,9 +212,9 @@
 }
 
 /*
- * A bundle of unknown length is on its way when its upstream dies, or its
- * owner. A franchise that gets the end of the chunks takes the half for the
- * whole and works from it the next day.
+ * The upstream or its owner is killed in the middle of a chunked answer. If the
+ * entry sent the last chunk, the caller would take the part for the whole and
+ * work with it.
  */
 static void test_truncated_answer_has_no_last_chunk(void)
 {
--- a/tests/system/wall_clock.c
+++ b/tests/system/wall_clock.c
@@ -1,7 +1,7 @@
 /*
- * Loaded before a program of a test, moves its wall clock by WALL_CLOCK_S
- * seconds, as where the clock of a host is wrong. Time that only ever grows,
- * by which timers go, stays as it is.
+ * A library for LD_PRELOAD that shifts the wall clock of a program by
+ * WALL_CLOCK_S seconds, as on a host whose clock is wrong. The monotonic clock,
+ * on which timers run, is not shifted.
  */
 #include <stdlib.h>
 #include <sys/syscall.h>
