--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -105,7 +105,8 @@
 UPSTREAM_COMMAND(drain_upstream, "{\"draining\": true}")
 UPSTREAM_COMMAND(resume_upstream, "{\"draining\": false}")
 
-/* Has drained by now; says good-bye, ends, and another takes its place. */
+/* The upstream has drained by now. It deregisters and exits, and a new instance
+ * takes its place. */
 static void replace_upstream(struct fleet *fleet, unsigned int i)
 {
 	struct rig_process *old = host_of(fleet, i)->upstream;
@@ -172,7 +173,8 @@
 	g_free(rig_http_ok("POST", fleet->store->port, "/standin/compact", ""));
 }
 
-/* To a copy that lacks the last writes. What the operator wrote it writes again. */
+/* Restores the store from a copy that lacks the last three transactions. The
+ * operator then writes the current configuration again. */
 static void restore_store(struct fleet *fleet, unsigned int i)
 {
 	(void)i;
@@ -187,7 +189,7 @@
 	fleet_put_config(fleet, ++fleet->config_version, "list");
 }
 
-/* An operator's mistake: an older one comes behind a newer. */
+/* An operator's mistake: an older version is written after a newer one. */
 static void revert_config(struct fleet *fleet, unsigned int i)
 {
 	(void)i;
@@ -203,13 +205,13 @@
 	 start_daemon, NULL},
 	{"daemon killed, clock set back", PART_DAEMON, IMPACT_CALLERS, 100,
 	 3000, kill_daemon, start_daemon_in_the_past, NULL},
-	{"daemon killed, clock set on", PART_DAEMON, IMPACT_CALLERS, 100, 3000,
-	 kill_daemon, start_daemon_in_the_future, NULL},
+	{"daemon killed, clock set forward", PART_DAEMON, IMPACT_CALLERS, 100,
+	 3000, kill_daemon, start_daemon_in_the_future, NULL},
 	{"daemon paused", PART_DAEMON, IMPACT_CALLERS, 100, 3500, pause_daemon,
 	 continue_daemon, NULL},
 	{"daemon restarted", PART_DAEMON, IMPACT_NONE, 0, STOP_MAX_MS,
 	 stop_daemon, start_daemon, daemon_has_ended},
-	{"settings read again", PART_DAEMON, IMPACT_NONE, NO_DURATION,
+	{"settings reloaded", PART_DAEMON, IMPACT_NONE, NO_DURATION,
 	 reload_daemon, NULL, NULL},
 	{"upstream killed", PART_UPSTREAM, IMPACT_ATTEMPTS, 100, 3000,
 	 kill_upstream, start_upstream, NULL},
@@ -219,15 +221,15 @@
 	 pause_upstream, continue_upstream, NULL},
 	{"upstream slow", PART_UPSTREAM, IMPACT_ATTEMPTS, 500, 2000,
 	 slow_upstream, restore_pace, NULL},
-	{"upstream stalls", PART_UPSTREAM, IMPACT_ATTEMPTS, 500, 2000,
+	{"upstream stalled", PART_UPSTREAM, IMPACT_ATTEMPTS, 500, 2000,
 	 stall_upstream, end_upstream_stall, NULL},
 	{"answers dropped", PART_UPSTREAM, IMPACT_ATTEMPTS, 500, 2000,
 	 start_dropping_answers, stop_dropping_answers, NULL},
-	{"answers of others", PART_UPSTREAM, IMPACT_ATTEMPTS, 500, 2000,
+	{"answers mismatched", PART_UPSTREAM, IMPACT_ATTEMPTS, 500, 2000,
 	 start_mismatched_answers, stop_mismatched_answers, NULL},
-	{"empty promises", PART_UPSTREAM, IMPACT_ATTEMPTS, 500, 2000,
+	{"false not-run answers", PART_UPSTREAM, IMPACT_ATTEMPTS, 500, 2000,
 	 start_false_not_run, stop_false_not_run, NULL},
-	{"upstream drains", PART_UPSTREAM, IMPACT_NONE, 1500, 4000,
+	{"upstream drained", PART_UPSTREAM, IMPACT_NONE, 1500, 4000,
 	 drain_upstream, resume_upstream, NULL},
 	{"upstream replaced", PART_UPSTREAM, IMPACT_NONE, 3000, 4000,
 	 drain_upstream, replace_upstream, NULL},
@@ -267,13 +269,13 @@
 	 store_fast, NULL},
 	{"store loses answers", PART_STORE, IMPACT_NONE, 500, 6000, store_loses,
 	 store_delivers, NULL},
-	{"store forgets history", PART_STORE, IMPACT_NONE, NO_DURATION,
+	{"store history compacted", PART_STORE, IMPACT_NONE, NO_DURATION,
 	 compact_history, NULL, NULL},
-	{"store set back", PART_STORE, IMPACT_NONE, NO_DURATION, restore_store,
+	{"store restored", PART_STORE, IMPACT_NONE, NO_DURATION, restore_store,
 	 NULL, NULL},
 	{"configuration changed", PART_CONFIG, IMPACT_NONE, NO_DURATION,
 	 change_config, NULL, NULL},
-	{"configuration set back", PART_CONFIG, IMPACT_NONE, NO_DURATION,
+	{"configuration reverted", PART_CONFIG, IMPACT_NONE, NO_DURATION,
 	 revert_config, NULL, NULL},
 };
 const unsigned int fault_count = G_N_ELEMENTS(faults);
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -1,12 +1,12 @@
 /*
  * NAME
- *	faults - what the soak does to the programs, from outside
+ *	faults - the faults that the soak test injects into the programs
  *
  * DESCRIPTION
- *	A fault has a part of a host that it concerns. Two of them never meet at
- *	one part of one host; anything else may overlap.
+ *	Each fault affects one part of a host. Two faults never overlap on the
+ *	same part of the same host; any others may overlap.
  *
- *	harm says what callers may notice of it, see verdict.h.
+ *	The impact says what callers may notice of the fault, see verdict.h.
  */
 #ifndef TESTS_SOAK_FAULTS_H
 #define TESTS_SOAK_FAULTS_H
@@ -16,37 +16,41 @@
 enum fault_part {
 	PART_DAEMON,
 	PART_UPSTREAM,
-	PART_PEERS, /* the link from the other daemons */
+	PART_PEERS, /* the link from the other daemons to this one */
 	PART_STORE_LINK,
 	PART_UPSTREAM_LINK,
-	PART_STORE, /* the same for all hosts */
-	PART_CONFIG, /* the same for all hosts */
+	PART_STORE, /* shared by all hosts */
+	PART_CONFIG, /* shared by all hosts */
 	PARTS,
 };
 
 enum fault_impact {
-	IMPACT_NONE, /* no caller may notice: a planned change, or the store's */
-	IMPACT_ATTEMPTS, /* work at the host may be lost, late or of unknown outcome */
-	IMPACT_CALLERS, /* callers of its daemon may be cut off, too */
+	/* Planned changes and faults of the store: no caller may notice. */
+	IMPACT_NONE,
+	/* Attempts at the host may be lost, late or of unknown outcome. */
+	IMPACT_ATTEMPTS,
+	/* In addition, callers of the host's daemon may lose connections. */
+	IMPACT_CALLERS,
 };
 
 struct fault {
 	const char *name;
 	enum fault_part part;
 	enum fault_impact impact;
-	int min_ms; /* how long it lasts */
-	int max_ms;
+	int min_ms; /* the shortest duration */
+	int max_ms; /* the longest duration */
 	void (*begin)(struct fleet *fleet, unsigned int i);
-	/* NULL: nothing is to be done. */
+	/* NULL: there is nothing to undo. */
 	void (*end)(struct fleet *fleet, unsigned int i);
-	/* RETURN VALUE: whether the end may come; NULL: when its time is over. */
+	/* RETURN VALUE: whether the fault has ended before max_ms. NULL: it
+	 * ends after the scheduled duration. */
 	bool (*is_over)(struct fleet *fleet, unsigned int i);
 };
 
 extern const struct fault faults[];
 extern const unsigned int fault_count;
 
-/* RETURN VALUE: whether each host has such a part of its own. */
+/* RETURN VALUE: whether each host has its own instance of the part. */
 bool fault_part_is_per_host(enum fault_part part);
 
 #endif
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -1,21 +1,21 @@
 /*
  * NAME
- *	soak - faults of every kind over a running load
+ *	soak - injects faults of every kind under load
  *
  * SYNOPSIS
  *	soak [--seconds N] [--seed N] [--hosts N] [--rate N] [--list] [--keep]
  *
  * DESCRIPTION
  *	Starts daemons, upstreams and the store as the users' platform runs
- *	them, with a relay on each link, and callers at each daemon, who use
- *	their connections until these end. Faults come as the schedule says;
- *	what callers were told is held against what the upstreams ran.
+ *	them, with a relay on each link, and a load generator for each daemon
+ *	that reuses its connections. Injects the faults of the schedule and then
+ *	compares the outcomes that callers got with what the upstreams ran.
  *
- *	Prints each fault, each violation, and a line a promise. With --keep
- *	the logs of all programs stay after a violation.
+ *	Prints each fault, each violation, and a line for each invariant. With
+ *	--keep the logs of all programs are kept after a violation.
  *
  * RETURN VALUE
- *	0 if nothing was violated.
+ *	0 if no invariant was violated, 1 if one was, 2 for wrong options.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -29,7 +29,7 @@
 #define WAIT_MS 20000
 #define LAST_LOAD_S 3
 #define LOAD_END_MS 60000
-/* A draining upstream has its last new work by then. */
+/* A draining upstream gets no new attempts after this time. */
 #define DRAIN_DELAY_US ((int64_t)2000 * 1000)
 
 struct load {
@@ -37,12 +37,11 @@
 	const char *calls_file;
 };
 
-/* A fault that is under way. */
 struct active_fault {
 	const struct schedule_event *event;
 	int64_t end_us;
 	guint span;
-	bool watches_work; /* its upstream drains, and nothing disturbs that */
+	bool checks_drain; /* the fault drains an upstream */
 	bool has_drained;
 	unsigned int runs;
 };
@@ -68,14 +67,15 @@
 
 static const GOptionEntry entries[] = {
 	{"seconds", 0, 0, G_OPTION_ARG_INT, &settings.seconds,
-	 "how long faults come", "N"},
-	{"seed", 0, 0, G_OPTION_ARG_INT, &settings.seed, "of the faults", "N"},
+	 "how long to inject faults", "N"},
+	{"seed", 0, 0, G_OPTION_ARG_INT, &settings.seed, "seed of the faults",
+	 "N"},
 	{"hosts", 0, 0, G_OPTION_ARG_INT, &settings.hosts,
 	 "daemons, each with an upstream", "N"},
 	{"rate", 0, 0, G_OPTION_ARG_INT, &settings.rate,
-	 "calls a second at each daemon", "N"},
+	 "calls per second at each daemon", "N"},
 	{"list", 0, 0, G_OPTION_ARG_NONE, &settings.list,
-	 "print the schedule and end", NULL},
+	 "print the schedule and exit", NULL},
 	{"keep", 0, 0, G_OPTION_ARG_NONE, &settings.keep,
 	 "keep the logs after a violation", NULL},
 	{0},
@@ -168,7 +168,8 @@
 	       (a->host == b->host || !fault_part_is_per_host(a->fault->part));
 }
 
-/* A stop took longer than the schedule knew. */
+/* RETURN VALUE: whether a fault is still active on the same part, because a
+ * stop took longer than the schedule estimated. */
 static bool is_target_busy(const struct soak *soak,
 			   const struct schedule_event *event)
 {
@@ -191,7 +192,7 @@
 	active->event = event;
 	active->span = spans_begin(&soak->spans, fault, event->host);
 	active->end_us = g_get_monotonic_time() + event->for_ms * 1000;
-	active->watches_work =
+	active->checks_drain =
 		fault->part == PART_UPSTREAM && fault->impact == IMPACT_NONE;
 	if (fault->part == PART_DAEMON && fault->end)
 		watch_set_disturbed(&soak->watch, event->host, true);
@@ -199,8 +200,8 @@
 	g_ptr_array_add(soak->active_faults, active);
 }
 
-/* Whether something kept the daemon from learning that its upstream drains, or
- * from telling the others. */
+/* RETURN VALUE: whether another fault may have kept the daemon from learning
+ * that its upstream drains, or from telling its peers. */
 static bool host_was_disturbed(const struct soak *soak,
 			       const struct active_fault *active)
 {
@@ -225,7 +226,7 @@
 	const struct span *span =
 		&g_array_index(soak->spans.all, struct span, active->span);
 
-	if (!active->watches_work || active->has_drained ||
+	if (!active->checks_drain || active->has_drained ||
 	    g_get_monotonic_time() < span->begin_us + DRAIN_DELAY_US)
 		return;
 	active->has_drained = true;
@@ -301,7 +302,7 @@
 {
 	verdict_check(&soak->verdict, INVARIANT_RECOVERY,
 		      rig_wait_until(is_ready, soak, WAIT_MS),
-		      "not all are ready and know each other");
+		      "not all daemons are ready and know each other");
 }
 
 static void run_schedule(struct soak *soak)
--- a/tests/soak/schedule.c
+++ b/tests/soak/schedule.c
@@ -3,20 +3,21 @@
 #define DISRUPTED_MS 8000
 #define PLANNED_MS 12000
 #define ROUND_MS (DISRUPTED_MS + SCHEDULE_RECOVERY_MS + PLANNED_MS)
-/* The last fault ends so long before the end at least. */
+/* No fault begins in this time before the end. */
 #define END_MARGIN_MS 1000
-/* Mean time between two faults for each six hosts, so that several of them are
- * under way at any moment. */
+/* The mean time between two faults for six hosts. It is short enough that
+ * several faults are active at any moment. */
 #define GAP_MS 500
 #define GAP_HOSTS 6
-/* A host is stopped on purpose only while most of the others are up. */
+/* Outside the disrupted phase at most about a third of the hosts may have a
+ * fault of their daemon or upstream, so that most of them are up. */
 #define PLANNED_DIVISOR 3
 
 struct builder {
 	GRand *random;
 	GArray *events;
 	unsigned int hosts;
-	int64_t *busy_until_ms; /* by part and host */
+	int64_t *busy_until_ms; /* indexed by part and host */
 };
 
 static int64_t *busy_until(const struct builder *builder,
@@ -40,7 +41,8 @@
 	       in_round < DISRUPTED_MS + SCHEDULE_RECOVERY_MS;
 }
 
-/* Faults that do harm end with their rough time. */
+/* RETURN VALUE: the longest duration. Faults with an impact end within their
+ * disrupted phase. */
 static int64_t max_ms(const struct fault *fault, int64_t at_ms)
 {
 	int64_t left_ms = DISRUPTED_MS - at_ms % ROUND_MS;
@@ -50,7 +52,8 @@
 	return MIN(fault->max_ms, left_ms);
 }
 
-/* Planned changes of a daemon or an upstream that are under way. */
+/* RETURN VALUE: how many hosts have an active fault of their daemon or
+ * upstream. */
 static unsigned int count_busy_hosts(const struct builder *builder, int64_t at_ms)
 {
 	unsigned int count = 0;
@@ -93,7 +96,7 @@
 					(gint32)max_ms(fault, at_ms) + 1);
 	if (fault->is_over)
 		event.for_ms = fault->max_ms;
-	/* How long a daemon takes to stop is known beforehand about. */
+	/* The time that a daemon takes to stop is only estimated here. */
 	*busy_until(builder, fault, host) =
 		at_ms +
 		(fault->is_over ? (FLEET_GRACE_S + 1) * 1000 : event.for_ms) + 1;
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -1,15 +1,15 @@
 /*
  * NAME
- *	schedule - which faults come when, drawn from a seed
+ *	schedule - draws the times and kinds of faults from a seed
  *
  * DESCRIPTION
- *	Rough and planned times follow each other. In rough ones any fault may
- *	come, several at once and in series; in planned ones only those that no
- *	caller may notice. After a rough time there is a rest, in which the
- *	programs find each other again.
+ *	A round has three phases. In the disrupted phase any fault may occur,
+ *	also several at once and in sequence. In the recovery phase none begins,
+ *	so that the programs can reconnect. In the planned phase only faults
+ *	occur that no caller may notice (IMPACT_NONE).
  *
- *	The same seed and sizes give the same schedule, whatever the programs
- *	do.
+ *	The same seed and sizes always give the same schedule, whatever the
+ *	programs do.
  */
 #ifndef TESTS_SOAK_SCHEDULE_H
 #define TESTS_SOAK_SCHEDULE_H
@@ -18,15 +18,16 @@
 
 struct schedule_event {
 	int64_t at_ms; /* since the start */
-	int64_t for_ms; /* at most, where the fault ends by itself */
+	int64_t for_ms; /* the upper limit if the fault has is_over() */
 	const struct fault *fault;
 	unsigned int host;
 };
 
-/* How long programs may take to find each other after a rough time. */
+/* The recovery phase: how long the programs may take to reconnect. */
 #define SCHEDULE_RECOVERY_MS 5000
 
-/* RETURN VALUE: an array of struct schedule_event by time. */
+/* RETURN VALUE: an array of struct schedule_event, sorted by time, that the
+ * caller frees. */
 GArray *schedule_create(guint32 seed, unsigned int hosts, int seconds);
 
 #endif
--- a/tests/soak/stall_monitor.c
+++ b/tests/soak/stall_monitor.c
@@ -11,7 +11,7 @@
 };
 
 static const struct fault stall_fault = {
-	.name = "the machine stood still",
+	.name = "the machine stalled",
 	.impact = IMPACT_CALLERS,
 };
 
--- a/tests/soak/stall_monitor.h
+++ b/tests/soak/stall_monitor.h
@@ -1,27 +1,29 @@
 /*
  * NAME
- *	stall_monitor - notices when the machine gives this process no time
+ *	stall_monitor - detects when the machine gives this process no CPU time
  *
  * DESCRIPTION
- *	A thread that wakes often. Where it wakes late by more than
- *	STALL_MIN_US, so does every daemon on this machine, and what callers
- *	notice of that is not the daemons' doing. Each such time becomes a span
- *	of a fault of all hosts, and is printed. What may never be, a request
- *	run twice or a false "not run", is judged all the same.
+ *	A thread wakes every 20 ms. If two wake-ups are more than STALL_MIN_US
+ *	apart, the daemons on this machine were delayed as well, and what
+ *	callers notice of that is not a fault of the daemons. The monitor prints
+ *	each stall and records it as a span of a fault on all hosts. Invariants
+ *	that hold at any time, such as no duplicate run and no false "not run",
+ *	are checked all the same.
  */
 #ifndef TESTS_SOAK_STALL_MONITOR_H
 #define TESTS_SOAK_STALL_MONITOR_H
 
 #include "span.h"
 
-/* Daemons take a pause of their own loop for one from 300 ms on. */
+/* Daemons report a pause of their event loop from 300 ms on. */
 #define STALL_MIN_US ((int64_t)250 * 1000)
 
 struct stall_monitor;
 
 struct stall_monitor *stall_monitor_start(void);
 
-/* Adds what it noticed, and ends it. */
+/* Stops the monitor, adds the stalls that it detected to the spans and frees
+ * it. */
 void stall_monitor_stop(struct stall_monitor *stall_monitor, struct spans *spans);
 
 #endif
--- a/tests/soak/verdict.c
+++ b/tests/soak/verdict.c
@@ -8,27 +8,26 @@
 #include "runs.h"
 #include "schedule.h"
 
-/* The daemons run under sanitizers, on a machine that others use. */
+/* The daemons run under sanitizers, on a machine that other processes use. */
 #define MARGIN_US ((int64_t)1000 * 1000)
-/* A begun answer may stand still for so long past the deadline. */
+/* An answer that has begun may stall for so long after the deadline. */
 #define STREAM_STALL_US ((int64_t)2000 * 1000)
 #define DEADLINE_US ((int64_t)FLEET_DEADLINE_MS * 1000)
 #define RECOVERY_US ((int64_t)SCHEDULE_RECOVERY_MS * 1000)
-/* A daemon that was started again has its configuration and peers by then. */
+/* A restarted daemon has its configuration and its peers by then. */
 #define START_US ((int64_t)3000 * 1000)
 
 static const char *const invariant_texts[INVARIANTS] = {
 	[INVARIANT_OWN_ANSWER] =
-		"an answer is the caller's own, whole, and was run",
+		"an answer is complete, the call's own, and ran",
 	[INVARIANT_NOT_RUN] = "told \"not run\": did not run",
-	[INVARIANT_AT_MOST_ONCE] = "not repeatable: at most once",
-	[INVARIANT_DEADLINE] = "an end by the deadline",
-	[INVARIANT_CONNECTION_KEPT] =
-		"no connection cut where its daemon went on",
-	[INVARIANT_SERVED] = "no harm done: served",
-	[INVARIANT_DRAINED] = "draining: no new work after two seconds",
-	[INVARIANT_CONFIG] = "a configuration in force everywhere stays",
-	[INVARIANT_CLEAN_EXIT] = "programs end when told, and well",
+	[INVARIANT_AT_MOST_ONCE] = "not idempotent: ran at most once",
+	[INVARIANT_DEADLINE] = "the call ends by its deadline",
+	[INVARIANT_CONNECTION_KEPT] = "a running daemon breaks no connection",
+	[INVARIANT_SERVED] = "no fault with an impact: served",
+	[INVARIANT_DRAINED] = "draining: no new runs after two seconds",
+	[INVARIANT_CONFIG] = "a version that all hosts had stays in force",
+	[INVARIANT_CLEAN_EXIT] = "programs exit only when told, with status 0",
 	[INVARIANT_RECOVERY] = "after the last fault: served",
 };
 
@@ -101,17 +100,17 @@
 	return spans_overlap(spans, &query);
 }
 
-/* A caller whose daemon is gone or stands still gets nothing from it; one of a
- * daemon that was just started again, late answers at first. */
+/* A daemon that was killed or suspended answers none of its callers, and one
+ * that was just restarted answers late at first. */
 static bool may_be_cut(const struct spans *spans, const struct call *call)
 {
 	if (was_affected(spans, call, call->entry, IMPACT_CALLERS, START_US))
 		return true;
-	/* An answer that can't be ended whole breaks its connection. */
+	/* An answer that can't be completed breaks its connection. */
 	if (call->is_stream && has_outcome(call, "broken") &&
 	    was_affected(spans, call, SPAN_ANY_HOST, IMPACT_ATTEMPTS, RECOVERY_US))
 		return true;
-	/* The port of a daemon that stops is closed before its end. */
+	/* A daemon that stops closes its port before it exits. */
 	return has_outcome(call, "unconnected") && entry_was_stopped(spans, call);
 }
 
@@ -248,14 +247,14 @@
 	uint64_t violated = 0;
 
 	for (size_t i = 0; i < INVARIANTS; i++) {
-		printf("%-52s tried %6" G_GUINT64_FORMAT
+		printf("%-52s checked %6" G_GUINT64_FORMAT
 		       ", violated %" G_GUINT64_FORMAT "\n",
 		       invariant_texts[i], verdict->checked[i],
 		       verdict->violated[i]);
 		violated += verdict->violated[i];
 	}
 	printf("unknown outcomes %" G_GUINT64_FORMAT
-	       ", refused by a daemon that was stopping or new "
+	       ", refused by a daemon that was stopping or starting "
 	       "%" G_GUINT64_FORMAT "\n",
 	       verdict->unknown_outcomes, verdict->refused_by_stopping_entry);
 	return violated;
--- a/tests/soak/verdict.h
+++ b/tests/soak/verdict.h
@@ -1,11 +1,12 @@
 /*
  * NAME
- *	verdict - holds what callers were told against what was run
+ *	verdict - checks the outcomes that callers got against what ran
  *
  * DESCRIPTION
- *	Each promise is a point with a count of cases and of violations. What a
- *	caller may be told depends on the faults of its time: nobody can serve a
- *	caller whose own daemon was killed, but nobody else may notice that.
+ *	Each invariant has a count of checks and of violations. Which outcomes
+ *	are allowed depends on the faults at the time of the call: a caller
+ *	whose own daemon was killed can't be served, but no other caller may
+ *	notice that.
  */
 #ifndef TESTS_SOAK_VERDICT_H
 #define TESTS_SOAK_VERDICT_H
@@ -13,31 +14,35 @@
 #include "span.h"
 
 enum invariant {
-	INVARIANT_OWN_ANSWER, /* an answer is whole, the caller's own, and was run */
-	INVARIANT_NOT_RUN, /* "not run" is true */
-	INVARIANT_AT_MOST_ONCE, /* what may not be repeated runs at most once */
+	/* An answer is complete, belongs to the call, and the request ran. */
+	INVARIANT_OWN_ANSWER,
+	INVARIANT_NOT_RUN, /* a call that is told "not run" did not run */
+	INVARIANT_AT_MOST_ONCE, /* a non-idempotent request runs at most once */
 	INVARIANT_DEADLINE, /* each call ends by its deadline */
-	INVARIANT_CONNECTION_KEPT, /* no connection breaks where the daemon goes on */
-	INVARIANT_SERVED, /* where no harm is done, each call is served */
-	INVARIANT_DRAINED, /* a draining upstream gets no new work */
-	INVARIANT_CONFIG, /* a configuration in force everywhere stays */
-	INVARIANT_CLEAN_EXIT, /* no program ends by itself, and each ends well */
-	INVARIANT_RECOVERY, /* after the last fault all is well again */
+	INVARIANT_CONNECTION_KEPT, /* a running daemon breaks no connection */
+	INVARIANT_SERVED, /* without faults with an impact each call is served */
+	INVARIANT_DRAINED, /* a draining upstream gets no new attempts */
+	INVARIANT_CONFIG, /* a version that all hosts had stays in force */
+	INVARIANT_CLEAN_EXIT, /* programs exit only when told, with status 0 */
+	INVARIANT_RECOVERY, /* after the last fault all calls are served */
 	INVARIANTS,
 };
 
 struct verdict {
 	uint64_t checked[INVARIANTS];
 	uint64_t violated[INVARIANTS];
-	uint64_t refused_by_stopping_entry; /* beside planned stops of their entry */
-	uint64_t unknown_outcomes; /* of unknown outcome, all told */
+	/* Calls that were refused around a planned stop of their entry, while
+	 * no other fault was active. */
+	uint64_t refused_by_stopping_entry;
+	uint64_t unknown_outcomes; /* calls of unknown outcome */
 };
 
-/* Counts a case; a violation is printed with its reason. */
+/* Counts a check; prints a violation with the message. */
 void verdict_check(struct verdict *verdict, enum invariant invariant, bool held,
 		   const char *format, ...) G_GNUC_PRINTF(4, 5);
 
-/* The calls of one entry, as the load wrote them; is_last: after all faults. */
+/* Checks the calls of one entry in the load generator's log. is_last: they were
+ * made after all faults. */
 void verdict_check_calls(struct verdict *verdict, const struct fleet *fleet,
 			 const struct spans *spans, unsigned int entry,
 			 const char *calls_file, bool is_last);
--- a/tests/soak/watch.c
+++ b/tests/soak/watch.c
@@ -7,7 +7,7 @@
 #define POLL_US ((int64_t)300 * 1000)
 #define ASK_MS 400
 #define NO_VERSION 0
-/* A daemon that was started has heard of its peers by then. */
+/* A daemon that was just started has heard from its peers by then. */
 #define CONFIG_SETTLE_US ((int64_t)3000 * 1000)
 
 void watch_init(struct watch *watch, struct fleet *fleet, struct verdict *verdict)
@@ -41,7 +41,8 @@
 	return version;
 }
 
-/* RETURN VALUE: NO_VERSION where the daemon doesn't say. */
+/* RETURN VALUE: the version in force, or NO_VERSION if the daemon does not
+ * answer, is not ready or has no configuration. */
 static uint64_t read_version(const struct fleet_host *host)
 {
 	char *url = g_strdup_printf("http://127.0.0.1:%u/v1/config", host->admin);
@@ -111,7 +112,7 @@
 			continue;
 		watch->daemons[i].has_ended = true;
 		verdict_check(watch->verdict, INVARIANT_CLEAN_EXIT, false,
-			      "d%u ended by itself, status %d", i,
+			      "d%u exited unexpectedly with status %d", i,
 			      daemon->exit_status);
 	}
 }
--- a/tests/soak/watch.h
+++ b/tests/soak/watch.h
@@ -1,13 +1,13 @@
 /*
  * NAME
- *	watch - looks at the programs while the soak goes on
+ *	watch - checks the running programs during the soak test
  *
  * DESCRIPTION
- *	No program may end that was not told to. No daemon may go back to an
- *	older configuration while it runs, nor have one that is older than what
- *	all had at one time. A daemon that has just been started may, for a
- *	moment: where the operator's row was set back meanwhile it can't know
- *	better until a peer tells.
+ *	No program may exit unless it was told to. No daemon may revert to an
+ *	older configuration while it runs, nor have one that is older than a
+ *	version that all daemons had at one time. A daemon that was just started
+ *	may have one for a moment: if the operator's row was reverted meanwhile,
+ *	it can't know the newer version until a peer sends it.
  */
 #ifndef TESTS_SOAK_WATCH_H
 #define TESTS_SOAK_WATCH_H
@@ -15,17 +15,18 @@
 #include "verdict.h"
 
 struct watched {
-	bool is_disturbed; /* it is being killed, paused, stopped */
-	bool has_ended; /* already told */
-	int64_t observed_since_us; /* seen since it was last disturbed */
-	uint64_t version; /* the highest since then */
+	bool is_disturbed; /* a fault kills, suspends or stops it */
+	bool has_ended; /* its unexpected exit was reported */
+	/* The first observation after the last fault; 0: none yet. */
+	int64_t observed_since_us;
+	uint64_t version; /* the highest version since then */
 };
 
 struct watch {
 	struct fleet *fleet;
 	struct verdict *verdict;
-	uint64_t common_version; /* the version that all have had */
-	struct watched *daemons; /* by host */
+	uint64_t common_version; /* the highest version that all have had */
+	struct watched *daemons; /* indexed by host */
 	int64_t next_us;
 };
 
@@ -33,13 +34,14 @@
 		struct verdict *verdict);
 void watch_finish(struct watch *watch);
 
-/* The daemon of host i is being disturbed, or is so no more. */
+/* Reports that a fault of the daemon of host i begins or has ended. */
 void watch_set_disturbed(struct watch *watch, unsigned int i, bool is_disturbed);
 
-/* Called often; looks a few times a second. */
+/* Checks the programs a few times per second. The caller calls it more
+ * often. */
 void watch_poll(struct watch *watch);
 
-/* Stops all daemons: each must end well within its time. */
+/* Stops all daemons and checks that each exits in time with status 0. */
 void watch_stop_all(struct watch *watch);
 
 #endif
