--- a/tests/fuzz/fuzz.h
+++ b/tests/fuzz/fuzz.h
@@ -1,11 +1,12 @@
 /*
  * NAME
- *	fuzz - one function that must hold for any bytes
+ *	fuzz - the entry point of a fuzz target
  *
  * DESCRIPTION
- *	Each fuzz_*.c is linked twice: with replay.c as a test that reads the
- *	files of tests/fuzz/corpus, and by tools/fuzz with the fuzzer, which
- *	looks for further ones. What that finds becomes a file of the corpus.
+ *	Each fuzz_*.c is linked twice: with replay.c as a test that runs the
+ *	files of tests/fuzz/corpus, and by tools/fuzz with libFuzzer, which
+ *	searches for new failing inputs. Inputs that it finds are added to the
+ *	corpus.
  */
 #ifndef TESTS_FUZZ_FUZZ_H
 #define TESTS_FUZZ_FUZZ_H
@@ -13,7 +14,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* RETURN VALUE: 0. Aborts where something doesn't hold. */
+/* Runs the target on any bytes. RETURN VALUE: 0. Aborts if a check fails. */
 int LLVMFuzzerTestOneInput(const uint8_t *bytes, size_t size);
 
 #endif
--- a/tests/fuzz/fuzz_config.c
+++ b/tests/fuzz/fuzz_config.c
@@ -1,5 +1,6 @@
-/* Operators' files: what passes the check with places passes the one without, and
- * means the same, also when its rules are known. */
+/* Operators' files: a file that passes the check which reports findings also
+ * loads without it and has the same meaning, also if its rules are already in
+ * the cache. */
 #include <glib.h>
 #include <string.h>
 
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -1,9 +1,10 @@
 /*
- * Frames between daemons: unpacked, packed again and unpacked, the same. Left out
- * are frames with fields that this version doesn't know, in themselves or in a part:
- * the codec takes a field number 0 that is written with two bytes, keeps it, and
- * packs it with one, which it refuses. A daemon reads such a frame without these
- * fields and never packs what it has unpacked.
+ * Frames between daemons: a frame that can be unpacked can be packed and
+ * unpacked again. The target skips frames that have unknown fields, in
+ * themselves or in a submessage: the codec accepts the field number 0 if it is
+ * encoded in two bytes, keeps the field, and packs the number in one byte,
+ * which it then refuses. A daemon ignores unknown fields and never packs a
+ * frame that it has unpacked.
  */
 #include <glib.h>
 #include <stdbool.h>
@@ -43,7 +44,7 @@
 	return *part && has_unknown_fields(*part);
 }
 
-/* A part of a oneof is there only where its case says so. */
+/* A member of a oneof is present only if the case field names it. */
 static bool is_present(const ProtobufCMessage *message,
 		       const ProtobufCFieldDescriptor *field)
 {
--- a/tests/fuzz/fuzz_reader.c
+++ b/tests/fuzz/fuzz_reader.c
@@ -1,5 +1,5 @@
-/* Heads and bodies of callers: read as a whole and byte by byte, the same must
- * come out. */
+/* Request heads and bodies: reading them at once and byte by byte must give the
+ * same result. */
 #include <glib.h>
 
 #include "fuzz.h"
--- a/tests/fuzz/fuzz_store.c
+++ b/tests/fuzz/fuzz_store.c
@@ -1,4 +1,4 @@
-/* What the platform's store answers, and the operator's row in it. */
+/* Answers of the platform's store, and the operator's row in it. */
 #include <glib.h>
 #include <string.h>
 
@@ -8,7 +8,8 @@
 
 #define RETRY_PERCENT 20
 
-/* Read again with its rules known, the row must become the same. */
+/* Reading the row a second time, with its rules in the cache, must give the
+ * same result. */
 static void read_twice(const char *text, size_t size)
 {
 	struct platform_manifest_reader *reader =
--- a/tests/fuzz/replay.c
+++ b/tests/fuzz/replay.c
@@ -1,4 +1,4 @@
-/* Gives each file of a folder to the function, and each of its beginnings. */
+/* Runs the fuzz target on each file of a directory and on each prefix of it. */
 #include <glib.h>
 #include <stdio.h>
 
@@ -25,7 +25,7 @@
 	const char *name;
 
 	if (!folder) {
-		fprintf(stderr, "usage: %s FOLDER\n", argv[0]);
+		fprintf(stderr, "usage: %s DIRECTORY\n", argv[0]);
 		return 2;
 	}
 	while ((name = g_dir_read_name(folder))) {
