--- a/tests/system/test_second_tries.c
+++ b/tests/system/test_second_tries.c
@@ -15,7 +15,8 @@
 #define WAIT_UP_MS 15000
 #define BODY_BYTES "50000" /* below the limit of a body kept for a retry */
 #define LOAD_MS 20000
-/* The timeout of a call that is aborted when the daemon stops. */
+/* The caller's timeout for a call that is aborted when the daemon stops, and
+ * the timeout for the daemon's exit. */
 #define END_MS 15000
 
 static const struct cluster_options options = {
--- a/tests/system/test_streaming.c
+++ b/tests/system/test_streaming.c
@@ -17,8 +17,7 @@
 {
 	for (size_t i = 0; i < bytes->len; i++) {
 		if (bytes->str[i] != id[(position + i) % strlen(id)])
-			g_error("byte %zu differs from the request's body",
-				position + i);
+			g_error("byte %zu of the answer is wrong", position + i);
 	}
 }
 
--- a/tests/system/test_thaw.c
+++ b/tests/system/test_thaw.c
@@ -8,7 +8,7 @@
 #define OWNER 1
 #define ENTRY 0
 #define WAIT_UP_MS 15000
-/* Attempts that start after a pause have started by then. */
+/* Any attempt that starts after a pause has started by then. */
 #define SETTLE_MS 1500
 
 /* With one slot, all calls but one wait at the owner. */
