--- a/bench/path/failover.c
+++ b/bench/path/failover.c
@@ -232,7 +232,7 @@
 	wait_detected(&round);
 	read_time_lines(&round);
 	print_round(&round, round_number);
-	ledger_add(&ledger, &cluster, &load);
+	ledger_collect(&ledger, &cluster, &load);
 	g_assert_cmpuint(ledger_violations(&ledger), ==, 0);
 	cluster_start_daemon(&cluster, KILLED_HOST, &options);
 	cluster_start_upstream(&cluster, KILLED_HOST, &options);
--- a/tests/fuzz/fuzz_config.c
+++ b/tests/fuzz/fuzz_config.c
@@ -1,13 +1,14 @@
-/* Operators' files: what passes the check with places passes the one without, and
- * means the same, also when its rules are known. */
+/* Operators' files: a file that passes the check which reports findings also
+ * loads without it and has the same meaning, also if its rules are already in
+ * the cache. */
 #include <glib.h>
 #include <string.h>
 
 #include "comfreydockd/config/check.h"
 #include "fuzz.h"
 
-static void compare(const struct config_namespace *a,
-		    const struct config_namespace *b)
+static void compare_namespaces(const struct config_namespace *a,
+			       const struct config_namespace *b)
 {
 	g_assert(strcmp(a->name, b->name) == 0);
 	g_assert(a->services->len == b->services->len);
@@ -46,8 +47,8 @@
 	g_assert(!accepted == !again);
 	if (checked) {
 		g_assert(accepted);
-		compare(checked, accepted);
-		compare(checked, again);
+		compare_namespaces(checked, accepted);
+		compare_namespaces(checked, again);
 	}
 	config_namespace_unref(again);
 	config_namespace_unref(accepted);
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -1,9 +1,10 @@
 /*
- * Frames between daemons: unpacked, packed again and unpacked, the same. Left out
- * are frames with fields that this version doesn't know, in themselves or in a part:
- * the codec takes a field number 0 that is written with two bytes, keeps it, and
- * packs it with one, which it refuses. A daemon reads such a frame without these
- * fields and never packs what it has unpacked.
+ * Frames between daemons: a frame that can be unpacked can be packed and
+ * unpacked again. The target skips frames that have unknown fields, in
+ * themselves or in a submessage: the codec accepts the field number 0 if it is
+ * encoded in two bytes, keeps the field, and packs the number in one byte,
+ * which it then refuses. A daemon ignores unknown fields and never packs a
+ * frame that it has unpacked.
  */
 #include <glib.h>
 #include <stdbool.h>
@@ -11,39 +12,39 @@
 #include "fuzz.h"
 #include "proto/peer.pb-c.h"
 
-static bool has_unknown(const ProtobufCMessage *message);
+static bool has_unknown_fields(const ProtobufCMessage *message);
 
 static const void *member_of(const ProtobufCMessage *message, unsigned int offset)
 {
 	return (const char *)message + offset;
 }
 
-static bool list_has_unknown(const ProtobufCMessage *message,
-			     const ProtobufCFieldDescriptor *field)
+static bool list_has_unknown_fields(const ProtobufCMessage *message,
+				    const ProtobufCFieldDescriptor *field)
 {
 	ProtobufCMessage *const *const *parts = member_of(message, field->offset);
 	const size_t *count = member_of(message, field->quantifier_offset);
 
 	for (size_t i = 0; i < *count; i++) {
-		if (has_unknown((*parts)[i]))
+		if (has_unknown_fields((*parts)[i]))
 			return true;
 	}
 	return false;
 }
 
-static bool part_has_unknown(const ProtobufCMessage *message,
-			     const ProtobufCFieldDescriptor *field)
+static bool submessage_has_unknown_fields(const ProtobufCMessage *message,
+					  const ProtobufCFieldDescriptor *field)
 {
 	ProtobufCMessage *const *part = member_of(message, field->offset);
 
 	if (field->type != PROTOBUF_C_TYPE_MESSAGE)
 		return false;
 	if (field->label == PROTOBUF_C_LABEL_REPEATED)
-		return list_has_unknown(message, field);
-	return *part && has_unknown(*part);
+		return list_has_unknown_fields(message, field);
+	return *part && has_unknown_fields(*part);
 }
 
-/* A part of a oneof is there only where its case says so. */
+/* A member of a oneof is present only if the case field names it. */
 static bool is_present(const ProtobufCMessage *message,
 		       const ProtobufCFieldDescriptor *field)
 {
@@ -53,7 +54,7 @@
 	       *which == field->id;
 }
 
-static bool has_unknown(const ProtobufCMessage *message)
+static bool has_unknown_fields(const ProtobufCMessage *message)
 {
 	const ProtobufCMessageDescriptor *descriptor = message->descriptor;
 
@@ -62,7 +63,8 @@
 	for (unsigned int i = 0; i < descriptor->n_fields; i++) {
 		const ProtobufCFieldDescriptor *field = &descriptor->fields[i];
 
-		if (is_present(message, field) && part_has_unknown(message, field))
+		if (is_present(message, field) &&
+		    submessage_has_unknown_fields(message, field))
 			return true;
 	}
 	return false;
@@ -76,7 +78,7 @@
 
 	if (!frame)
 		return 0;
-	if (has_unknown(&frame->base)) {
+	if (has_unknown_fields(&frame->base)) {
 		cfd__frame__free_unpacked(frame, NULL);
 		return 0;
 	}
--- a/tests/fuzz/replay.c
+++ b/tests/fuzz/replay.c
@@ -1,10 +1,10 @@
-/* Gives each file of a folder to the function, and each of its beginnings. */
+/* Runs the fuzz target on each file of a directory and on each prefix of it. */
 #include <glib.h>
 #include <stdio.h>
 
 #include "fuzz.h"
 
-static unsigned int play_file(const char *path)
+static unsigned int replay_file(const char *path)
 {
 	GError *error = NULL;
 	char *text = NULL;
@@ -25,13 +25,13 @@
 	const char *name;
 
 	if (!folder) {
-		fprintf(stderr, "usage: %s FOLDER\n", argv[0]);
+		fprintf(stderr, "usage: %s DIRECTORY\n", argv[0]);
 		return 2;
 	}
 	while ((name = g_dir_read_name(folder))) {
 		char *path = g_build_filename(argv[1], name, NULL);
 
-		files += play_file(path);
+		files += replay_file(path);
 		g_free(path);
 	}
 	g_dir_close(folder);
--- a/tests/soak/verdict.h
+++ b/tests/soak/verdict.h
@@ -1,46 +1,51 @@
 /*
  * NAME
- *	verdict - holds what callers were told against what was run
+ *	verdict - checks the outcomes that callers got against what ran
  *
  * DESCRIPTION
- *	Each promise is a point with a count of cases and of violations. What a
- *	caller may be told depends on the faults of its time: nobody can serve a
- *	caller whose own daemon was killed, but nobody else may notice that.
+ *	Each invariant has a count of checks and of violations. Which outcomes
+ *	are allowed depends on the faults at the time of the call: a caller
+ *	whose own daemon was killed can't be served, but no other caller may
+ *	notice that.
  */
 #ifndef TESTS_SOAK_VERDICT_H
 #define TESTS_SOAK_VERDICT_H
 
 #include "span.h"
 
-enum point {
-	POINT_OWN, /* an answer is whole, the caller's own, and was run */
-	POINT_NOT_RUN, /* "not run" is true */
-	POINT_ONCE, /* what may not be repeated runs at most once */
-	POINT_ENDS, /* each call ends by its deadline */
-	POINT_KEPT, /* no connection breaks where the daemon goes on */
-	POINT_CALM, /* where no harm is done, each call is served */
-	POINT_LEAVES, /* a draining upstream gets no new work */
-	POINT_CONFIG, /* a configuration in force everywhere stays */
-	POINT_LIVES, /* no program ends by itself, and each ends well */
-	POINT_RECOVERS, /* after the last fault all is well again */
-	POINTS,
+enum invariant {
+	/* An answer is complete, belongs to the call, and the request ran. */
+	INVARIANT_OWN_ANSWER,
+	INVARIANT_NOT_RUN, /* a call that is told "not run" did not run */
+	INVARIANT_AT_MOST_ONCE, /* a non-idempotent request runs at most once */
+	INVARIANT_DEADLINE, /* each call ends by its deadline */
+	INVARIANT_CONNECTION_KEPT, /* a running daemon breaks no connection */
+	INVARIANT_SERVED, /* without faults with an impact each call is served */
+	INVARIANT_DRAINED, /* a draining upstream gets no new attempts */
+	INVARIANT_CONFIG, /* a version that all hosts had stays in force */
+	INVARIANT_CLEAN_EXIT, /* programs exit only when told, with status 0 */
+	INVARIANT_RECOVERY, /* after the last fault all calls are served */
+	INVARIANTS,
 };
 
 struct verdict {
-	uint64_t tried[POINTS];
-	uint64_t violated[POINTS];
-	uint64_t refused_in_calm; /* beside planned stops of their entry */
-	uint64_t outcomes_lost; /* of unknown outcome, all told */
+	uint64_t checked[INVARIANTS];
+	uint64_t violated[INVARIANTS];
+	/* Calls that were refused around a planned stop of their entry, while
+	 * no other fault was active. */
+	uint64_t refused_by_stopping_entry;
+	uint64_t unknown_outcomes; /* calls of unknown outcome */
 };
 
-/* Counts a case; a violation is printed with its reason. */
-void verdict_note(struct verdict *verdict, enum point point, bool held,
-		  const char *format, ...) G_GNUC_PRINTF(4, 5);
+/* Counts a check; prints a violation with the message. */
+void verdict_check(struct verdict *verdict, enum invariant invariant, bool held,
+		   const char *format, ...) G_GNUC_PRINTF(4, 5);
 
-/* The calls of one entry, as the load wrote them; is_last: after all faults. */
-void verdict_take_calls(struct verdict *verdict, const struct fleet *fleet,
-			const struct spans *spans, unsigned int entry,
-			const char *calls_file, bool is_last);
+/* Checks the calls of one entry in the load generator's log. is_last: they were
+ * made after all faults. */
+void verdict_check_calls(struct verdict *verdict, const struct fleet *fleet,
+			 const struct spans *spans, unsigned int entry,
+			 const char *calls_file, bool is_last);
 
 /* RETURN VALUE: the number of violations. */
 uint64_t verdict_print(const struct verdict *verdict);
--- a/tests/system/call_log.h
+++ b/tests/system/call_log.h
@@ -1,14 +1,16 @@
 /*
  * NAME
- *	call_log - what the load generator wrote down of its calls
+ *	call_log - reads the load generator's log of its calls
  *
  * DESCRIPTION
- *	One line a call: id, method, status, outcome, how long it took, when it
- *	began, path and, where the answer was wrong, a word on what was wrong. A
- *	line that is cut off, by a kill of the generator, is left out.
+ *	The log has one line for each call: id, method, status, outcome,
+ *	duration, start time, path and, if the answer was wrong, a word that
+ *	says what was wrong. A line that was truncated because the generator was
+ *	killed is skipped.
  *
  * UNITS
- *	Wall-clock microseconds.
+ *	Microseconds. The start time is the monotonic time at which the call was
+ *	due; the duration counts from it.
  */
 #ifndef TESTS_SYSTEM_CALL_LOG_H
 #define TESTS_SYSTEM_CALL_LOG_H
@@ -16,20 +18,22 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct call_line {
+struct call_record {
 	const char *id;
 	const char *method;
 	int status;
 	const char *outcome;
-	int64_t took_us;
+	int64_t duration_us;
 	int64_t begin_us;
 	const char *path;
 	bool is_wrong;
 };
 
-/* Hands over each line; its texts live as long as the handler runs. */
+/* Calls the handler for each line. The strings of the record are valid only
+ * while the handler runs. */
 void call_log_read(const char *file,
-		   void (*handle_line)(const struct call_line *line, void *data),
+		   void (*handle_record)(const struct call_record *line,
+					 void *data),
 		   void *data);
 
 #endif
--- a/tests/system/relay_tcp.c
+++ b/tests/system/relay_tcp.c
@@ -13,9 +13,9 @@
 struct chunk {
 	TAILQ_ENTRY(chunk) link;
 	int64_t due_us;
-	size_t size; /* 0: the end of the stream */
+	size_t size; /* 0: end of the stream */
 	size_t written;
-	bool is_reset; /* which was not a clean one */
+	bool is_reset; /* the stream ended with an error */
 	char data[CHUNK_BYTES];
 };
 
@@ -23,23 +23,23 @@
 struct flow {
 	struct tcp_connection *connection;
 	enum direction direction;
-	ev_io readable; /* on the side it comes from */
-	ev_io writable; /* on the side it goes to */
+	ev_io readable; /* on the source socket */
+	ev_io writable; /* on the destination socket */
 	ev_timer due;
 	TAILQ_HEAD(, chunk) chunks;
 	size_t queued_bytes;
-	bool is_read; /* to its end */
-	bool has_ended; /* the end was passed on */
+	bool has_read_end;
+	bool has_forwarded_end;
 };
 
 struct tcp_connection {
 	LIST_ENTRY(tcp_connection) link;
 	struct relay *relay;
-	int fds[DIRECTIONS]; /* where each direction comes from */
+	int fds[DIRECTIONS]; /* the source socket of each direction */
 	struct flow flows[DIRECTIONS];
 };
 
-static void reset(int fd)
+static void close_with_reset(int fd)
 {
 	struct linger linger = {.l_onoff = 1};
 
@@ -66,7 +66,7 @@
 	for (int i = 0; i < DIRECTIONS; i++)
 		flow_finish(&connection->flows[i]);
 	for (int i = 0; i < DIRECTIONS; i++)
-		reset(connection->fds[i]);
+		close_with_reset(connection->fds[i]);
 	LIST_REMOVE(connection, link);
 	g_free(connection);
 }
@@ -76,11 +76,12 @@
 	TAILQ_REMOVE(&flow->chunks, chunk, link);
 	flow->queued_bytes -= chunk->size;
 	g_free(chunk);
-	if (!flow->is_read && flow->queued_bytes <= MAX_QUEUED_BYTES)
+	if (!flow->has_read_end && flow->queued_bytes <= MAX_QUEUED_BYTES)
 		ev_io_start(flow->connection->relay->loop, &flow->readable);
 }
 
-/* RETURN VALUE: 1 where all of it went, 0 where the socket is full, or -1. */
+/* RETURN VALUE: 1 if the whole chunk was written, 0 if the socket buffer is
+ * full, -1 if the connection must be reset. */
 static int chunk_write(struct flow *flow, struct chunk *chunk)
 {
 	while (chunk->written < chunk->size) {
@@ -97,12 +98,12 @@
 		return -1;
 	if (chunk->size == 0) {
 		shutdown(flow->writable.fd, SHUT_WR);
-		flow->has_ended = true;
+		flow->has_forwarded_end = true;
 	}
 	return 1;
 }
 
-static void wait_until(struct flow *flow, int64_t due_us)
+static void wait_until_due(struct flow *flow, int64_t due_us)
 {
 	double wait_s = (double)(due_us - clock_mono_us()) / (double)US_PER_S;
 
@@ -110,8 +111,9 @@
 	ev_timer_start(flow->connection->relay->loop, &flow->due);
 }
 
-/* Passes on what is due. RETURN VALUE: false where the connection is gone. */
-static bool flow_run(struct flow *flow)
+/* Forwards the chunks that are due. RETURN VALUE: false if this freed the
+ * connection. */
+static bool flow_flush(struct flow *flow)
 {
 	struct tcp_connection *connection = flow->connection;
 	struct relay *relay = connection->relay;
@@ -124,7 +126,7 @@
 		int result;
 
 		if (chunk->due_us > clock_mono_us()) {
-			wait_until(flow, chunk->due_us);
+			wait_until_due(flow, chunk->due_us);
 			break;
 		}
 		result = chunk_write(flow, chunk);
@@ -138,8 +140,8 @@
 		}
 		chunk_done(flow, chunk);
 	}
-	if (connection->flows[FORWARD].has_ended &&
-	    connection->flows[BACKWARD].has_ended) {
+	if (connection->flows[FORWARD].has_forwarded_end &&
+	    connection->flows[BACKWARD].has_forwarded_end) {
 		connection_reset(connection);
 		return false;
 	}
@@ -150,14 +152,14 @@
 {
 	(void)loop;
 	(void)events;
-	flow_run(io->data);
+	flow_flush(io->data);
 }
 
 static void handle_due(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	(void)loop;
 	(void)events;
-	flow_run(timer->data);
+	flow_flush(timer->data);
 }
 
 static void handle_readable(struct ev_loop *loop, ev_io *io, int events)
@@ -172,16 +174,17 @@
 		g_free(chunk);
 		return;
 	}
-	/* The end takes its turn in the queue: held, it must not show. */
-	flow->is_read = size <= 0;
+	/* The end of the stream is queued as well: while the direction is held,
+	 * the destination must not see it. */
+	flow->has_read_end = size <= 0;
 	chunk->is_reset = size < 0;
 	chunk->size = (size_t)MAX(size, 0);
 	chunk->due_us = clock_mono_us() + relay->delay_ms * US_PER_MS;
 	flow->queued_bytes += chunk->size;
 	TAILQ_INSERT_TAIL(&flow->chunks, chunk, link);
-	if (flow->is_read || flow->queued_bytes > MAX_QUEUED_BYTES)
+	if (flow->has_read_end || flow->queued_bytes > MAX_QUEUED_BYTES)
 		ev_io_stop(loop, io);
-	flow_run(flow);
+	flow_flush(flow);
 }
 
 static void flow_start(struct tcp_connection *connection, enum direction direction)
@@ -202,8 +205,8 @@
 	ev_io_start(connection->relay->loop, &flow->readable);
 }
 
-/* Otherwise the end of each larger answer waits for a delayed acknowledgement, and
- * the host behind the relay is taken for a slow one. */
+/* With Nagle's algorithm the tail of each larger answer waits for a delayed
+ * ACK, and the host behind the relay appears slow. */
 static void disable_nagle(int fd)
 {
 	int one = 1;
@@ -228,7 +231,7 @@
 	    (connect(target, (struct sockaddr *)&relay->target,
 		     sizeof(relay->target)) != 0 &&
 	     errno != EINPROGRESS)) {
-		reset(fd);
+		close_with_reset(fd);
 		if (target >= 0)
 			close(target);
 		return;
@@ -262,8 +265,8 @@
 
 		if (relay->cut)
 			connection_reset(connection);
-		else if (flow_run(&connection->flows[FORWARD]))
-			flow_run(&connection->flows[BACKWARD]);
+		else if (flow_flush(&connection->flows[FORWARD]))
+			flow_flush(&connection->flows[BACKWARD]);
 		connection = next;
 	}
 }
--- a/tests/system/test_config.c
+++ b/tests/system/test_config.c
@@ -5,7 +5,7 @@
 
 #include "cluster.h"
 
-#define IN_FORCE_MS 10000 /* what is promised */
+#define PROPAGATION_MAX_MS 10000 /* the documented limit */
 #define OPERATORS 5
 
 static struct cluster cluster;
@@ -23,7 +23,8 @@
 		note);
 }
 
-/* RETURN VALUE: the status; the answer's body in *out where given. */
+/* RETURN VALUE: the status. Unless out is NULL, *out receives the answer's
+ * body. */
 static long apply(unsigned int daemon, uint64_t base, const char *note, char **out)
 {
 	char *text = file_text(note);
@@ -42,7 +43,7 @@
 	return status;
 }
 
-static void apply_well(unsigned int daemon, const char *note)
+static void apply_and_expect_success(unsigned int daemon, const char *note)
 {
 	char *out;
 	long status = apply(daemon, applied, note, &out);
@@ -54,7 +55,7 @@
 	g_free(out);
 }
 
-static int64_t held_by(unsigned int i)
+static int64_t read_version(unsigned int i)
 {
 	char *json = rig_http_ok("GET", cluster.daemons[i]->admin_port,
 				 "/v1/config", NULL);
@@ -65,23 +66,24 @@
 	return version;
 }
 
-static bool all_hold(void *data)
+static bool all_have_applied(void *data)
 {
 	(void)data;
 	for (unsigned int i = 0; i < cluster.count; i++) {
-		if (held_by(i) != (int64_t)applied)
+		if (read_version(i) != (int64_t)applied)
 			return false;
 	}
 	return true;
 }
 
-static void fault(const char *json)
+static void set_platform_faults(const char *json)
 {
 	g_free(rig_http_ok("POST", cluster.platform->port, "/standin/fault",
 			   json));
 }
 
-/* How often the namespace's row was written, by the platform's own record. */
+/* RETURN VALUE: how often the namespace's row was written, according to the
+ * platform's history. */
 static uint64_t count_commits(void)
 {
 	char *text = rig_http_ok("GET", cluster.platform->port,
@@ -104,8 +106,9 @@
 static void test_apply_is_in_force_everywhere(void)
 {
 	for (unsigned int i = 0; i < cluster.count; i++) {
-		apply_well(i, "first");
-		g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
+		apply_and_expect_success(i, "first");
+		g_assert_true(rig_wait_until(all_have_applied, NULL,
+					     PROPAGATION_MAX_MS));
 	}
 	for (unsigned int i = 0; i < cluster.count; i++) {
 		struct rig_answer *answer =
@@ -117,14 +120,16 @@
 }
 
 /*
- * Five people of one team apply in the same moment, each through the daemon
- * beside them. One gets its file in force; the others are told who did, or
- * their customers would be served by rules that nobody meant to keep.
+ * Five operators apply different files at the same moment, each through another
+ * daemon. Exactly one apply may succeed; the others report a conflict and name
+ * the operator who succeeded. Otherwise one of them would silently overwrite
+ * the rules of another.
  */
-static void test_one_of_racing_operators_wins(void)
+static void test_one_concurrent_apply_succeeds(void)
 {
-	/* So that all have read the same version before the first one writes. */
-	fault("{\"slow_ms\": 100}");
+	/* Slow answers let all read the same version before the first
+	 * writes. */
+	set_platform_faults("{\"slow_ms\": 100}");
 	for (int round = 0; round < 5; round++) {
 		struct rig_process *tools[OPERATORS];
 		char *base = g_strdup_printf("%d", (int)applied);
@@ -161,41 +166,41 @@
 		g_assert_cmpuint(count_commits(), ==, applied);
 		g_free(base);
 	}
-	fault("{\"slow_ms\": 0}");
-	g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
+	set_platform_faults("{\"slow_ms\": 0}");
+	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
 }
 
-/* The platform takes writes, but most answers are lost on the way. The apply
- * rereads: what is said matches what the platform holds, and nothing is
- * applied twice. */
+/* The platform takes writes, but most of its answers are lost. The apply then
+ * reads the row again, so that it reports what the platform holds and writes
+ * nothing twice. */
 static void test_lost_answers_are_resolved(void)
 {
 	char *stats;
 
-	fault("{\"lose_answer_share\": 0.7, \"seed\": 5}");
+	set_platform_faults("{\"lose_answer_share\": 0.7, \"seed\": 5}");
 	for (unsigned int i = 0; i < 4; i++) {
-		apply_well(i, "lost");
+		apply_and_expect_success(i, "lost");
 		g_assert_cmpuint(count_commits(), ==, applied);
 	}
-	fault("{\"lose_answer_share\": 0}");
+	set_platform_faults("{\"lose_answer_share\": 0}");
 	stats = rig_http_ok("GET", cluster.platform->port, "/standin/stats",
 			    NULL);
 	g_assert_cmpint(rig_json_int(stats, "lost_answers"), >=, 4);
 	g_free(stats);
-	g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
+	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
 }
 
 /*
- * The platform is down for a long stretch. Calls go on; an apply is refused
- * and changes nothing. A host that is replaced meanwhile gets what the others
- * hold, never something older.
+ * The platform is down for a long time. Calls are still served; an apply is
+ * refused and changes nothing. A host that is replaced meanwhile gets the
+ * version that its peers hold, never an older one.
  */
 static void test_outage_stops_only_applies(void)
 {
 	struct rig_answer *answer;
 	char *out;
 
-	fault("{\"down\": true}");
+	set_platform_faults("{\"down\": true}");
 	g_assert_cmpint((int)apply(0, applied, "down", &out), !=, 200);
 	g_test_message("%s", out);
 	g_free(out);
@@ -204,19 +209,19 @@
 	rig_kill(cluster.upstreams[3]);
 	cluster_start_daemon(&cluster, 3, &options);
 	cluster_start_upstream(&cluster, 3, &options);
-	g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
+	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
 	for (unsigned int i = 0; i < cluster.count; i++) {
 		answer = cluster_call(&cluster, i, "GET", "/", "o1", NULL, 5000);
 		g_assert_cmpstr(cluster_outcome(answer), ==, "run");
 		rig_answer_free(answer);
 	}
-	fault("{\"down\": false}");
-	apply_well(3, "again");
-	g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
+	set_platform_faults("{\"down\": false}");
+	apply_and_expect_success(3, "again");
+	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
 }
 
-/* A daemon that is alone and finds no platform can't know any rule. It says
- * so: told "no such service", callers would not come back. */
+/* A daemon that reaches neither a platform nor a peer has no rules. It must
+ * answer 503, since callers would not retry after "no such service". */
 static void test_without_any_configuration_nothing_runs(void)
 {
 	struct rig_process *alone;
@@ -247,22 +252,22 @@
 	g_free(url);
 }
 
-/* Each answer of the platform takes a second. Applies take longer, but end
- * well, and callers notice nothing. */
+/* Each answer of the platform takes a second. Applies take longer but succeed,
+ * and calls are not affected. */
 static void test_slow_platform_only_slows_applies(void)
 {
 	struct rig_answer *answer;
 
-	fault("{\"slow_ms\": 1000}");
-	apply_well(2, "slow");
+	set_platform_faults("{\"slow_ms\": 1000}");
+	apply_and_expect_success(2, "slow");
 	answer = cluster_call(&cluster, 1, "GET", "/", "s1", NULL, 5000);
 	g_assert_cmpstr(cluster_outcome(answer), ==, "run");
 	rig_answer_free(answer);
-	g_assert_true(rig_wait_until(all_hold, NULL, IN_FORCE_MS));
-	fault("{\"slow_ms\": 0}");
+	g_assert_true(rig_wait_until(all_have_applied, NULL, PROPAGATION_MAX_MS));
+	set_platform_faults("{\"slow_ms\": 0}");
 }
 
-static void test_wait_tells_how_many_hold(void)
+static void test_wait_reports_adopting_daemons(void)
 {
 	char *admin = g_strdup_printf("http://127.0.0.1:%u",
 				      cluster.daemons[0]->admin_port);
@@ -291,13 +296,13 @@
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
 	g_test_add_func("/config/everywhere", test_apply_is_in_force_everywhere);
-	g_test_add_func("/config/race", test_one_of_racing_operators_wins);
+	g_test_add_func("/config/race", test_one_concurrent_apply_succeeds);
 	g_test_add_func("/config/lost", test_lost_answers_are_resolved);
 	g_test_add_func("/config/outage", test_outage_stops_only_applies);
-	g_test_add_func("/config/nothing",
+	g_test_add_func("/config/no-configuration",
 			test_without_any_configuration_nothing_runs);
 	g_test_add_func("/config/slow", test_slow_platform_only_slows_applies);
-	g_test_add_func("/config/wait", test_wait_tells_how_many_hold);
+	g_test_add_func("/config/wait", test_wait_reports_adopting_daemons);
 	status = g_test_run();
 	cluster_stop(&cluster);
 	return status;
--- a/tests/system/test_planned.c
+++ b/tests/system/test_planned.c
@@ -8,9 +8,10 @@
 #define ALL 7u /* daemons 0, 1 and 2 */
 #define LEAVING 2 /* in the failure domain of daemon 0 */
 #define WAIT_UP_MS 15000
-/* "A few seconds": what the brief allows for the last new work. */
-#define LAST_WORK_MS 2000
-/* What an upstream takes to end that was told that it may. */
+/* New attempts may start on a draining upstream for so long; the requirement is
+ * a few seconds. */
+#define DRAIN_DELAY_MS 2000
+/* How long an upstream takes to exit once it was told that it may stop. */
 #define STOP_MS 300
 
 static const struct cluster_options options = {
@@ -20,39 +21,39 @@
 };
 static struct cluster cluster;
 
-/* RETURN VALUE: how many runs the leaving upstream has begun in all. */
+/* RETURN VALUE: how many runs the leaving upstream has started so far. */
 static unsigned int count_runs(void)
 {
-	return runs_count(cluster.runs_files[LEAVING], "");
+	return runs_count_prefix(cluster.runs_files[LEAVING], "");
 }
 
-static void command(const char *path)
+static void post_admin(const char *path)
 {
 	g_free(rig_http_ok("POST", cluster.daemons[LEAVING]->admin_port, path,
 			   ""));
 }
 
-/* Nobody was cut off, refused or left in doubt. */
-static void assert_nobody_noticed(const struct ledger *ledger)
+/* No call was interrupted, refused or of unknown outcome. */
+static void assert_all_served(const struct ledger *ledger)
 {
-	ledger_assert_clean(ledger);
+	ledger_assert_no_violations(ledger);
 	g_assert_cmpuint(ledger->served, ==, ledger->calls);
 }
 
-/* After two seconds nothing new begins there. */
+/* Asserts that after two seconds no new run starts on the leaving upstream. */
 static void assert_no_new_work(void)
 {
 	unsigned int before;
 
-	rig_sleep_ms(LAST_WORK_MS);
+	rig_sleep_ms(DRAIN_DELAY_MS);
 	before = count_runs();
 	rig_sleep_ms(500);
 	g_assert_cmpuint(count_runs(), ==, before);
 }
 
 /*
- * An operator takes an upstream out of use and puts it back, twice, while
- * callers book. Work in flight finishes; new work goes elsewhere.
+ * An operator drains an upstream and resumes it, twice, under load. Running
+ * calls finish, and new calls go elsewhere.
  */
 static void test_drain_and_resume(void)
 {
@@ -64,20 +65,21 @@
 		unsigned int before;
 
 		rig_sleep_ms(600);
-		command("/v1/upstream/drain");
+		post_admin("/v1/upstream/drain");
 		assert_no_new_work();
 		before = count_runs();
-		command("/v1/upstream/resume");
+		post_admin("/v1/upstream/resume");
 		rig_sleep_ms(600);
 		g_assert_cmpuint(count_runs(), >, before);
 	}
-	ledger_add(&ledger, &cluster, &load);
-	assert_nobody_noticed(&ledger);
+	ledger_collect(&ledger, &cluster, &load);
+	assert_all_served(&ledger);
 }
 
 /*
- * An upstream asks to stop and is told when it may. From then on nothing begins
- * there: what did would be cut off by its end. It is then replaced by a new one.
+ * An upstream asks to stop and is told when it may. From then on no run starts
+ * there, since it would be interrupted when the upstream exits. A new upstream
+ * then replaces it.
  */
 static void test_stop_of_an_upstream(void)
 {
@@ -89,7 +91,7 @@
 		unsigned int before;
 
 		rig_sleep_ms(800);
-		command("/v1/upstream/stop");
+		post_admin("/v1/upstream/stop");
 		before = count_runs();
 		rig_sleep_ms(STOP_MS);
 		g_assert_cmpuint(count_runs(), ==, before);
@@ -97,15 +99,15 @@
 		rig_sleep_ms(1000);
 		cluster_start_upstream(&cluster, LEAVING, &options);
 	}
-	ledger_add(&ledger, &cluster, &load);
+	ledger_collect(&ledger, &cluster, &load);
 	cluster_wait_up(&cluster, cluster.count, WAIT_UP_MS);
-	assert_nobody_noticed(&ledger);
+	assert_all_served(&ledger);
 }
 
 /*
- * A host is replaced: its daemon gets SIGTERM while callers use it as their
- * entry and the others send it work. Its callers have two seconds to go
- * elsewhere; no call of theirs is cut off, and it ends by itself.
+ * A host is replaced: its daemon gets SIGTERM while it is entry for callers and
+ * owner for the other daemons. Its callers have two seconds to move to another
+ * daemon. None of their calls is interrupted, and the daemon exits by itself.
  */
 static void test_sigterm_of_a_daemon(void)
 {
@@ -121,9 +123,9 @@
 		rig_sleep_ms(1000);
 		rig_signal(cluster.daemons[LEAVING], SIGTERM);
 		assert_no_new_work();
-		ledger_add(&ledger, &cluster, &own);
-		ledger_add(&ledger, &cluster, &others);
-		assert_nobody_noticed(&ledger);
+		ledger_collect(&ledger, &cluster, &own);
+		ledger_collect(&ledger, &cluster, &others);
+		assert_all_served(&ledger);
 		g_assert_cmpint(rig_wait_end(cluster.daemons[LEAVING], 10000),
 				==, 0);
 		rig_kill(cluster.upstreams[LEAVING]);
--- a/tests/system/test_ports.c
+++ b/tests/system/test_ports.c
@@ -1,4 +1,5 @@
-/* Strangers on the ports for operators and for peers; too many callers. */
+/* Unauthorized and malformed access to the admin port and the peer port, and
+ * too many connections to the caller port. */
 #include <arpa/inet.h>
 #include <glib.h>
 #include <string.h>
@@ -13,14 +14,14 @@
 #define PROTOCOL_VERSION 1
 
 static struct cluster cluster;
-static struct rig_process *guarded; /* its admin API needs the token */
+static struct rig_process *guarded; /* its admin API requires the token */
 
 struct settings {
 	const char *host;
 	const char *admin_address;
 	const char *token_file; /* NULL: none */
 	const char *key_file;
-	bool alone; /* reaches no platform and no peer */
+	bool is_isolated; /* the daemon reaches no platform and no peer */
 };
 
 static const char *write_settings(const struct settings *settings)
@@ -30,7 +31,7 @@
 			      g_strdup_printf(", \"token_file\": \"%s\"",
 					      settings->token_file) :
 			      g_strdup("");
-	char *join = settings->alone ?
+	char *join = settings->is_isolated ?
 			     g_strdup("") :
 			     g_strdup_printf("\"127.0.0.1:%u\"",
 					     cluster.daemons[0]->peer_port);
@@ -44,7 +45,8 @@
 		"\"peer\": {\"address\": \"127.0.0.1\", \"port\": 0,\n"
 		" \"key_file\": \"%s\", \"join\": [%s]}}\n",
 		settings->host, settings->admin_address, token,
-		settings->alone ? cluster_find_port() : cluster.platform->port,
+		settings->is_isolated ? cluster_reserve_port() :
+					cluster.platform->port,
 		settings->key_file, join);
 
 	g_free(join);
@@ -53,7 +55,7 @@
 	return path;
 }
 
-/* Alone, so that it is without a configuration for as long as it runs. */
+/* Starts the daemon isolated, so that it never gets a configuration. */
 static void start_guarded(void)
 {
 	const struct settings settings = {
@@ -61,7 +63,7 @@
 		.admin_address = "127.0.0.1",
 		.token_file = rig_write_file(cluster.rig, "token", TOKEN),
 		.key_file = cluster.key_file,
-		.alone = true,
+		.is_isolated = true,
 	};
 
 	guarded = rig_start_daemon(cluster.rig, "guarded",
@@ -69,8 +71,8 @@
 }
 
 /*
- * An operator opens the admin port to the network and forgets the token. The
- * daemon does not start, since anyone could put a configuration in force.
+ * An operator binds the admin port to all addresses without a token. The daemon
+ * refuses to start, since anyone could apply a configuration.
  */
 static void test_open_admin_does_not_start(void)
 {
@@ -144,20 +146,20 @@
 	g_free(body);
 }
 
-/* RETURN VALUE: the answer to one call over a connection that stays open. */
+/* Makes one call on a connection that stays open. RETURN VALUE: the answer. */
 static GString *call_over(int fd)
 {
 	GString *answer = g_string_new(NULL);
 
 	raw_send_text(fd, "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	g_assert_true(raw_read_marks(fd, answer, "not run: ", 1, CLOSE_MS));
+	g_assert_true(raw_read_until_found(fd, answer, "not run: ", 1, CLOSE_MS));
 	return answer;
 }
 
 /*
- * Callers open more connections than the daemon holds. The surplus ones are
- * told at once when to come back; left unread they would wait until their own
- * time is over. The others go on.
+ * Callers open more connections than the daemon allows. It refuses the surplus
+ * ones at once with a time to retry; if it left them unread, they would wait
+ * until the callers' own timeouts. The other connections keep working.
  */
 static void test_too_many_callers(void)
 {
@@ -171,9 +173,10 @@
 	g_assert_nonnull(
 		strstr(answer->str, "Comfreydock-Reason: connections"));
 	g_assert_nonnull(strstr(answer->str, "Retry-After: 1"));
-	g_assert_true(raw_read_to_close(fds[4], answer, CLOSE_MS));
+	g_assert_true(raw_read_until_close(fds[4], answer, CLOSE_MS));
 	g_string_free(answer, TRUE);
-	/* This daemon has no configuration, which is another refusal. */
+	/* This daemon has no configuration, so it refuses with another
+	 * reason. */
 	answer = call_over(fds[3]);
 	g_assert_nonnull(strstr(answer->str, "no-configuration"));
 	g_string_free(answer, TRUE);
@@ -230,13 +233,14 @@
 	send_frame(fd, &frame);
 }
 
-/* Closed, counted, and nothing run; the port serves its peers as before. */
+/* Asserts that the connection was closed and counted, that no attempt arrived
+ * and that the daemon still works with its peers. */
 static void expect_refused(int fd, const char *counter, int64_t before)
 {
 	GString *answer = g_string_new(NULL);
 	struct rig_answer *call;
 
-	g_assert_true(raw_read_to_close(fd, answer, CLOSE_MS));
+	g_assert_true(raw_read_until_close(fd, answer, CLOSE_MS));
 	close(fd);
 	g_string_free(answer, TRUE);
 	g_assert_cmpint(cluster_counter(&cluster, 0, counter), ==, before + 1);
@@ -269,8 +273,8 @@
 	}
 }
 
-/* During a roll-out both releases run. One of another protocol is refused at
- * the greeting, before any request of a caller is trusted to it. */
+/* During a rollout two releases run. A daemon with another protocol version is
+ * refused in the handshake, before it gets any caller's request. */
 static void test_peer_version(void)
 {
 	int64_t before = cluster_counter(&cluster, 0, "peer_handshakes_failed");
@@ -306,13 +310,14 @@
 	GString *answer = g_string_new(NULL);
 	int fd = raw_connect(cluster.daemons[0]->peer_port);
 
-	g_assert_true(raw_read_to_close(fd, answer, CLOSE_MS));
+	g_assert_true(raw_read_until_close(fd, answer, CLOSE_MS));
 	g_assert_cmpuint(answer->len, ==, 0);
 	close(fd);
 	g_string_free(answer, TRUE);
 }
 
-/* A daemon that was given another key can't get work by gossip either. */
+/* A daemon with another key is not accepted as a member through gossip
+ * either. */
 static void test_daemon_with_another_key(void)
 {
 	const struct settings settings = {
@@ -341,7 +346,8 @@
 
 	g_test_init(&argc, &argv, NULL);
 	cluster_start(&cluster, &options);
-	/* All calls of this test go to d1, so that d0 can be seen to run none. */
+	/* d0 drains, so all calls run on d1 and any attempt at d0 is an
+	 * error. */
 	g_free(rig_http_ok("POST", cluster.daemons[0]->admin_port,
 			   "/v1/upstream/drain", ""));
 	cluster_wait_up(&cluster, 1, 5000);
