--- a/bench/decide/entry.c
+++ b/bench/decide/entry.c
@@ -51,8 +51,8 @@
 {
 	struct pick_candidate *c = &entry->candidates[attempt->upstream];
 	int64_t now_us = r->events.now_us;
-	int64_t latency_us =
-		pace_usual_us(attempt->pace_percent, now_us - attempt->sent_us);
+	int64_t latency_us = pace_nominal_us(attempt->pace_percent,
+					     now_us - attempt->sent_us);
 	bool busy = attempt->outcome == RETRY_OUTCOME_BUSY;
 
 	r->result->refusals += busy;
@@ -123,8 +123,8 @@
 
 		c->usable = health_is_usable(&entry->upstreams[i]);
 		if (replay_has(r, REPLAY_WARM))
-			c->warm = (double)warm_weight_permille(
-					  &r->owners[i].warm, now_us) /
-				  WARM_FULL_PERMILLE;
+			c->warm_weight = (double)warm_weight_permille(
+						 &r->owners[i].warm, now_us) /
+					 WARM_FULL_PERMILLE;
 	}
 }
--- a/bench/decide/gate.c
+++ b/bench/decide/gate.c
@@ -56,7 +56,7 @@
 
 void replay_gate_note(struct replay *r, struct replay_owner *owner)
 {
-	uint32_t percent = (uint32_t)(owner->factor * PACE_USUAL_PERCENT);
+	uint32_t percent = (uint32_t)(owner->factor * PACE_NOMINAL_PERCENT);
 
 	if (!has_gate(r))
 		return;
@@ -140,8 +140,8 @@
 {
 	struct pace_item item = {
 		.may_turn_back = !attempt->item.may_queue,
-		.is_busy = 2 * owner->running >= r->trace->slots,
-		.other_percent = attempt->other_pace_percent,
+		.slots_scarce = 2 * owner->running >= r->trace->slots,
+		.best_other_percent = attempt->other_pace_percent,
 		.work_us = queue_known_service_us(owner->queue,
 						  attempt->item.class),
 		.target_us = attempt->item.target_us,
--- a/bench/decide/owner.c
+++ b/bench/decide/owner.c
@@ -125,7 +125,7 @@
 {
 	struct replay_owner *owner = owner_of(r, attempt);
 	int64_t whole_us = r->events.now_us - attempt->started_us;
-	int64_t took_us = pace_usual_us(attempt->pace_percent, whole_us);
+	int64_t took_us = pace_nominal_us(attempt->pace_percent, whole_us);
 
 	attempt->running = false;
 	limit_note_done(&owner->limit, whole_us, outcome, owner->running,
--- a/comfreydockd/caller/feedback.c
+++ b/comfreydockd/caller/feedback.c
@@ -40,8 +40,8 @@
 	struct pick_set *picks = &attempt->upstream->service->picks;
 	struct pick_candidate *candidate = &attempt->upstream->candidate;
 	int64_t until_us = attempt->head_us ? attempt->head_us : now;
-	int64_t latency_us = pace_usual_us(attempt->pace_percent,
-					   until_us - attempt->sent_us);
+	int64_t latency_us = pace_nominal_us(attempt->pace_percent,
+					     until_us - attempt->sent_us);
 
 	if (end == ATTEMPT_ANSWERED)
 		pick_note_done(picks, candidate, latency_us, load, now);
--- a/comfreydockd/caller/services.c
+++ b/comfreydockd/caller/services.c
@@ -127,12 +127,12 @@
 	upstream->candidate.local = strcmp(member->domain, settings->domain) == 0;
 	upstream->candidate.slots = member->slots;
 	warm_begin(&ramp, member->warm_ms, member->up_since_us);
-	upstream->candidate.warm =
+	upstream->candidate.warm_weight =
 		(double)warm_weight_permille(&ramp, clock_mono_us()) /
 		WARM_FULL_PERMILLE;
 	if (service->services->daemon->headers->load)
-		upstream->candidate.warm =
-			MAX(upstream->candidate.warm, WARM_WEIGHT_MIN);
+		upstream->candidate.warm_weight =
+			MAX(upstream->candidate.warm_weight, WARM_WEIGHT_MIN);
 	health_set_available(&service->health, &upstream->health,
 			     member_is_usable(member));
 }
@@ -366,7 +366,7 @@
 	const struct service_upstream *upstream;
 
 	TAILQ_FOREACH (upstream, &service->upstreams, link) {
-		if (upstream->candidate.warm < 1.0)
+		if (upstream->candidate.warm_weight < 1.0)
 			return true;
 	}
 	return false;
--- a/comfreydockd/decide/limit.c
+++ b/comfreydockd/decide/limit.c
@@ -10,16 +10,19 @@
 #define LIMIT_WINDOW_US (100 * US_PER_MS)
 #define LIMIT_WINDOW_MAX_US (60 * US_PER_S)
 #define LIMIT_PERCENTILE 10
-#define LIMIT_P10_GAIN ((int64_t)8) /* the mean moves by 1/8 per window */
+#define LIMIT_P10_MEAN_WINDOWS \
+	((int64_t)8) /* the mean moves by 1/8 per window */
 #define LIMIT_SLOW_WINDOWS 4 /* in a row, before a trial */
-#define LIMIT_TOLERANCE 2 /* times the floor; above it a window is slow */
+#define LIMIT_SLOW_FACTOR 2 /* times the floor; above it a window is slow */
 #define LIMIT_CUT 4 /* an overload cuts the limit by 1/4 */
 #define LIMIT_TRIAL_STEP 2 /* a trial changes the limit by 1/2 */
-#define LIMIT_FOLLOWED 0.8 /* share of the change that the p10 must follow */
-#define LIMIT_FLOOR_PERIOD_US (30 * US_PER_S)
-#define LIMIT_HOLD_MIN_US (2 * US_PER_S)
-#define LIMIT_HOLD_MAX_US (60 * US_PER_S)
-#define LIMIT_HOLD_TRIALS 16 /* the hold time in durations of the trial */
+#define LIMIT_FOLLOWED_SHARE \
+	0.8 /* share of the change that the p10 must follow */
+#define LIMIT_BASELINE_PERIOD_US (30 * US_PER_S)
+#define LIMIT_TRIAL_PAUSE_MIN_US (2 * US_PER_S)
+#define LIMIT_TRIAL_PAUSE_MAX_US (60 * US_PER_S)
+#define LIMIT_TRIAL_PAUSE_FACTOR \
+	16 /* the hold time in durations of the trial */
 
 static void limit_window_begin(struct limit *limit, int64_t now_us)
 {
@@ -59,26 +62,27 @@
  */
 static int64_t limit_note_p10(struct limit *limit, int64_t p10_us)
 {
-	limit->windows = MIN(limit->windows + 1, LIMIT_P10_GAIN);
-	limit->p10_us += (p10_us - limit->p10_us) / limit->windows;
-	return limit->p10_us;
+	limit->mean_windows =
+		MIN(limit->mean_windows + 1, LIMIT_P10_MEAN_WINDOWS);
+	limit->mean_p10_us += (p10_us - limit->mean_p10_us) / limit->mean_windows;
+	return limit->mean_p10_us;
 }
 
 /* Returns the lowest p10 of the current and the previous 30 s period. */
-static int64_t limit_note_floor(struct limit *limit, int64_t p10_us,
-				int64_t now_us)
+static int64_t limit_note_baseline(struct limit *limit, int64_t mean_us,
+				   int64_t now_us)
 {
-	int64_t age_us = now_us - limit->floor_period_start_us;
-
-	if (age_us >= LIMIT_FLOOR_PERIOD_US) {
-		limit->floor_us[1] = age_us < 2 * LIMIT_FLOOR_PERIOD_US ?
-					     limit->floor_us[0] :
-					     INT64_MAX;
-		limit->floor_us[0] = INT64_MAX;
-		limit->floor_period_start_us = now_us;
+	int64_t age_us = now_us - limit->baseline_period_start_us;
+
+	if (age_us >= LIMIT_BASELINE_PERIOD_US) {
+		limit->baseline_us[1] = age_us < 2 * LIMIT_BASELINE_PERIOD_US ?
+						limit->baseline_us[0] :
+						INT64_MAX;
+		limit->baseline_us[0] = INT64_MAX;
+		limit->baseline_period_start_us = now_us;
 	}
-	limit->floor_us[0] = MIN(limit->floor_us[0], p10_us);
-	return MIN(limit->floor_us[0], limit->floor_us[1]);
+	limit->baseline_us[0] = MIN(limit->baseline_us[0], mean_us);
+	return MIN(limit->baseline_us[0], limit->baseline_us[1]);
 }
 
 static void limit_trial_begin(struct limit *limit, int64_t p10_us)
@@ -110,12 +114,14 @@
 static void limit_delay_next_trial(struct limit *limit, int64_t trial_us,
 				   int64_t now_us)
 {
-	limit->hold_until_us =
-		now_us + MAX(limit->hold_us, trial_us * LIMIT_HOLD_TRIALS);
-	limit->hold_us = MIN(limit->hold_us * 2, LIMIT_HOLD_MAX_US);
+	limit->trial_pause_until_us =
+		now_us +
+		MAX(limit->trial_pause_us, trial_us * LIMIT_TRIAL_PAUSE_FACTOR);
+	limit->trial_pause_us =
+		MIN(limit->trial_pause_us * 2, LIMIT_TRIAL_PAUSE_MAX_US);
 }
 
-/* Returns true if the p10 changed by at least LIMIT_FOLLOWED of the relative
+/* Returns true if the p10 changed by at least LIMIT_FOLLOWED_SHARE of the relative
  * change of the limit. */
 static bool limit_trial_was_followed(const struct limit *limit, int64_t p10_us)
 {
@@ -126,7 +132,8 @@
 	int64_t smaller_p10_us = down ? p10_us : limit->trial_p10_us;
 
 	return smaller_p10_us <=
-	       larger_p10_us * (1 - LIMIT_FOLLOWED * (1 - smaller / larger));
+	       larger_p10_us *
+		       (1 - LIMIT_FOLLOWED_SHARE * (1 - smaller / larger));
 }
 
 static void limit_trial_end(struct limit *limit, int64_t p10_us,
@@ -150,7 +157,7 @@
 	}
 	limit->next_trial = trial;
 	if ((trial == LIMIT_TRIAL_DOWN) == followed) {
-		limit->hold_us = LIMIT_HOLD_MIN_US;
+		limit->trial_pause_us = LIMIT_TRIAL_PAUSE_MIN_US;
 		return;
 	}
 	limit->next_trial = limit_trial_opposite(trial);
@@ -162,7 +169,7 @@
 	int64_t p10_us = limit_window_p10_us(&limit->window);
 	bool saturated = limit->window.saturated;
 	int64_t mean_us;
-	int64_t floor_us;
+	int64_t baseline_us;
 
 	if (limit->trial != LIMIT_TRIAL_NONE) {
 		limit_trial_end(limit, p10_us, &limit->window, now_us);
@@ -172,14 +179,14 @@
 	limit_window_begin(limit, now_us);
 	mean_us = limit_note_p10(limit, p10_us);
 	/* A mean of only a few windows deviates as far as the windows do. */
-	if (limit->windows < LIMIT_P10_GAIN)
+	if (limit->mean_windows < LIMIT_P10_MEAN_WINDOWS)
 		return;
-	floor_us = limit_note_floor(limit, mean_us, now_us);
-	if (p10_us <= LIMIT_TOLERANCE * floor_us) {
+	baseline_us = limit_note_baseline(limit, mean_us, now_us);
+	if (p10_us <= LIMIT_SLOW_FACTOR * baseline_us) {
 		limit->slow_windows = 0;
 		limit->slow_p10_us = 0;
 		limit->current = MIN(limit->current + 1, limit->slots);
-		limit->hold_us = LIMIT_HOLD_MIN_US;
+		limit->trial_pause_us = LIMIT_TRIAL_PAUSE_MIN_US;
 		limit->next_trial = LIMIT_TRIAL_DOWN;
 		return;
 	}
@@ -187,7 +194,7 @@
 	limit->slow_p10_us += (p10_us - limit->slow_p10_us) /
 			      MIN(limit->slow_windows, LIMIT_SLOW_WINDOWS);
 	if (limit->slow_windows >= LIMIT_SLOW_WINDOWS && saturated &&
-	    now_us >= limit->hold_until_us)
+	    now_us >= limit->trial_pause_until_us)
 		limit_trial_begin(limit, limit->slow_p10_us);
 }
 
@@ -261,12 +268,12 @@
 	limit->policy = policy;
 	limit->slots = MAX(slots, 1);
 	limit->current = limit->slots;
-	limit->floor_us[0] = INT64_MAX;
-	limit->floor_us[1] = INT64_MAX;
-	limit->floor_period_start_us = now_us;
+	limit->baseline_us[0] = INT64_MAX;
+	limit->baseline_us[1] = INT64_MAX;
+	limit->baseline_period_start_us = now_us;
 	limit->next_trial = LIMIT_TRIAL_DOWN;
-	limit->hold_us = LIMIT_HOLD_MIN_US;
-	limit->hold_until_us = now_us;
+	limit->trial_pause_us = LIMIT_TRIAL_PAUSE_MIN_US;
+	limit->trial_pause_until_us = now_us;
 	limit_window_begin(limit, now_us);
 }
 
--- a/comfreydockd/decide/pace.c
+++ b/comfreydockd/decide/pace.c
@@ -9,17 +9,17 @@
 
 static void note_lowest(struct pace *pace, uint32_t percent, int64_t now_us)
 {
-	if (now_us - pace->window_us > PACE_WINDOW_US) {
+	if (now_us - pace->window_start_us > PACE_WINDOW_US) {
 		pace->lowest_before = pace->lowest;
 		pace->lowest = 0;
-		pace->window_us = now_us;
+		pace->window_start_us = now_us;
 	}
 	if (!pace->lowest || percent < pace->lowest)
 		pace->lowest = percent;
 }
 
 /* Returns the lowest recent percentage of this host. */
-static uint32_t pace_usual(const struct pace *pace)
+static uint32_t pace_lowest_recent(const struct pace *pace)
 {
 	if (!pace->lowest_before)
 		return pace->lowest;
@@ -46,14 +46,15 @@
 
 bool pace_is_slow(const struct pace *pace)
 {
-	return pace->percent && pace_is_worse(pace->percent, pace_usual(pace));
+	return pace->percent &&
+	       pace_is_worse(pace->percent, pace_lowest_recent(pace));
 }
 
-int64_t pace_usual_us(uint32_t percent, int64_t took_us)
+int64_t pace_nominal_us(uint32_t percent, int64_t took_us)
 {
-	if (percent <= PACE_USUAL_PERCENT)
+	if (percent <= PACE_NOMINAL_PERCENT)
 		return took_us;
-	return took_us * PACE_USUAL_PERCENT / percent;
+	return took_us * PACE_NOMINAL_PERCENT / percent;
 }
 
 /* Returns true before the first full window: until then all reports may come
@@ -66,15 +67,15 @@
 /* Returns how long the work takes at the given pace. */
 static int64_t at_percent_us(int64_t work_us, uint32_t percent)
 {
-	return work_us * percent / PACE_USUAL_PERCENT;
+	return work_us * percent / PACE_NOMINAL_PERCENT;
 }
 
 static int64_t expected_work_us(const struct pace_item *item, int64_t now_us)
 {
 	if (item->work_us > 0)
 		return item->work_us;
-	return CLAMP(item->deadline_us - now_us, 0, PACE_DEADLINE_MAX_US) /
-	       PACE_DEADLINE_WORK_FACTOR;
+	return CLAMP(item->deadline_us - now_us, 0, PACE_REMAINING_MAX_US) /
+	       PACE_REMAINING_PER_WORK;
 }
 
 /*
@@ -90,19 +91,20 @@
 					     int64_t now_us)
 {
 	int64_t work_us = expected_work_us(item, now_us);
-	int64_t usual_us = at_percent_us(work_us, pace_usual(pace));
+	int64_t after_spell_us = at_percent_us(work_us, pace_lowest_recent(pace));
 	int64_t slow_us = at_percent_us(work_us, pace->percent);
 
 	if (now_us + slow_us <= item->target_us)
 		return PACE_START;
-	if (now_us + usual_us <= item->target_us)
+	if (now_us + after_spell_us <= item->target_us)
 		return PACE_HOLD;
-	if (item->is_busy && now_us + (int64_t)(PACE_HOLD_MARGIN * usual_us) <=
-				     item->deadline_us)
+	if (item->slots_scarce &&
+	    now_us + (int64_t)(PACE_HOLD_MARGIN * after_spell_us) <=
+		    item->deadline_us)
 		return PACE_HOLD;
 	if (now_us + slow_us <= item->deadline_us)
 		return PACE_START;
-	if (now_us + usual_us <= item->deadline_us)
+	if (now_us + after_spell_us <= item->deadline_us)
 		return PACE_HOLD;
 	return PACE_TOO_LATE;
 }
@@ -125,8 +127,8 @@
 enum pace_verdict pace_judge(const struct pace *pace,
 			     const struct pace_item *item, int64_t now_us)
 {
-	if (item->may_turn_back && item->other_percent &&
-	    pace_is_worse(pace->percent, item->other_percent))
+	if (item->may_turn_back && item->best_other_percent &&
+	    pace_is_worse(pace->percent, item->best_other_percent))
 		return PACE_TURN_BACK;
 	if (pace_is_slow(pace))
 		return judge_in_slow_spell(pace, item, now_us);
--- a/comfreydockd/decide/pick.c
+++ b/comfreydockd/decide/pick.c
@@ -32,13 +32,13 @@
 /* Weight of one report in the mean over all upstreams. */
 #define PICK_MEAN_ALPHA 0.05
 #define PICK_MEAN_IDLE_REPORTS 10.0
-#define PICK_OWN_MEAN_ALPHA 0.2
-#define PICK_OWN_MEAN_AGE_US 1e6
+#define PICK_CANDIDATE_MEAN_ALPHA 0.2
+#define PICK_CANDIDATE_MEAN_AGE_US 1e6
 #define PICK_WARM_MIN 0.05
 #define PICK_DEFAULT_LIMIT 8.0
 /* An owner reports the end of a slow spell. If that report is lost, the host is
  * tried again after twice the usual duration of a spell. */
-#define PICK_SLOW_MEMORY_US (1000 * 1000)
+#define PICK_PACE_MEMORY_US (1000 * 1000)
 /* With fewer reports than this, all known hosts may be in a slow spell by
  * chance. */
 #define PICK_PACE_HOSTS 3
@@ -50,24 +50,25 @@
 	set->policy = policy;
 	set->candidates = g_ptr_array_new();
 	set->eligible = g_ptr_array_new();
-	set->services = g_array_new(FALSE, FALSE, sizeof(guint));
+	set->service_times = g_array_new(FALSE, FALSE, sizeof(guint));
 	set->random.state = seed;
-	set->usual_pace = PACE_USUAL_PERCENT;
-	budget_init(&set->refusals, PICK_REFUSAL_SHARE, PICK_REFUSAL_BURST);
+	set->assumed_pace = PACE_NOMINAL_PERCENT;
+	budget_init(&set->busy_refusal_budget, PICK_REFUSAL_SHARE,
+		    PICK_REFUSAL_BURST);
 }
 
 void pick_set_finish(struct pick_set *set)
 {
 	g_ptr_array_free(set->candidates, TRUE);
 	g_ptr_array_free(set->eligible, TRUE);
-	g_array_free(set->services, TRUE);
+	g_array_free(set->service_times, TRUE);
 }
 
 void pick_candidate_init(struct pick_candidate *candidate, uint64_t id)
 {
 	memset(candidate, 0, sizeof(*candidate));
 	candidate->id = id;
-	candidate->warm = 1.0;
+	candidate->warm_weight = 1.0;
 }
 
 void pick_set_add(struct pick_set *set, struct pick_candidate *candidate)
@@ -110,7 +111,7 @@
 
 void pick_note_request(struct pick_set *set)
 {
-	budget_note_call(&set->refusals);
+	budget_note_call(&set->busy_refusal_budget);
 }
 
 static bool is_eligible(const struct pick_candidate *candidate,
@@ -157,7 +158,7 @@
 
 static double capacity_of(const struct pick_candidate *candidate)
 {
-	return limit_of(candidate) * MAX(candidate->warm, PICK_WARM_MIN);
+	return limit_of(candidate) * MAX(candidate->warm_weight, PICK_WARM_MIN);
 }
 
 /* Returns the weight of the last report: 1 on arrival, falling toward 0 with
@@ -181,11 +182,12 @@
 				int64_t now_us)
 {
 	double age = (double)(now_us - candidate->load_at_us);
-	double kept =
-		candidate->load_known ? exp(-age / PICK_OWN_MEAN_AGE_US) : 0;
+	double kept = candidate->load_known ?
+			      exp(-age / PICK_CANDIDATE_MEAN_AGE_US) :
+			      0;
 
-	return kept * candidate->mean_utilisation +
-	       (1 - kept) * set->mean_utilisation;
+	return kept * candidate->mean_others_utilisation +
+	       (1 - kept) * set->mean_others_utilisation;
 }
 
 /* Estimates the work at the upstream without the attempt to be placed. */
@@ -221,7 +223,7 @@
 static bool is_pace_known(const struct pick_candidate *candidate, int64_t now_us)
 {
 	return candidate->load.pace_percent &&
-	       now_us - candidate->load_at_us <= PICK_SLOW_MEMORY_US;
+	       now_us - candidate->load_at_us <= PICK_PACE_MEMORY_US;
 }
 
 uint32_t pick_pace(const struct pick_set *set,
@@ -229,7 +231,7 @@
 {
 	if (is_pace_known(candidate, now_us))
 		return candidate->load.pace_percent;
-	return set->usual_pace;
+	return set->assumed_pace;
 }
 
 uint32_t pick_other_pace(const struct pick_set *set,
@@ -257,7 +259,7 @@
 {
 	uint32_t pace = pick_pace(set, candidate, now_us);
 
-	if (last_attempt || !budget_has(&set->refusals, 1.0))
+	if (last_attempt || !budget_has(&set->busy_refusal_budget, 1.0))
 		return true;
 	for (guint i = 0; i < set->candidates->len; i++) {
 		const struct pick_candidate *other = set->candidates->pdata[i];
@@ -314,8 +316,9 @@
 	return slowness < PICK_REPORTED_SLOW ? 0 : 1 + kept * (slowness - 1);
 }
 
-static double own_slowness(const struct pick_set *set,
-			   const struct pick_candidate *candidate, int64_t now_us)
+static double measured_slowness(const struct pick_set *set,
+				const struct pick_candidate *candidate,
+				int64_t now_us)
 {
 	if (candidate->latency_samples == 0 || set->typical_latency_us <= 0)
 		return 1.0;
@@ -326,7 +329,7 @@
 			     const struct pick_candidate *candidate,
 			     int64_t now_us)
 {
-	return CLAMP(MAX(own_slowness(set, candidate, now_us),
+	return CLAMP(MAX(measured_slowness(set, candidate, now_us),
 			 reported_slowness(set, candidate, now_us)),
 		     PICK_SLOWNESS_MIN, PICK_SLOWNESS_MAX);
 }
@@ -338,8 +341,9 @@
 	       pick_relative_latency(set, candidate, now_us);
 }
 
-double pick_own_score(const struct pick_set *set,
-		      const struct pick_candidate *candidate, int64_t now_us)
+double pick_outstanding_score(const struct pick_set *set,
+			      const struct pick_candidate *candidate,
+			      int64_t now_us)
 {
 	return (candidate->outstanding + 1.0) / capacity_of(candidate) *
 	       pick_relative_latency(set, candidate, now_us);
@@ -351,13 +355,14 @@
 {
 	double first = 1.0 / (PICK_MEAN_IDLE_REPORTS + set->reports);
 
-	set->mean_utilisation += MAX(PICK_MEAN_ALPHA, first) *
-				 (utilisation - set->mean_utilisation);
+	set->mean_others_utilisation +=
+		MAX(PICK_MEAN_ALPHA, first) *
+		(utilisation - set->mean_others_utilisation);
 	if (set->reports < UINT32_MAX)
 		set->reports++;
 }
 
-static gint compare_services(gconstpointer a, gconstpointer b)
+static gint compare_service_times(gconstpointer a, gconstpointer b)
 {
 	guint x = *(const guint *)a;
 	guint y = *(const guint *)b;
@@ -365,7 +370,7 @@
 	return (x > y) - (x < y);
 }
 
-/* Takes the median of set->services, which holds one value per upstream. A
+/* Takes the median of set->service_times, which holds one value per upstream. A
  * median over reports would be dominated by an upstream that answers only
  * errors, since that one reports most often and always the same value. With an
  * even number of values the lower of the two middle ones is taken: where one of
@@ -374,14 +379,14 @@
  * upstream is free. */
 static void note_typical_service(struct pick_set *set)
 {
-	GArray *services = set->services;
+	GArray *service_times = set->service_times;
 	guint middle;
 
-	if (services->len == 0)
+	if (service_times->len == 0)
 		return;
-	g_array_sort(services, compare_services);
-	middle = (services->len - 1) / 2;
-	set->typical_service_us = g_array_index(services, guint, middle);
+	g_array_sort(service_times, compare_service_times);
+	middle = (service_times->len - 1) / 2;
+	set->typical_service_us = g_array_index(service_times, guint, middle);
 }
 
 /*
@@ -397,18 +402,20 @@
 	uint32_t best = UINT32_MAX;
 	unsigned int known = 0;
 
-	g_array_set_size(set->services, 0);
+	g_array_set_size(set->service_times, 0);
 	for (guint i = 0; i < set->candidates->len; i++) {
 		const struct pick_candidate *c = set->candidates->pdata[i];
 
 		if (c->load_known && c->load.service_us > 0)
-			g_array_append_val(set->services, c->load.service_us);
+			g_array_append_val(set->service_times,
+					   c->load.service_us);
 		if (!is_pace_known(c, now_us))
 			continue;
 		known++;
 		best = MIN(best, c->load.pace_percent);
 	}
-	set->usual_pace = known >= PICK_PACE_HOSTS ? best : PACE_USUAL_PERCENT;
+	set->assumed_pace =
+		known >= PICK_PACE_HOSTS ? best : PACE_NOMINAL_PERCENT;
 	note_typical_service(set);
 }
 
@@ -422,19 +429,20 @@
 	candidate->others_work = MAX(0.0, work - candidate->outstanding);
 	utilisation = candidate->others_work / capacity_of(candidate);
 	if (!candidate->load_known)
-		candidate->mean_utilisation = utilisation;
+		candidate->mean_others_utilisation = utilisation;
 	candidate->load_known = true;
 	candidate->load_at_us = now_us;
-	candidate->mean_utilisation +=
-		PICK_OWN_MEAN_ALPHA * (utilisation - candidate->mean_utilisation);
+	candidate->mean_others_utilisation +=
+		PICK_CANDIDATE_MEAN_ALPHA *
+		(utilisation - candidate->mean_others_utilisation);
 	note_mean(set, utilisation);
 	note_last_reports(set, now_us);
 }
 
 /* Notes a latency of this candidate only. */
-static void note_own_latency(const struct pick_set *set,
-			     struct pick_candidate *candidate,
-			     double latency_us, int64_t now_us)
+static void note_candidate_latency(const struct pick_set *set,
+				   struct pick_candidate *candidate,
+				   double latency_us, int64_t now_us)
 {
 	if (candidate->latency_samples > 0)
 		candidate->latency_us = aged_latency(set, candidate, now_us);
@@ -463,7 +471,7 @@
 		    int64_t now_us)
 {
 	end_attempt(set, candidate, load, now_us);
-	note_own_latency(set, candidate, (double)latency_us, now_us);
+	note_candidate_latency(set, candidate, (double)latency_us, now_us);
 	move_median(&set->typical_latency_us, &set->typical_samples,
 		    MAX((double)latency_us, 1.0));
 }
@@ -475,8 +483,8 @@
 	double cost_us = PICK_ERROR_SLOWNESS * set->typical_latency_us;
 
 	end_attempt(set, candidate, load, now_us);
-	note_own_latency(set, candidate, MAX((double)latency_us, cost_us),
-			 now_us);
+	note_candidate_latency(set, candidate, MAX((double)latency_us, cost_us),
+			       now_us);
 }
 
 void pick_note_refused(struct pick_set *set, struct pick_candidate *candidate,
@@ -484,5 +492,5 @@
 {
 	end_attempt(set, candidate, load, now_us);
 	if (busy)
-		budget_charge(&set->refusals, 1.0);
+		budget_charge(&set->busy_refusal_budget, 1.0);
 }
--- a/comfreydockd/decide/pick_policy.c
+++ b/comfreydockd/decide/pick_policy.c
@@ -191,7 +191,7 @@
 static double pace_factor(const struct pick_set *set,
 			  const struct pick_candidate *candidate, int64_t now_us)
 {
-	return (double)pick_pace(set, candidate, now_us) / PACE_USUAL_PERCENT;
+	return (double)pick_pace(set, candidate, now_us) / PACE_NOMINAL_PERCENT;
 }
 
 /* Estimates how long a request stays at the upstream, in typical latencies: a
@@ -206,11 +206,11 @@
 	       pace_factor(set, candidate, now_us);
 }
 
-static double cost_own_by_pace(const struct pick_set *set,
-			       const struct pick_candidate *candidate,
-			       int64_t now_us)
+static double cost_outstanding_by_pace(const struct pick_set *set,
+				       const struct pick_candidate *candidate,
+				       int64_t now_us)
 {
-	return pick_own_score(set, candidate, now_us) *
+	return pick_outstanding_score(set, candidate, now_us) *
 	       pace_factor(set, candidate, now_us);
 }
 
@@ -262,7 +262,8 @@
 
 	if (pick_utilisation(set, best, now_us) <= PICK_FULL_UTILISATION)
 		return best;
-	return choose_cheapest(set, candidates, count, now_us, cost_own_by_pace);
+	return choose_cheapest(set, candidates, count, now_us,
+			       cost_outstanding_by_pace);
 }
 
 const struct pick_policy pick_random = {"random", choose_random};
--- a/comfreydockd/decide/quarantine.c
+++ b/comfreydockd/decide/quarantine.c
@@ -7,7 +7,7 @@
 
 /* Callers are told to come back after this time while a trial runs. */
 #define TRIAL_RETRY_US ((int64_t)1000 * 1000)
-#define EXPIRE_INTERVAL_US ((int64_t)1000 * 1000)
+#define FORGET_INTERVAL_US ((int64_t)1000 * 1000)
 
 /* The last time a request was answered. Another request with the same slot
  * replaces it. */
@@ -17,22 +17,22 @@
 };
 
 struct quarantine {
-	int64_t trial_us;
+	int64_t trial_delay_us;
 	quarantine_handler handler;
 	void *data;
 	GHashTable *by_key; /* key of a record -> record */
 	struct quarantine_list news; /* records to send, next one first */
 	struct quarantine_list settled; /* records sent often enough */
-	int64_t expired_us;
-	struct answered_slot good[QUARANTINE_ANSWERED_SLOTS];
+	int64_t last_forget_us;
+	struct answered_slot answered[QUARANTINE_ANSWERED_SLOTS];
 };
 
-struct quarantine *quarantine_create(int64_t trial_us,
+struct quarantine *quarantine_create(int64_t trial_delay_us,
 				     quarantine_handler handler, void *data)
 {
 	struct quarantine *quarantine = g_new0(struct quarantine, 1);
 
-	quarantine->trial_us = trial_us;
+	quarantine->trial_delay_us = trial_delay_us;
 	quarantine->handler = handler;
 	quarantine->data = data;
 	quarantine->by_key =
@@ -50,19 +50,19 @@
 	g_free(quarantine);
 }
 
-static int64_t record_trial_us(const struct quarantine *quarantine,
-			       const struct quarantine_record *record)
+static int64_t record_trial_due_us(const struct quarantine *quarantine,
+				   const struct quarantine_record *record)
 {
 	uint32_t doublings = MIN(record->failed_trials, QUARANTINE_TRIALS_MAX);
 
-	return record->changed_us + (quarantine->trial_us << doublings);
+	return record->changed_us + (quarantine->trial_delay_us << doublings);
 }
 
 static int64_t record_forget_us(const struct quarantine *quarantine,
 				const struct quarantine_record *record)
 {
 	int64_t from_us = quarantine_record_is_held(record) ?
-				  record_trial_us(quarantine, record) :
+				  record_trial_due_us(quarantine, record) :
 				  record->changed_us;
 
 	return MAX(from_us, record->asked_us) + QUARANTINE_FORGET_US;
@@ -112,7 +112,7 @@
 	if (record->is_cleared)
 		report(quarantine, record, QUARANTINE_CLEARED);
 	else if (quarantine_record_is_held(record))
-		report(quarantine, record, QUARANTINE_HOLDS);
+		report(quarantine, record, QUARANTINE_HOLD_BEGAN);
 	else
 		report(quarantine, record, QUARANTINE_MARKED);
 }
@@ -126,8 +126,8 @@
 	return record->is_cleared ? 1 : 0;
 }
 
-static struct quarantine_record *oldest(struct quarantine_list *list,
-					struct quarantine_record *best)
+static struct quarantine_record *
+eviction_candidate(struct quarantine_list *list, struct quarantine_record *best)
 {
 	struct quarantine_record *record;
 
@@ -149,8 +149,8 @@
 
 	if (g_hash_table_size(quarantine->by_key) < QUARANTINE_RECORDS_MAX)
 		return true;
-	record = oldest(&quarantine->news, NULL);
-	record = oldest(&quarantine->settled, record);
+	record = eviction_candidate(&quarantine->news, NULL);
+	record = eviction_candidate(&quarantine->settled, record);
 	if (!record)
 		return false;
 	report(quarantine, record, QUARANTINE_FORGOTTEN);
@@ -177,14 +177,14 @@
 			 int64_t now_us)
 {
 	const struct answered_slot *slot =
-		&quarantine->good[key % QUARANTINE_ANSWERED_SLOTS];
+		&quarantine->answered[key % QUARANTINE_ANSWERED_SLOTS];
 
 	return slot->key == key && slot->answered_us &&
 	       now_us - slot->answered_us <= QUARANTINE_ANSWERED_US;
 }
 
 bool quarantine_note_crash(struct quarantine *quarantine, uint64_t key,
-			   uint64_t crash, int64_t now_us)
+			   uint64_t crash_id, int64_t now_us)
 {
 	struct quarantine_record *record;
 	bool is_changed = false;
@@ -201,7 +201,7 @@
 	record->asked_us = now_us;
 	/* A failed trial must not change the hosts at which trials run. */
 	if (!quarantine_record_is_held(record))
-		is_changed = record_add_crash(record, crash);
+		is_changed = record_add_crash(record, crash_id);
 	if (record->is_on_trial) {
 		record->is_on_trial = false;
 		record->failed_trials++;
@@ -224,7 +224,7 @@
 			    int64_t now_us)
 {
 	struct answered_slot *slot =
-		&quarantine->good[key % QUARANTINE_ANSWERED_SLOTS];
+		&quarantine->answered[key % QUARANTINE_ANSWERED_SLOTS];
 	struct quarantine_record *record = find(quarantine, key);
 
 	slot->key = key;
@@ -259,11 +259,11 @@
 	struct quarantine_decision decision = {.verdict = QUARANTINE_FREE};
 
 	if (!record || !quarantine_record_is_held(record) ||
-	    quarantine->trial_us == 0)
+	    quarantine->trial_delay_us == 0)
 		return decision;
 	note_asked(quarantine, record, now_us);
 	decision.verdict = QUARANTINE_HELD;
-	decision.left_us = record_trial_us(quarantine, record) - now_us;
+	decision.left_us = record_trial_due_us(quarantine, record) - now_us;
 	decision.trial_host = record_trial_host(record);
 	if (record->failed_trials >= QUARANTINE_TRIALS_MAX)
 		decision.left_us = QUARANTINE_FORGET_US;
@@ -308,9 +308,9 @@
 
 void quarantine_tick(struct quarantine *quarantine, int64_t now_us)
 {
-	if (now_us - quarantine->expired_us < EXPIRE_INTERVAL_US)
+	if (now_us - quarantine->last_forget_us < FORGET_INTERVAL_US)
 		return;
-	quarantine->expired_us = now_us;
+	quarantine->last_forget_us = now_us;
 	forget_old(quarantine, &quarantine->news, now_us);
 	forget_old(quarantine, &quarantine->settled, now_us);
 }
@@ -351,7 +351,7 @@
 	return record && record->times_sent == 0;
 }
 
-static size_t copy_news(struct quarantine *quarantine, unsigned int times_max,
+static size_t take_news(struct quarantine *quarantine, unsigned int times_max,
 			struct quarantine_record *out, size_t size)
 {
 	struct quarantine_list sent = TAILQ_HEAD_INITIALIZER(sent);
@@ -371,10 +371,11 @@
 	return count;
 }
 
-size_t quarantine_copy_news(struct quarantine *quarantine, unsigned int times_max,
-			    struct quarantine_record *out, size_t size)
+size_t quarantine_fill_packet(struct quarantine *quarantine,
+			      unsigned int times_max,
+			      struct quarantine_record *out, size_t size)
 {
-	size_t count = copy_news(quarantine, times_max, out, size);
+	size_t count = take_news(quarantine, times_max, out, size);
 	size_t most = MIN(size, count + QUARANTINE_RESENT_MAX);
 	struct quarantine_record *first = TAILQ_FIRST(&quarantine->settled);
 	struct quarantine_record *record = first;
@@ -391,10 +392,10 @@
 }
 
 static void
-list_records(const struct quarantine_list *list,
-	     void (*handle_record)(const struct quarantine_record *record,
-				   void *data),
-	     void *data)
+foreach_record(const struct quarantine_list *list,
+	       void (*handle_record)(const struct quarantine_record *record,
+				     void *data),
+	       void *data)
 {
 	const struct quarantine_record *record;
 
@@ -402,13 +403,13 @@
 		handle_record(record, data);
 }
 
-void quarantine_list(const struct quarantine *quarantine,
-		     void (*handle_record)(const struct quarantine_record *record,
-					   void *data),
-		     void *data)
+void quarantine_foreach(const struct quarantine *quarantine,
+			void (*handle_record)(const struct quarantine_record *record,
+					      void *data),
+			void *data)
 {
-	list_records(&quarantine->news, handle_record, data);
-	list_records(&quarantine->settled, handle_record, data);
+	foreach_record(&quarantine->news, handle_record, data);
+	foreach_record(&quarantine->settled, handle_record, data);
 }
 
 static void count_held(const struct quarantine_record *record, void *data)
@@ -418,10 +419,10 @@
 	*count += quarantine_record_is_held(record);
 }
 
-unsigned int quarantine_held(const struct quarantine *quarantine)
+unsigned int quarantine_held_count(const struct quarantine *quarantine)
 {
 	unsigned int count = 0;
 
-	quarantine_list(quarantine, count_held, &count);
+	quarantine_foreach(quarantine, count_held, &count);
 	return count;
 }
--- a/comfreydockd/decide/quarantine_record.c
+++ b/comfreydockd/decide/quarantine_record.c
@@ -10,9 +10,9 @@
 	return (uint64_t)host << HOST_SHIFT | (uint32_t)random;
 }
 
-static uint32_t crash_host(uint64_t crash)
+static uint32_t crash_host(uint64_t crash_id)
 {
-	return (uint32_t)(crash >> HOST_SHIFT);
+	return (uint32_t)(crash_id >> HOST_SHIFT);
 }
 
 bool quarantine_record_is_valid(const struct quarantine_record *record)
@@ -48,19 +48,19 @@
 
 /* Keeps the lowest ids, so that daemons that hear of four crashes in different
  * orders keep the same three. */
-bool record_add_crash(struct quarantine_record *record, uint64_t crash)
+bool record_add_crash(struct quarantine_record *record, uint64_t crash_id)
 {
 	uint32_t at = 0;
 
-	while (at < record->crash_count && record->crashes[at] < crash)
+	while (at < record->crash_count && record->crashes[at] < crash_id)
 		at++;
 	if (at == QUARANTINE_CRASHES ||
-	    (at < record->crash_count && record->crashes[at] == crash))
+	    (at < record->crash_count && record->crashes[at] == crash_id))
 		return false;
 	record->crash_count = MIN(record->crash_count + 1, QUARANTINE_CRASHES);
 	memmove(&record->crashes[at + 1], &record->crashes[at],
-		(record->crash_count - at - 1) * sizeof(crash));
-	record->crashes[at] = crash;
+		(record->crash_count - at - 1) * sizeof(crash_id));
+	record->crashes[at] = crash_id;
 	return true;
 }
 
--- a/comfreydockd/decide/quarantine_record.h
+++ b/comfreydockd/decide/quarantine_record.h
@@ -13,7 +13,7 @@
 uint32_t record_trial_host(const struct quarantine_record *record);
 
 /* RETURN VALUE: true if the crash was not in the record yet. */
-bool record_add_crash(struct quarantine_record *record, uint64_t crash);
+bool record_add_crash(struct quarantine_record *record, uint64_t crash_id);
 
 void record_begin_round(struct quarantine_record *record);
 
--- a/comfreydockd/decide/queue_admit.c
+++ b/comfreydockd/decide/queue_admit.c
@@ -18,7 +18,7 @@
 			      const struct queue_item *item)
 {
 	const struct fair *lane =
-		&queue->lanes[queue_lane_in_time(queue, item->class)];
+		&queue->lanes[queue_in_time_lane(queue, item->class)];
 
 	if (queue->length < queue->max_items)
 		return false;
@@ -32,14 +32,14 @@
 					       int64_t wait_us, int64_t now_us)
 {
 	const struct fair *lane =
-		&queue->lanes[queue_lane_in_time(queue, item->class)];
-	int64_t start_us = queue->policy->latest_start_us(queue, item);
+		&queue->lanes[queue_in_time_lane(queue, item->class)];
+	int64_t latest_start_us = queue->policy->latest_start_us(queue, item);
 
-	if (now_us > start_us)
+	if (now_us > latest_start_us)
 		return QUEUE_REFUSED_DEADLINE;
 	if (fair_is_over_share(lane, item->key_hash))
 		return QUEUE_REFUSED_UNFAIR;
-	if (wait_us <= start_us - now_us)
+	if (wait_us <= latest_start_us - now_us)
 		return QUEUE_REFUSED_STANDING;
 	return QUEUE_REFUSED_DEADLINE;
 }
@@ -50,10 +50,10 @@
  * correct it. If a slot is free, every fourth such item is therefore accepted,
  * and every one if nothing runs.
  */
-static bool queue_overrides_estimate(struct queue *queue,
-				     const struct queue_item *item,
-				     const struct queue_slots *slots,
-				     int64_t now_us)
+static bool queue_try_override_estimate(struct queue *queue,
+					const struct queue_item *item,
+					const struct queue_slots *slots,
+					int64_t now_us)
 {
 	if (!queue_has_free_slot(queue, slots) || item->deadline_us <= now_us)
 		return false;
@@ -79,7 +79,8 @@
 		return QUEUE_REFUSED_BUSY;
 	if (queue_is_full_for(queue, item))
 		return QUEUE_REFUSED_FULL;
-	wait_us = queue->policy->by_class && queue_is_standing(queue, now_us) ?
+	wait_us = queue->policy->has_class_lanes &&
+				  queue_is_standing(queue, now_us) ?
 			  queue_predict_wait_with_arrivals_us(queue, item, slots) :
 			  queue_predict_wait_us(queue, item->lane,
 						item->key_hash, slots);
@@ -109,7 +110,7 @@
 	item->wait_until_us = queue_wait_until_us(queue, item, now_us);
 	item->lane = queue_lane_for(queue, item, slots, now_us);
 	item->latest_start_us = queue->policy->latest_start_us(queue, item);
-	if (queue_overrides_estimate(queue, item, slots, now_us)) {
+	if (queue_try_override_estimate(queue, item, slots, now_us)) {
 		item->latest_start_us = item->deadline_us;
 		return QUEUE_ACCEPTED;
 	}
--- a/comfreydockd/decide/queue_lane.c
+++ b/comfreydockd/decide/queue_lane.c
@@ -4,9 +4,9 @@
 
 #include "comfreydockd/decide/queue_predict.h"
 
-uint32_t queue_lane_in_time(const struct queue *queue, enum config_class class)
+uint32_t queue_in_time_lane(const struct queue *queue, enum config_class class)
 {
-	return queue->policy->by_class ? (uint32_t) class : 0;
+	return queue->policy->has_class_lanes ? (uint32_t) class : 0;
 }
 
 /* Returns true if a start after wait_us would miss the target. */
@@ -22,11 +22,11 @@
 uint32_t queue_lane_for(const struct queue *queue, const struct queue_item *item,
 			const struct queue_slots *slots, int64_t now_us)
 {
-	uint32_t lane = queue_lane_in_time(queue, item->class);
+	uint32_t lane = queue_in_time_lane(queue, item->class);
 	int64_t wait_us =
 		queue_predict_wait_us(queue, lane, item->key_hash, slots);
 
-	if (queue->policy->by_class &&
+	if (queue->policy->has_class_lanes &&
 	    queue_misses_target(queue, item, wait_us, now_us))
 		lane += QUEUE_FIRST_LATE_LANE;
 	return lane;
@@ -35,7 +35,8 @@
 bool queue_lane_is_missed(const struct queue *queue,
 			  const struct queue_item *item, int64_t now_us)
 {
-	return queue->policy->by_class && item->lane < QUEUE_FIRST_LATE_LANE &&
+	return queue->policy->has_class_lanes &&
+	       item->lane < QUEUE_FIRST_LATE_LANE &&
 	       queue_misses_target(queue, item, 0, now_us);
 }
 
--- a/comfreydockd/decide/queue_policy.c
+++ b/comfreydockd/decide/queue_policy.c
@@ -68,7 +68,7 @@
 
 const struct queue_policy queue_fifo = {
 	.name = "fifo",
-	.by_class = false,
+	.has_class_lanes = false,
 	.is_before = queue_is_offered_before,
 	.allowed_wait_us = queue_wait_any,
 	.latest_start_us = queue_start_any,
@@ -76,7 +76,7 @@
 
 const struct queue_policy queue_by_deadline = {
 	.name = "deadline",
-	.by_class = true,
+	.has_class_lanes = true,
 	.is_before = queue_is_due_before,
 	.allowed_wait_us = queue_wait_by_deadline,
 	.latest_start_us = queue_start_by_deadline,
--- a/comfreydockd/member/rows_quarantine.c
+++ b/comfreydockd/member/rows_quarantine.c
@@ -55,7 +55,7 @@
 		.records = g_ptr_array_new(),
 	};
 
-	quarantine_list(quarantine, list_record, &host_records);
+	quarantine_foreach(quarantine, list_record, &host_records);
 	g_ptr_array_sort(host_records.records, compare_keys);
 	return host_records.records;
 }
@@ -154,11 +154,12 @@
 
 	if (!quarantine)
 		return;
-	before = quarantine_held(quarantine);
+	before = quarantine_held_count(quarantine);
 	rows_decode_quarantine(row->value, row->size, quarantine,
 			       clock_mono_us());
-	if (quarantine_held(quarantine) > before)
+	if (quarantine_held_count(quarantine) > before)
 		log_event(EV_ROW_QUARANTINE, LOG_STR("key", row->key),
-			  LOG_INT("records", quarantine_held(quarantine) - before),
+			  LOG_INT("records",
+				  quarantine_held_count(quarantine) - before),
 			  LOG_INT("row_version", (int64_t)row->version));
 }
--- a/comfreydockd/member/swim_quarantine.c
+++ b/comfreydockd/member/swim_quarantine.c
@@ -34,8 +34,8 @@
 	if (!swim->quarantine || swim->quarantine_budget_bytes <= 0)
 		return;
 	bare_size = cfd__gossip__get_packed_size(message);
-	count = quarantine_copy_news(swim->quarantine, swim_rumour_limit(swim),
-				     packet->quarantined, SWIM_QUARANTINED_MAX);
+	count = quarantine_fill_packet(swim->quarantine, swim_rumour_limit(swim),
+				       packet->quarantined, SWIM_QUARANTINED_MAX);
 	for (size_t i = 0; i < count; i++) {
 		quarantine_record_encode(swim, &packet->quarantined[i],
 					 &packet->quarantine_records[i]);
--- a/comfreydockd/operator/quarantine.c
+++ b/comfreydockd/operator/quarantine.c
@@ -35,7 +35,7 @@
 	json_object *root = json_object_new_object();
 	json_object *list = json_object_new_array();
 
-	quarantine_list(api->daemon->quarantine, add_record, list);
+	quarantine_foreach(api->daemon->quarantine, add_record, list);
 	json_object_object_add(root, "requests", list);
 	operator_reply(request, 200, root);
 }
--- a/comfreydockd/quarantine_log.c
+++ b/comfreydockd/quarantine_log.c
@@ -11,7 +11,7 @@
 	case QUARANTINE_MARKED:
 		counters.quarantine_marked++;
 		return EV_QUARANTINE_MARKED;
-	case QUARANTINE_HOLDS:
+	case QUARANTINE_HOLD_BEGAN:
 		counters.quarantine_held++;
 		return EV_QUARANTINE_HELD;
 	case QUARANTINE_CLEARED:
--- a/comfreydockd/upstream/gate.c
+++ b/comfreydockd/upstream/gate.c
@@ -60,8 +60,8 @@
 {
 	struct pace_item item = {
 		.may_turn_back = !attempt->item.may_queue,
-		.is_busy = 2 * owner_running(owner) >= owner->announced.slots,
-		.other_percent = attempt->request->other_pace_percent,
+		.slots_scarce = 2 * owner_running(owner) >= owner->announced.slots,
+		.best_other_percent = attempt->request->other_pace_percent,
 		.work_us = queue_known_service_us(&owner->queue,
 						  attempt->item.class),
 		.target_us = attempt->target_us,
--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -119,8 +119,8 @@
 {
 	int64_t now = clock_mono_us();
 	int64_t first_byte_us = attempt->head_us ? attempt->head_us : now;
-	int64_t usual_us =
-		pace_usual_us(attempt->pace_percent, now - attempt->started_us);
+	int64_t usual_us = pace_nominal_us(attempt->pace_percent,
+					   now - attempt->started_us);
 
 	limit_note_done(&owner->limit, first_byte_us - attempt->started_us,
 			outcome, owner->running, now);
--- a/include/comfreydockd/decide/limit.h
+++ b/include/comfreydockd/decide/limit.h
@@ -109,18 +109,18 @@
 	uint32_t slots;
 	uint32_t current;
 	struct limit_window window;
-	int64_t p10_us; /* moving mean of the p10 */
-	int64_t windows; /* number of windows in the mean */
+	int64_t mean_p10_us; /* moving mean of the p10 */
+	int64_t mean_windows; /* windows in the mean; the count stops at 8 */
 	uint32_t slow_windows; /* consecutive ones */
 	int64_t slow_p10_us; /* mean p10 of the last slow windows */
-	int64_t floor_us[2]; /* lowest p10 of this period and the last */
-	int64_t floor_period_start_us; /* start of the current period */
+	int64_t baseline_us[2]; /* lowest p10 of this period and the last */
+	int64_t baseline_period_start_us; /* start of the current period */
 	enum limit_trial trial;
 	enum limit_trial next_trial; /* direction to try first */
 	uint32_t trial_from; /* limit before the trial */
 	int64_t trial_p10_us; /* p10 before the trial */
-	int64_t hold_us;
-	int64_t hold_until_us;
+	int64_t trial_pause_us;
+	int64_t trial_pause_until_us;
 };
 
 /* 0 slots are treated as 1. */
--- a/include/comfreydockd/decide/pace.h
+++ b/include/comfreydockd/decide/pace.h
@@ -49,14 +49,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define PACE_USUAL_PERCENT 100
+#define PACE_NOMINAL_PERCENT 100
 #define PACE_SLOW_FACTOR 1.5
 #define PACE_HOLD_MARGIN 1.5
 /* Work of unknown length is assumed to take 1/6 of the remaining time, as
  * deadlines commonly allow that multiple of the work. */
-#define PACE_DEADLINE_WORK_FACTOR 6
+#define PACE_REMAINING_PER_WORK 6
 /* A deadline further away says nothing about the work. */
-#define PACE_DEADLINE_MAX_US ((int64_t)60 * 1000 * 1000)
+#define PACE_REMAINING_MAX_US ((int64_t)60 * 1000 * 1000)
 #define PACE_WINDOW_US ((int64_t)1500 * 1000)
 #define PACE_FRESH_US ((int64_t)25 * 1000)
 
@@ -67,15 +67,15 @@
 	uint32_t sent_percent; /* last value sent to the entries */
 	/* The lowest reports of the current and the previous window; 0:
 	 * none. */
-	int64_t window_us;
+	int64_t window_start_us;
 	uint32_t lowest;
 	uint32_t lowest_before;
 };
 
 struct pace_item {
 	bool may_turn_back; /* another host may take it */
-	uint32_t other_percent; /* best known pace of the other hosts; 0: none */
-	bool is_busy; /* at least half of the slots are in use */
+	uint32_t best_other_percent; /* best known pace of the other hosts; 0: none */
+	bool slots_scarce; /* at least half of the slots are in use */
 	int64_t work_us; /* expected, at the usual pace; 0: unknown */
 	int64_t target_us; /* the answer is on time until then */
 	int64_t deadline_us;
@@ -103,7 +103,7 @@
 bool pace_is_worse(uint32_t percent, uint32_t other_percent);
 
 /* RETURN VALUE: the time that the work would have taken at the usual pace. */
-int64_t pace_usual_us(uint32_t percent, int64_t took_us);
+int64_t pace_nominal_us(uint32_t percent, int64_t took_us);
 
 enum pace_verdict pace_judge(const struct pace *pace,
 			     const struct pace_item *item, int64_t now_us);
--- a/include/comfreydockd/decide/pick.h
+++ b/include/comfreydockd/decide/pick.h
@@ -91,7 +91,7 @@
 	uint64_t id; /* unique in the set, never 0 */
 	bool local; /* in the entry's own failure domain */
 	bool usable; /* membership and health allow new work */
-	double warm; /* 0..1, weight during warm-up */
+	double warm_weight; /* 0..1, weight during warm-up */
 	uint32_t slots; /* declared; 0: unknown */
 	void *data; /* for the entry */
 
@@ -101,7 +101,7 @@
 	struct pick_load load; /* the last report */
 	int64_t load_at_us;
 	double others_work; /* work of other entries at the last report */
-	double mean_utilisation; /* mean of others' work over its reports */
+	double mean_others_utilisation; /* mean of others' work over its reports */
 	double latency_us; /* running median; 0: unknown */
 	uint32_t latency_samples;
 	int64_t latency_at_us;
@@ -140,14 +140,14 @@
 	const struct pick_policy *policy;
 	GPtrArray *candidates; /* of struct pick_candidate, owned by the entry */
 	GPtrArray *eligible; /* scratch space of pick_choose() */
-	GArray *services; /* scratch space of pick_note_load() */
+	GArray *service_times; /* scratch space of pick_note_load() */
 	struct random_state random;
-	struct budget refusals;
+	struct budget busy_refusal_budget;
 	uint64_t next_turn; /* for round robin */
-	double mean_utilisation; /* mean of others' work over all reports */
+	double mean_others_utilisation; /* mean of others' work over all reports */
 	uint32_t reports;
 	double typical_service_us; /* median of all upstreams' last reports */
-	uint32_t usual_pace; /* assumed for a host without a recent report */
+	uint32_t assumed_pace; /* assumed for a host without a recent report */
 	double typical_latency_us; /* running median over all upstreams */
 	uint32_t typical_samples;
 };
@@ -156,7 +156,7 @@
 		   uint64_t seed);
 void pick_set_finish(struct pick_set *set);
 
-/* Resets the fields that pick maintains to "unknown" and sets warm to 1. */
+/* Resets the fields that pick maintains to "unknown" and sets warm_weight to 1. */
 void pick_candidate_init(struct pick_candidate *candidate, uint64_t id);
 void pick_set_add(struct pick_set *set, struct pick_candidate *candidate);
 void pick_set_remove(struct pick_set *set, struct pick_candidate *candidate);
@@ -221,7 +221,7 @@
 		    const struct pick_load *load, int64_t now_us);
 
 /* RETURN VALUE: the last reported pace of the host. Without a recent report it
- * is the best known pace of any host, or PACE_USUAL_PERCENT. */
+ * is the best known pace of any host, or PACE_NOMINAL_PERCENT. */
 uint32_t pick_pace(const struct pick_set *set,
 		   const struct pick_candidate *candidate, int64_t now_us);
 
@@ -247,7 +247,8 @@
 		  const struct pick_candidate *candidate, int64_t now_us);
 
 /* The same, based on this entry's own outstanding attempts only. */
-double pick_own_score(const struct pick_set *set,
-		      const struct pick_candidate *candidate, int64_t now_us);
+double pick_outstanding_score(const struct pick_set *set,
+			      const struct pick_candidate *candidate,
+			      int64_t now_us);
 
 #endif
--- a/include/comfreydockd/decide/quarantine.h
+++ b/include/comfreydockd/decide/quarantine.h
@@ -92,7 +92,7 @@
 
 enum quarantine_change {
 	QUARANTINE_MARKED,
-	QUARANTINE_HOLDS, /* newly held, or held again after a trial */
+	QUARANTINE_HOLD_BEGAN, /* newly held, or held again after a trial */
 	QUARANTINE_CLEARED,
 	QUARANTINE_FORGOTTEN,
 };
@@ -125,9 +125,9 @@
 
 struct quarantine;
 
-/* trial_us: how long a request is held until its first trial; 0: no request is
+/* trial_delay_us: how long a request is held until its first trial; 0: no request is
  * ever held. The handler may be NULL. */
-struct quarantine *quarantine_create(int64_t trial_us,
+struct quarantine *quarantine_create(int64_t trial_delay_us,
 				     quarantine_handler handler, void *data);
 void quarantine_destroy(struct quarantine *quarantine);
 
@@ -142,7 +142,7 @@
  * recently or because the table is full of held requests.
  */
 bool quarantine_note_crash(struct quarantine *quarantine, uint64_t key,
-			   uint64_t crash, int64_t now_us);
+			   uint64_t crash_id, int64_t now_us);
 
 /* Notes that an upstream gave a complete answer below 500 to the request. */
 void quarantine_note_answer(struct quarantine *quarantine, uint64_t key,
@@ -174,20 +174,21 @@
  *
  * RETURN VALUE: their number.
  */
-size_t quarantine_copy_news(struct quarantine *quarantine, unsigned int times_max,
-			    struct quarantine_record *out, size_t size);
+size_t quarantine_fill_packet(struct quarantine *quarantine,
+			      unsigned int times_max,
+			      struct quarantine_record *out, size_t size);
 
 /* RETURN VALUE: false if there is no mark to clear. */
 bool quarantine_clear(struct quarantine *quarantine, uint64_t key,
 		      int64_t now_us);
 
 /* Calls handle_record for each record. */
-void quarantine_list(const struct quarantine *quarantine,
-		     void (*handle_record)(const struct quarantine_record *record,
-					   void *data),
-		     void *data);
+void quarantine_foreach(const struct quarantine *quarantine,
+			void (*handle_record)(const struct quarantine_record *record,
+					      void *data),
+			void *data);
 
 /* RETURN VALUE: the number of held requests. */
-unsigned int quarantine_held(const struct quarantine *quarantine);
+unsigned int quarantine_held_count(const struct quarantine *quarantine);
 
 #endif
--- a/include/comfreydockd/decide/queue_lane.h
+++ b/include/comfreydockd/decide/queue_lane.h
@@ -15,7 +15,7 @@
 
 /* RETURN VALUE: the lane of a class for items in time; 0 if the policy has a
  * single order. */
-uint32_t queue_lane_in_time(const struct queue *queue, enum config_class class);
+uint32_t queue_in_time_lane(const struct queue *queue, enum config_class class);
 
 /* RETURN VALUE: the lane that an item would wait in. */
 uint32_t queue_lane_for(const struct queue *queue, const struct queue_item *item,
--- a/tests/test_operator.c
+++ b/tests/test_operator.c
@@ -322,7 +322,7 @@
 	call(f, "GET", "/v1/quarantine", NULL, 200,
 	     "\"content\":\"0000000000000abc\",\"state\":\"held\"");
 	call(f, "POST", path, "", 200, "\"state\":\"cleared\"");
-	g_assert_cmpuint(quarantine_held(f->daemon.quarantine), ==, 0);
+	g_assert_cmpuint(quarantine_held_count(f->daemon.quarantine), ==, 0);
 	call(f, "POST", path, "", 404, "no request with this content");
 	call(f, "POST", "/v1/quarantine/clear?content=abc", "", 400,
 	     "16 hexadecimal digits");
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -38,11 +38,11 @@
 	struct pace_item item = item_of(60, 200, 500);
 
 	item.may_turn_back = true;
-	item.other_percent = FAST;
+	item.best_other_percent = FAST;
 	g_assert_cmpint(pace_judge(&pace, &item, 10 * MS), ==, PACE_TURN_BACK);
 	/* All others are as slow: turning back would only cost the round
 	 * trip. */
-	item.other_percent = SLOW;
+	item.best_other_percent = SLOW;
 	g_assert_cmpint(pace_judge(&pace, &item, 10 * MS), ==, PACE_HOLD);
 }
 
@@ -83,7 +83,7 @@
 	struct pace_item item = item_of(55, 150, 600);
 
 	g_assert_cmpint(pace_judge(&pace, &item, 150 * MS), ==, PACE_START);
-	item.is_busy = true;
+	item.slots_scarce = true;
 	g_assert_cmpint(pace_judge(&pace, &item, 150 * MS), ==, PACE_HOLD);
 	g_assert_cmpint(pace_judge(&pace, &item, 500 * MS), ==, PACE_HOLD);
 	g_assert_cmpint(pace_judge(&pace, &item, 520 * MS), ==, PACE_HOLD);
@@ -104,7 +104,7 @@
 		pace_note(&pace, 200, at);
 	g_assert_false(pace_is_slow(&pace));
 	item.may_turn_back = true;
-	item.other_percent = 200;
+	item.best_other_percent = 200;
 	g_assert_cmpint(pace_judge(&pace, &item, 20 * MS), ==, PACE_START);
 	pace_note(&pace, 1400, 1000 * MS);
 	g_assert_true(pace_is_slow(&pace));
@@ -152,9 +152,9 @@
 
 static void test_times_at_the_usual_pace(void)
 {
-	g_assert_cmpint(pace_usual_us(SLOW, 420 * MS), ==, 60 * MS);
-	g_assert_cmpint(pace_usual_us(FAST, 60 * MS), ==, 60 * MS);
-	g_assert_cmpint(pace_usual_us(0, 60 * MS), ==, 60 * MS);
+	g_assert_cmpint(pace_nominal_us(SLOW, 420 * MS), ==, 60 * MS);
+	g_assert_cmpint(pace_nominal_us(FAST, 60 * MS), ==, 60 * MS);
+	g_assert_cmpint(pace_nominal_us(0, 60 * MS), ==, 60 * MS);
 }
 
 /* Returns whether a host is slow at that time, drawn anew for each spell. */
@@ -182,7 +182,7 @@
 			is_slow_at(host, at_us) ? SLOW : FAST, at_us);
 
 		item.may_turn_back = i < 6;
-		item.other_percent = i < 6 ? FAST : 0;
+		item.best_other_percent = i < 6 ? FAST : 0;
 		switch (judges ? pace_judge(&pace, &item, at_us) : PACE_START) {
 		case PACE_TURN_BACK:
 			at_us += 2 * MS;
--- a/tests/test_pick.c
+++ b/tests/test_pick.c
@@ -72,7 +72,7 @@
 		for (size_t i = 0; i < f.count; i++) {
 			f.candidates[i].usable = g_test_rand_bit();
 			f.candidates[i].local = g_test_rand_bit();
-			f.candidates[i].warm = g_test_rand_double();
+			f.candidates[i].warm_weight = g_test_rand_double();
 			f.candidates[i].outstanding =
 				(uint32_t)g_test_rand_int_range(0, 30);
 		}
@@ -240,7 +240,7 @@
 	int counts[8] = {0};
 
 	set_up(&f, pick_default_policy, 3);
-	f.candidates[0].warm = 0.25;
+	f.candidates[0].warm_weight = 0.25;
 	send_calls(&f, 90, 0, counts);
 	g_assert_cmpint(counts[0], >=, 9);
 	g_assert_cmpint(counts[0], <=, 11);
@@ -294,8 +294,9 @@
 		pick_note_refused(&f.set, c, true, &free_slots, i);
 		refused++;
 		g_assert_cmpfloat(refused, <=,
-				  f.set.refusals.burst +
-					  f.set.refusals.share * requests);
+				  f.set.busy_refusal_budget.burst +
+					  f.set.busy_refusal_budget.share *
+						  requests);
 	}
 	g_assert_cmpfloat(refused, >, requests / 4);
 	tear_down(&f);
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -243,9 +243,9 @@
 				      START + (int64_t)key);
 	g_assert_cmpint(verdict(quarantine, CRASHING_KEY, START), ==,
 			QUARANTINE_HELD);
-	g_assert_cmpuint(quarantine_held(quarantine), ==, 1);
-	g_assert_cmpuint(quarantine_copy_news(quarantine, TOLD_TIMES, out,
-					      G_N_ELEMENTS(out)),
+	g_assert_cmpuint(quarantine_held_count(quarantine), ==, 1);
+	g_assert_cmpuint(quarantine_fill_packet(quarantine, TOLD_TIMES, out,
+						G_N_ELEMENTS(out)),
 			 ==, QUARANTINE_RECORDS_MAX);
 	quarantine_destroy(quarantine);
 }
@@ -257,9 +257,9 @@
 
 	quarantine_note_crash(quarantine, CRASHING_KEY + 1, crash_at("a"), START);
 	quarantine_tick(quarantine, end);
-	g_assert_cmpuint(quarantine_held(quarantine), ==, 1);
+	g_assert_cmpuint(quarantine_held_count(quarantine), ==, 1);
 	quarantine_tick(quarantine, end + 2 * SECOND);
-	g_assert_cmpuint(quarantine_held(quarantine), ==, 0);
+	g_assert_cmpuint(quarantine_held_count(quarantine), ==, 0);
 	g_assert_false(quarantine_has_news(quarantine));
 	quarantine_destroy(quarantine);
 }
@@ -268,7 +268,7 @@
 {
 	struct quarantine_record out[QUARANTINE_RECORDS_MAX];
 	size_t count =
-		quarantine_copy_news(from, TOLD_TIMES, out, G_N_ELEMENTS(out));
+		quarantine_fill_packet(from, TOLD_TIMES, out, G_N_ELEMENTS(out));
 
 	for (size_t i = 0; i < count; i++)
 		quarantine_merge(to, &out[i], now);
@@ -324,7 +324,7 @@
 	for (int64_t now = START; now < end; now += 60 * SECOND) {
 		send_until(asked, now, now + 60 * SECOND);
 		quarantine_tick(told, now + 60 * SECOND);
-		g_assert_cmpuint(quarantine_held(told), ==, 1);
+		g_assert_cmpuint(quarantine_held_count(told), ==, 1);
 		send_all(asked, told, now + 60 * SECOND);
 	}
 	quarantine_destroy(asked);
--- a/tests/test_rows_quarantine.c
+++ b/tests/test_rows_quarantine.c
@@ -34,9 +34,9 @@
 	rows_run(2);
 	rows_stop();
 	rows_start();
-	g_assert_cmpuint(quarantine_held(fixture.quarantine), ==, 0);
+	g_assert_cmpuint(quarantine_held_count(fixture.quarantine), ==, 0);
 	rows_run(2);
-	g_assert_cmpuint(quarantine_held(fixture.quarantine), ==, 1);
+	g_assert_cmpuint(quarantine_held_count(fixture.quarantine), ==, 1);
 	g_assert_cmpint(quarantine_judge(fixture.quarantine, CRASHING_KEY,
 					 clock_mono_us())
 				.verdict,
@@ -57,7 +57,7 @@
 	rows_stop();
 	rows_start();
 	rows_run(10);
-	g_assert_cmpuint(quarantine_held(fixture.quarantine), ==, 0);
+	g_assert_cmpuint(quarantine_held_count(fixture.quarantine), ==, 0);
 	rows_finish();
 }
 
@@ -73,7 +73,7 @@
 	quarantine_key_in(other, CRASHING_KEY);
 	rows_put_row_with("surco-2", 5, other);
 	rows_run(3);
-	g_assert_cmpuint(quarantine_held(fixture.quarantine), ==, 1);
+	g_assert_cmpuint(quarantine_held_count(fixture.quarantine), ==, 1);
 	quarantine_destroy(other);
 	rows_finish();
 }
@@ -137,7 +137,7 @@
 		g_assert_cmpuint(rows_decode_quarantine(bad[i], strlen(bad[i]),
 							taken, 0),
 				 ==, 0);
-	g_assert_cmpuint(quarantine_held(taken), ==, 0);
+	g_assert_cmpuint(quarantine_held_count(taken), ==, 0);
 	quarantine_destroy(taken);
 }
 
--- a/tests/test_swim_quarantine.c
+++ b/tests/test_swim_quarantine.c
@@ -24,7 +24,7 @@
 
 	for (int i = 0; i < net.count; i++)
 		count += net.hosts[i].swim &&
-			 quarantine_held(net.hosts[i].quarantine) > 0;
+			 quarantine_held_count(net.hosts[i].quarantine) > 0;
 	return count;
 }
 
@@ -95,7 +95,7 @@
 	host_kill(5);
 	host_start(5);
 	net_run(SPREAD_LIMIT_US);
-	g_assert_cmpuint(quarantine_held(net.hosts[5].quarantine), ==, 1);
+	g_assert_cmpuint(quarantine_held_count(net.hosts[5].quarantine), ==, 1);
 	net_stop();
 }
 
