--- a/comfreydockd/decide/limit.c
+++ b/comfreydockd/decide/limit.c
@@ -10,19 +10,24 @@
 #define LIMIT_WINDOW_US (100 * US_PER_MS)
 #define LIMIT_WINDOW_MAX_US (60 * US_PER_S)
 #define LIMIT_PERCENTILE 10
-#define LIMIT_P10_MEAN_WINDOWS \
-	((int64_t)8) /* the mean moves by 1/8 per window */
+/* The moving mean of the p10 moves by 1/8 of the difference with each window,
+ * and is used only after this many windows. */
+#define LIMIT_P10_MEAN_WINDOWS ((int64_t)8)
 #define LIMIT_SLOW_WINDOWS 4 /* in a row, before a trial */
-#define LIMIT_SLOW_FACTOR 2 /* times the floor; above it a window is slow */
+/* A window is slow if its p10 is above this multiple of the baseline. */
+#define LIMIT_SLOW_FACTOR 2
 #define LIMIT_CUT 4 /* an overload cuts the limit by 1/4 */
 #define LIMIT_TRIAL_STEP 2 /* a trial changes the limit by 1/2 */
-#define LIMIT_FOLLOWED_SHARE \
-	0.8 /* share of the change that the p10 must follow */
+/* If the p10 changes by at least this share of the relative change of the
+ * limit, concurrency causes the latency: the higher limit gives hardly more
+ * throughput than the lower one. */
+#define LIMIT_FOLLOWED_SHARE 0.8
 #define LIMIT_BASELINE_PERIOD_US (30 * US_PER_S)
 #define LIMIT_TRIAL_PAUSE_MIN_US (2 * US_PER_S)
 #define LIMIT_TRIAL_PAUSE_MAX_US (60 * US_PER_S)
-#define LIMIT_TRIAL_PAUSE_FACTOR \
-	16 /* the hold time in durations of the trial */
+/* After a failed or inconclusive trial, the pause lasts at least this many
+ * times as long as the trial did. */
+#define LIMIT_TRIAL_PAUSE_FACTOR 16
 
 static void limit_window_begin(struct limit *limit, int64_t now_us)
 {
@@ -54,11 +59,12 @@
 }
 
 /*
- * Returns the moving mean of the p10. With exponential service times the p10 of
- * a single window deviates by a third of itself, and the minimum of many
- * windows by far more. Compared with that minimum, every other window of a
- * healthy upstream would look slow, and the trials would take away slots that
- * callers wait for.
+ * Updates and returns the moving mean of the p10 over windows. With exponential
+ * service times the p10 of a single window deviates by a third of itself, and
+ * the minimum over many single windows by far more. If the baseline were that
+ * minimum, all the windows of a healthy upstream but the one with the lowest
+ * p10 would look slow, and the trials would take away slots that callers wait
+ * for.
  */
 static int64_t limit_note_p10(struct limit *limit, int64_t p10_us)
 {
@@ -68,7 +74,8 @@
 	return limit->mean_p10_us;
 }
 
-/* Returns the lowest p10 of the current and the previous 30 s period. */
+/* Notes a moving mean of the p10. Returns the baseline: the lowest mean of the
+ * current and the previous 30 s period. */
 static int64_t limit_note_baseline(struct limit *limit, int64_t mean_us,
 				   int64_t now_us)
 {
@@ -121,8 +128,8 @@
 		MIN(limit->trial_pause_us * 2, LIMIT_TRIAL_PAUSE_MAX_US);
 }
 
-/* Returns true if the p10 changed by at least LIMIT_FOLLOWED_SHARE of the relative
- * change of the limit. */
+/* Returns true if the p10 changed by at least LIMIT_FOLLOWED_SHARE of the
+ * relative change of the limit. */
 static bool limit_trial_was_followed(const struct limit *limit, int64_t p10_us)
 {
 	bool down = limit->trial == LIMIT_TRIAL_DOWN;
--- a/comfreydockd/decide/pace.c
+++ b/comfreydockd/decide/pace.c
@@ -18,7 +18,8 @@
 		pace->lowest = percent;
 }
 
-/* Returns the lowest recent percentage of this host. */
+/* Returns the lowest percentage that was reported recently: the usual pace of
+ * this host, outside slow spells. */
 static uint32_t pace_lowest_recent(const struct pace *pace)
 {
 	if (!pace->lowest_before)
@@ -57,14 +58,15 @@
 	return took_us * PACE_NOMINAL_PERCENT / percent;
 }
 
-/* Returns true before the first full window: until then all reports may come
+/* Returns true until the first window has ended: all reports so far may come
  * from one slow spell. */
 static bool is_in_first_window(const struct pace *pace)
 {
 	return pace->lowest_before == 0;
 }
 
-/* Returns how long the work takes at the given pace. */
+/* Returns how long work takes at the given pace if it takes work_us at the
+ * nominal one. */
 static int64_t at_percent_us(int64_t work_us, uint32_t percent)
 {
 	return work_us * percent / PACE_NOMINAL_PERCENT;
@@ -79,12 +81,13 @@
 }
 
 /*
- * Decides during a slow spell. The request is held while an end of the spell
- * would still bring the answer in time, or, if slots are scarce, while enough
- * time remains. After that it starts if it can still be answered at the slow
- * pace. Otherwise it is held for as long as the end of the spell could still
- * save it, and then refused: started, it would take a slot for an answer that
- * nobody receives.
+ * Decides during a slow spell. The request starts at once if it meets its
+ * target even at the slow pace. Otherwise it is held while it could still meet
+ * the target if the spell ended now, or, if slots are scarce, while enough time
+ * remains until the deadline. After that it starts if it can meet the deadline
+ * at the slow pace. Otherwise it is held while it could still meet the deadline
+ * if the spell ended now, and then refused: if it started, it would take a slot
+ * for an answer that nobody receives.
  */
 static enum pace_verdict judge_in_slow_spell(const struct pace *pace,
 					     const struct pace_item *item,
@@ -109,9 +112,10 @@
 	return PACE_TOO_LATE;
 }
 
-/* Decides for a host without a known usual pace. A request that can be answered
- * at the current pace starts; the others wait, as the report may come from a
- * slow spell that ends. */
+/* Decides for a host without a known usual pace. A request that meets its
+ * deadline at the current pace starts. Another one is held while it could meet
+ * the deadline at the nominal pace, as the report may come from a slow spell
+ * that ends, and is too late after that. */
 static enum pace_verdict judge_unknown_host(const struct pace *pace,
 					    const struct pace_item *item,
 					    int64_t now_us)
--- a/comfreydockd/decide/pick.c
+++ b/comfreydockd/decide/pick.c
@@ -5,24 +5,30 @@
 
 #include "comfreydockd/decide/pace.h"
 
-/* The budget for busy refusals: tokens per request, and the burst. */
+/* The budget for refusals by owners that have no free slot and may not queue
+ * the attempt: tokens per request, and the burst. */
 #define PICK_REFUSAL_SHARE 0.5
 #define PICK_REFUSAL_BURST 10.0
-/* A report decays with the work that it described: its time constant is this
- * multiple of the typical latency, within these bounds. */
+/* The weight of a report decays exponentially, since the work that it counted
+ * ends. The time constant is this multiple of the typical latency, within these
+ * bounds. */
 #define PICK_AGE_LATENCIES 1.0
 #define PICK_AGE_MIN_US 1000.0
 #define PICK_AGE_MAX_US 1000000.0
-/* Without a fresh report an upstream is expected to have room while the mean
- * work is below this multiple of its limit: some upstreams are free while the
- * mean is slightly above full. */
+/* An upstream without a fresh report is expected to have room while its
+ * estimated work is below this multiple of its capacity. That estimate comes
+ * from a mean, and some upstreams are free while the mean is slightly above
+ * full. */
 #define PICK_ROOM_UNKNOWN 1.5
 /* Knowledge of an upstream's latency decays with this time constant, so that an
  * upstream that is avoided for being slow is tried again. */
 #define PICK_LATENCY_AGE_US 10e6
+/* The smallest relative step of a running median of latencies. */
 #define PICK_LATENCY_STEP 0.05
 /* An error counts as an answer that took this multiple of the typical latency.
- * The median does not move until half of the answers are errors. */
+ * The candidate's running median rises by one step with each error and falls by
+ * one with each faster answer, so it stays low until half of the answers are
+ * errors. */
 #define PICK_ERROR_SLOWNESS 10.0
 /* Reported slowness below this factor is ignored: the reported median of some
  * twenty calls is too noisy. */
@@ -36,11 +42,13 @@
 #define PICK_CANDIDATE_MEAN_AGE_US 1e6
 #define PICK_WARM_MIN 0.05
 #define PICK_DEFAULT_LIMIT 8.0
-/* An owner reports the end of a slow spell. If that report is lost, the host is
- * tried again after twice the usual duration of a spell. */
+/* A reported pace counts for this time, twice the usual duration of a slow
+ * spell. An owner reports the end of a spell; if that report is lost, the host
+ * is tried again after this time. */
 #define PICK_PACE_MEMORY_US (1000 * 1000)
-/* With fewer reports than this, all known hosts may be in a slow spell by
- * chance. */
+/* With fewer known paces than this, all the known hosts may be in a slow spell
+ * by chance, so a host without a recent report is assumed to run at the nominal
+ * pace. */
 #define PICK_PACE_HOSTS 3
 
 void pick_set_init(struct pick_set *set, const struct pick_policy *policy,
@@ -174,9 +182,9 @@
 	return candidate->load_known ? exp(-age / memory) : 0;
 }
 
-/* Returns the utilisation expected once the last report has decayed: the mean
- * of the upstream's own reports or, a while after the last of them, the mean
- * over all upstreams. */
+/* Returns the utilisation by other entries that is expected once the last
+ * report has decayed: the mean of the upstream's own reports or, a while after
+ * the last of them, the mean over all upstreams. */
 static double prior_utilisation(const struct pick_set *set,
 				const struct pick_candidate *candidate,
 				int64_t now_us)
@@ -190,7 +198,8 @@
 	       (1 - kept) * set->mean_others_utilisation;
 }
 
-/* Estimates the work at the upstream without the attempt to be placed. */
+/* Returns the number of attempts that are estimated to run or wait at the
+ * upstream. The attempt that is about to be placed is not included. */
 static double estimate_work(const struct pick_set *set,
 			    const struct pick_candidate *candidate,
 			    int64_t now_us)
@@ -316,6 +325,8 @@
 	return slowness < PICK_REPORTED_SLOW ? 0 : 1 + kept * (slowness - 1);
 }
 
+/* Returns the latency that this entry measured, relative to the typical one and
+ * aged toward 1. */
 static double measured_slowness(const struct pick_set *set,
 				const struct pick_candidate *candidate,
 				int64_t now_us)
@@ -393,9 +404,10 @@
  * Updates what the last reports of all upstreams say together.
  *
  * A host without a recent report is assumed to be as fast as the best known
- * one. If it were assumed to run at full speed, all entries would rush to it
- * while the others, just started, are slow, and these would turn requests back
- * in its favour.
+ * one. If it were assumed to run at the nominal pace while all hosts have just
+ * been started and are slow, all entries would send their attempts to it, and
+ * the owners of the other hosts would turn requests back, because this host
+ * seems faster.
  */
 static void note_last_reports(struct pick_set *set, int64_t now_us)
 {
--- a/comfreydockd/decide/quarantine.c
+++ b/comfreydockd/decide/quarantine.c
@@ -9,8 +9,8 @@
 #define TRIAL_RETRY_US ((int64_t)1000 * 1000)
 #define FORGET_INTERVAL_US ((int64_t)1000 * 1000)
 
-/* The last time a request was answered. Another request with the same slot
- * replaces it. */
+/* The last time a request was answered, found by the request's key. Another key
+ * with the same slot replaces it. */
 struct answered_slot {
 	uint64_t key;
 	int64_t answered_us;
@@ -50,6 +50,7 @@
 	g_free(quarantine);
 }
 
+/* Returns the time at which the next trial of a held record may run. */
 static int64_t record_trial_due_us(const struct quarantine *quarantine,
 				   const struct quarantine_record *record)
 {
@@ -117,7 +118,7 @@
 		report(quarantine, record, QUARANTINE_MARKED);
 }
 
-/* RETURN VALUE: the record with the highest rank is evicted first; -1: it is
+/* RETURN VALUE: a record with a higher rank is evicted first; -1: the record is
  * kept. */
 static int eviction_rank(const struct quarantine_record *record)
 {
@@ -126,6 +127,8 @@
 	return record->is_cleared ? 1 : 0;
 }
 
+/* RETURN VALUE: best, or the record of the list that is evicted before it: the
+ * one with the highest rank and, among equals, the oldest one. */
 static struct quarantine_record *
 eviction_candidate(struct quarantine_list *list, struct quarantine_record *best)
 {
@@ -199,7 +202,9 @@
 	if (record->is_cleared)
 		record_begin_round(record);
 	record->asked_us = now_us;
-	/* A failed trial must not change the hosts at which trials run. */
+	/* The crashes of a held record determine the hosts at which its trials
+	 * run (see record_trial_host()), so no further crash, in a trial or
+	 * not, is added to them. */
 	if (!quarantine_record_is_held(record))
 		is_changed = record_add_crash(record, crash_id);
 	if (record->is_on_trial) {
@@ -351,6 +356,8 @@
 	return record && record->times_sent == 0;
 }
 
+/* Copies records with unsent changes to out and counts them as sent. Records
+ * that were sent times_max times move to the settled ones. */
 static size_t take_news(struct quarantine *quarantine, unsigned int times_max,
 			struct quarantine_record *out, size_t size)
 {
--- a/comfreydockd/decide/queue_admit.c
+++ b/comfreydockd/decide/queue_admit.c
@@ -13,7 +13,8 @@
 
 /* Returns true if the queue is full for this item. A caller that fills the
  * queue must not shut out the others, so each caller may have a small part of
- * it beyond the bound. */
+ * it beyond the bound. Callers are told apart by the hash of their fairness
+ * key; the items of one caller form a flow of the lane. */
 static bool queue_is_full_for(const struct queue *queue,
 			      const struct queue_item *item)
 {
@@ -45,10 +46,11 @@
 }
 
 /*
- * Returns true if an item is accepted against the estimate. An estimate left
- * high by a slow spell would refuse everything, and then nothing would run to
- * correct it. If a slot is free, every fourth such item is therefore accepted,
- * and every one if nothing runs.
+ * Returns true if an item is accepted although the estimated service time says
+ * that it would miss its deadline. An estimate left high by a slow spell would
+ * refuse everything, and then nothing would run to correct it. If a slot is
+ * free, every fourth such item is therefore accepted, and every one if nothing
+ * runs. Counts these items, and notes for the estimate that one was accepted.
  */
 static bool queue_try_override_estimate(struct queue *queue,
 					const struct queue_item *item,
@@ -91,8 +93,9 @@
 	return queue_refusal_reason(queue, item, wait_us, now_us);
 }
 
-/* Returns until when an item that holds up others may wait. A longer wait would
- * only make the others late; an immediate start may still be useful. */
+/* Returns until when an item may wait. An item holds up others if other answers
+ * of its caller can be sent only after its own: a wait beyond its target would
+ * only make those late, but an immediate start may still be useful. */
 static int64_t queue_wait_until_us(const struct queue *queue,
 				   const struct queue_item *item, int64_t now_us)
 {
--- a/include/comfreydockd/decide/limit.h
+++ b/include/comfreydockd/decide/limit.h
@@ -11,16 +11,16 @@
  *	  configured, or a refused connection. The limit falls to 3/4, once for
  *	  all requests that had started before the cut.
  *	- The 10th percentile (p10) of the service times has been above twice
- *	  its floor in four consecutive windows, and all allowed slots were in
- *	  use. The floor is the minimum of a moving mean of the p10. A high p10
- *	  alone does not show whether fewer concurrent requests would help, so
- *	  it starts a trial: half the limit for one window. If the p10 falls by
- *	  nearly the same ratio, concurrency caused the slowness, and the lower
- *	  limit stays. Otherwise, the slots are independent of each other, a
- *	  lower limit would only cost capacity, and the higher limit is
- *	  restored. The next trial waits for a hold time that doubles and is at
- *	  least 16 times the duration of the trial; it goes in the other
- *	  direction if possible.
+ *	  its baseline in four consecutive windows, and all allowed slots were
+ *	  in use. The baseline is the minimum of a moving mean of the p10. A
+ *	  high p10 alone does not show whether fewer concurrent requests would
+ *	  help, so it starts a trial: half the limit for one window. If the p10
+ *	  falls by nearly the same ratio, concurrency caused the slowness, and
+ *	  the lower limit stays. Otherwise, the slots are independent of each
+ *	  other, a lower limit would only cost capacity, and the higher limit is
+ *	  restored. The next trial begins after a pause that doubles with each
+ *	  failed or inconclusive trial and is at least 16 times the duration of
+ *	  the trial; it goes in the other direction if possible.
  *
  *	Windows that are not slow raise the limit by one towards the slots. A
  *	window counts only requests that started within it, so that requests
@@ -53,13 +53,14 @@
  *
  *	The figures are in docs/design/decisions.md. A failed trial withholds
  *	half the slots for at most 1/17 of the time. Further constants: a gain
- *	of 1/8 for the mean, 64 requests and 100 ms per window, a floor over 30
- *	to 60 s, hold times of 2 to 60 s, 60 s until an open window is
- *	discarded.
+ *	of 1/8 for the mean, 64 requests and 100 ms per window, a baseline over
+ *	30 to 60 s, pauses of 2 to 60 s between trials, 60 s until an open
+ *	window is discarded.
  *
  * SOURCE
- *	The windowed minimum as a floor follows BBR (Cardwell et al., ACM Queue
- *	2016); the response to explicit overload follows AIMD (Chiu, Jain 1989).
+ *	The windowed minimum as a baseline follows BBR (Cardwell et al., ACM
+ *	Queue 2016); the response to explicit overload follows AIMD (Chiu, Jain
+ *	1989).
  *
  * UNITS
  *	Times are monotonic microseconds.
@@ -110,17 +111,17 @@
 	uint32_t current;
 	struct limit_window window;
 	int64_t mean_p10_us; /* moving mean of the p10 */
-	int64_t mean_windows; /* windows in the mean; the count stops at 8 */
+	int64_t mean_windows; /* windows in the mean; stops at 8 */
 	uint32_t slow_windows; /* consecutive ones */
 	int64_t slow_p10_us; /* mean p10 of the last slow windows */
-	int64_t baseline_us[2]; /* lowest p10 of this period and the last */
+	int64_t baseline_us[2]; /* lowest mean of this period and the last */
 	int64_t baseline_period_start_us; /* start of the current period */
 	enum limit_trial trial;
 	enum limit_trial next_trial; /* direction to try first */
 	uint32_t trial_from; /* limit before the trial */
 	int64_t trial_p10_us; /* p10 before the trial */
-	int64_t trial_pause_us;
-	int64_t trial_pause_until_us;
+	int64_t trial_pause_us; /* least pause after the next trial */
+	int64_t trial_pause_until_us; /* no trial begins before */
 };
 
 /* 0 slots are treated as 1. */
--- a/include/comfreydockd/decide/pace.h
+++ b/include/comfreydockd/decide/pace.h
@@ -4,9 +4,14 @@
  *
  * DESCRIPTION
  *	An upstream that shares its host may report how long work takes there
- *	now, in percent of the usual time. The owner keeps the last report and
- *	decides before each start: start the request here, hold it until the
- *	slow spell ends, or turn it back, as not run, for another host.
+ *	now, in percent of the nominal time: at 200, work takes twice as long.
+ *	The owner keeps the last report and decides before each start: start the
+ *	request here, hold it until the slow spell ends, or turn it back, that
+ *	is, refuse it as not run, so that its entry sends it to another host.
+ *
+ *	The usual pace of a host is the lowest percentage that it reported
+ *	recently. It differs from the nominal pace, for example, on a host that
+ *	has just been started.
  *
  * LOAD PATTERN
  *	At any moment a quarter to a third of the hosts run seven times slower
@@ -52,44 +57,45 @@
 #define PACE_NOMINAL_PERCENT 100
 #define PACE_SLOW_FACTOR 1.5
 #define PACE_HOLD_MARGIN 1.5
-/* Work of unknown length is assumed to take 1/6 of the remaining time, as
- * deadlines commonly allow that multiple of the work. */
+/* Work of unknown length is assumed to take 1/6 of the time that remains until
+ * its deadline, as deadlines commonly allow that multiple of the work. */
 #define PACE_REMAINING_PER_WORK 6
-/* A deadline further away says nothing about the work. */
+/* The most remaining time from which work is estimated: a deadline further away
+ * says nothing about the work. */
 #define PACE_REMAINING_MAX_US ((int64_t)60 * 1000 * 1000)
 #define PACE_WINDOW_US ((int64_t)1500 * 1000)
 #define PACE_FRESH_US ((int64_t)25 * 1000)
 
 /* Zero-initialised, before the first report. */
 struct pace {
-	uint32_t percent; /* of the usual time; 0: never reported */
+	uint32_t percent; /* of the nominal time; 0: never reported */
 	int64_t at_us;
-	uint32_t sent_percent; /* last value sent to the entries */
+	uint32_t sent_percent; /* value when pace_note() last returned true */
 	/* The lowest reports of the current and the previous window; 0:
 	 * none. */
-	int64_t window_start_us;
+	int64_t window_start_us; /* of the current window */
 	uint32_t lowest;
 	uint32_t lowest_before;
 };
 
 struct pace_item {
-	bool may_turn_back; /* another host may take it */
-	uint32_t best_other_percent; /* best known pace of the other hosts; 0: none */
+	bool may_turn_back; /* the entry can send it to another host */
+	uint32_t best_other_percent; /* best pace of another host; 0: unknown */
 	bool slots_scarce; /* at least half of the slots are in use */
-	int64_t work_us; /* expected, at the usual pace; 0: unknown */
-	int64_t target_us; /* the answer is on time until then */
-	int64_t deadline_us;
+	int64_t work_us; /* expected, at the nominal pace; 0: unknown */
+	int64_t target_us; /* an answer after it is late but still useful */
+	int64_t deadline_us; /* nobody receives an answer after it */
 };
 
 enum pace_verdict {
 	PACE_START,
 	PACE_HOLD,
-	PACE_TURN_BACK,
+	PACE_TURN_BACK, /* refuse as not run; the entry tries another host */
 	PACE_TOO_LATE, /* too late even if the spell ended now */
 };
 
-/* RETURN VALUE: true if the report differs so much from the last one sent that
- * the entries must be told. */
+/* RETURN VALUE: true if the caller must send the report to the entries, because
+ * it differs clearly from the last one sent. */
 bool pace_note(struct pace *pace, uint32_t percent, int64_t now_us);
 
 bool pace_is_fresh(const struct pace *pace, int64_t now_us);
@@ -102,7 +108,7 @@
  * other_percent. */
 bool pace_is_worse(uint32_t percent, uint32_t other_percent);
 
-/* RETURN VALUE: the time that the work would have taken at the usual pace. */
+/* RETURN VALUE: the time that the work would have taken at the nominal pace. */
 int64_t pace_nominal_us(uint32_t percent, int64_t took_us);
 
 enum pace_verdict pace_judge(const struct pace *pace,
--- a/include/comfreydockd/decide/pick.h
+++ b/include/comfreydockd/decide/pick.h
@@ -91,7 +91,7 @@
 	uint64_t id; /* unique in the set, never 0 */
 	bool local; /* in the entry's own failure domain */
 	bool usable; /* membership and health allow new work */
-	double warm_weight; /* 0..1, weight during warm-up */
+	double warm_weight; /* 0..1, factor of the capacity in warm-up */
 	uint32_t slots; /* declared; 0: unknown */
 	void *data; /* for the entry */
 
@@ -101,7 +101,7 @@
 	struct pick_load load; /* the last report */
 	int64_t load_at_us;
 	double others_work; /* work of other entries at the last report */
-	double mean_others_utilisation; /* mean of others' work over its reports */
+	double mean_others_utilisation; /* over its reports */
 	double latency_us; /* running median; 0: unknown */
 	uint32_t latency_samples;
 	int64_t latency_at_us;
@@ -142,12 +142,12 @@
 	GPtrArray *eligible; /* scratch space of pick_choose() */
 	GArray *service_times; /* scratch space of pick_note_load() */
 	struct random_state random;
-	struct budget busy_refusal_budget;
+	struct budget busy_refusal_budget; /* charged in pick_note_refused() */
 	uint64_t next_turn; /* for round robin */
-	double mean_others_utilisation; /* mean of others' work over all reports */
+	double mean_others_utilisation; /* over all reports */
 	uint32_t reports;
 	double typical_service_us; /* median of all upstreams' last reports */
-	uint32_t assumed_pace; /* assumed for a host without a recent report */
+	uint32_t assumed_pace; /* of a host without a recent report */
 	double typical_latency_us; /* running median over all upstreams */
 	uint32_t typical_samples;
 };
@@ -156,7 +156,8 @@
 		   uint64_t seed);
 void pick_set_finish(struct pick_set *set);
 
-/* Resets the fields that pick maintains to "unknown" and sets warm_weight to 1. */
+/* Resets the fields that pick maintains to "unknown" and sets warm_weight to
+ * 1. */
 void pick_candidate_init(struct pick_candidate *candidate, uint64_t id);
 void pick_set_add(struct pick_set *set, struct pick_candidate *candidate);
 void pick_set_remove(struct pick_set *set, struct pick_candidate *candidate);
--- a/include/comfreydockd/decide/quarantine.h
+++ b/include/comfreydockd/decide/quarantine.h
@@ -74,7 +74,7 @@
 
 struct quarantine_record {
 	TAILQ_ENTRY(quarantine_record) link;
-	uint64_t key;
+	uint64_t key; /* hash of the request's content, see content.h */
 	uint32_t round; /* incremented with the first mark after a clear */
 	bool is_cleared;
 	uint32_t crash_count;
@@ -82,7 +82,7 @@
 	uint64_t crashes[QUARANTINE_CRASHES];
 	uint32_t failed_trials;
 	int64_t changed_us;
-	int64_t asked_us; /* when it last came to any daemon; approximate */
+	int64_t asked_us; /* last request at any daemon; approximate */
 	unsigned int times_sent; /* since the last change */
 	bool is_news;
 	bool is_on_trial; /* a trial runs on this host */
@@ -125,8 +125,8 @@
 
 struct quarantine;
 
-/* trial_delay_us: how long a request is held until its first trial; 0: no request is
- * ever held. The handler may be NULL. */
+/* trial_delay_us: how long a request is held until its first trial; 0: no
+ * request is ever held. The handler may be NULL. */
 struct quarantine *quarantine_create(int64_t trial_delay_us,
 				     quarantine_handler handler, void *data);
 void quarantine_destroy(struct quarantine *quarantine);
@@ -156,7 +156,8 @@
 void quarantine_begin_trial(struct quarantine *quarantine, uint64_t key);
 void quarantine_end_trial(struct quarantine *quarantine, uint64_t key);
 
-/* Removes expired records. Must be called regularly. */
+/* Forgets records once QUARANTINE_FORGET_US has passed for them. Must be called
+ * regularly. */
 void quarantine_tick(struct quarantine *quarantine, int64_t now_us);
 
 /* Merges a record from another daemon. Its times must be converted to this
@@ -164,13 +165,16 @@
 void quarantine_merge(struct quarantine *quarantine,
 		      const struct quarantine_record *received, int64_t now_us);
 
-/* Return true if there are records to send, or records that were never sent. */
+/* RETURN VALUE: true if a changed record has not been sent often enough yet. */
 bool quarantine_has_news(const struct quarantine *quarantine);
+
+/* RETURN VALUE: true if a changed record has not been sent at all yet. */
 bool quarantine_has_unsent(const struct quarantine *quarantine);
 
 /*
- * Copies the records to send with a packet to out; each change is sent
- * times_max times.
+ * Copies the records to send with a packet to out and counts them as sent. Each
+ * change is sent times_max times. After the changes come up to
+ * QUARANTINE_RESENT_MAX settled records, in turn, if size allows.
  *
  * RETURN VALUE: their number.
  */
--- a/include/comfreydockd/decide/queue.h
+++ b/include/comfreydockd/decide/queue.h
@@ -142,7 +142,7 @@
 
 struct queue_policy {
 	const char *name;
-	bool has_class_lanes;
+	bool has_class_lanes; /* false: all items wait in lane 0 */
 	heap_is_before is_before; /* orders fair_item.node */
 	/* Returns how long an item may wait from now on. */
 	int64_t (*allowed_wait_us)(const struct queue *queue,
