--- a/comfreydockd/decide/limit.c
+++ b/comfreydockd/decide/limit.c
@@ -25,8 +25,8 @@
 #define LIMIT_BASELINE_PERIOD_US (30 * US_PER_S)
 #define LIMIT_TRIAL_PAUSE_MIN_US (2 * US_PER_S)
 #define LIMIT_TRIAL_PAUSE_MAX_US (60 * US_PER_S)
-/* After a failed or inconclusive trial, the pause lasts at least this many
- * times as long as the trial did. */
+/* After a trial that failed, or in which the allowed slots were never all in
+ * use, the pause lasts at least this many times as long as the trial did. */
 #define LIMIT_TRIAL_PAUSE_FACTOR 16
 
 static void limit_window_begin(struct limit *limit, int64_t now_us)
--- a/comfreydockd/decide/pick.c
+++ b/comfreydockd/decide/pick.c
@@ -5,8 +5,8 @@
 
 #include "comfreydockd/decide/pace.h"
 
-/* The budget for refusals by owners that have no free slot and may not queue
- * the attempt: tokens per request, and the burst. */
+/* The budget for busy refusals, that is, refusals by owners that have no free
+ * slot and may not queue the attempt: tokens per request, and the burst. */
 #define PICK_REFUSAL_SHARE 0.5
 #define PICK_REFUSAL_BURST 10.0
 /* The weight of a report decays exponentially, since the work that it counted
@@ -38,6 +38,8 @@
 /* Weight of one report in the mean over all upstreams. */
 #define PICK_MEAN_ALPHA 0.05
 #define PICK_MEAN_IDLE_REPORTS 10.0
+/* Weight of one report in the mean over the reports of its upstream, and the
+ * time constant with which that mean decays. */
 #define PICK_CANDIDATE_MEAN_ALPHA 0.2
 #define PICK_CANDIDATE_MEAN_AGE_US 1e6
 #define PICK_WARM_MIN 0.05
--- a/comfreydockd/decide/quarantine.c
+++ b/comfreydockd/decide/quarantine.c
@@ -203,8 +203,8 @@
 		record_begin_round(record);
 	record->asked_us = now_us;
 	/* The crashes of a held record determine the hosts at which its trials
-	 * run (see record_trial_host()), so no further crash, in a trial or
-	 * not, is added to them. */
+	 * run (see record_trial_host()), so a crash that is noted later,
+	 * in a trial or not, must not change them. */
 	if (!quarantine_record_is_held(record))
 		is_changed = record_add_crash(record, crash_id);
 	if (record->is_on_trial) {
--- a/include/comfreydockd/decide/knee.h
+++ b/include/comfreydockd/decide/knee.h
@@ -65,7 +65,7 @@
 };
 
 /* Notes a successful request: the busy slots at its start, itself included, and
- * how long it took at the host's usual pace. */
+ * how long it would have taken at the nominal pace. */
 void knee_note(struct knee *knee, enum config_class class, uint32_t busy,
 	       uint32_t slots, int64_t took_us, int64_t now_us);
 
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -129,8 +129,8 @@
 	/* This work is short enough even at the slow pace. */
 	item.work_us = 40 * MS;
 	g_assert_cmpint(pace_judge(&pace, &item, 1 * MS), ==, PACE_START);
-	/* The spell is over; twice the usual time counts as normal after a
-	 * start. */
+	/* The spell is over; twice the nominal time counts as normal
+	 * after a start. */
 	item.work_us = 0;
 	pace_note(&pace, 200, 500 * MS);
 	g_assert_cmpint(pace_judge(&pace, &item, 500 * MS), ==, PACE_START);
@@ -150,7 +150,7 @@
 	g_assert_false(pace_is_fresh(&pace, 7 + PACE_FRESH_US));
 }
 
-static void test_times_at_the_usual_pace(void)
+static void test_times_at_the_nominal_pace(void)
 {
 	g_assert_cmpint(pace_nominal_us(SLOW, 420 * MS), ==, 60 * MS);
 	g_assert_cmpint(pace_nominal_us(FAST, 60 * MS), ==, 60 * MS);
@@ -235,7 +235,7 @@
 	g_test_add_func("/pace/cold-start", test_cold_start_is_not_a_slow_spell);
 	g_test_add_func("/pace/report-large-changes",
 			test_only_large_changes_are_reported);
-	g_test_add_func("/pace/usual", test_times_at_the_usual_pace);
+	g_test_add_func("/pace/nominal", test_times_at_the_nominal_pace);
 	g_test_add_func("/pace/load", test_callers_get_answers_in_time);
 	return g_test_run();
 }
