--- a/include/comfreydockd/decide/limit.h
+++ b/include/comfreydockd/decide/limit.h
@@ -18,8 +18,8 @@
  *	  falls by nearly the same ratio, concurrency caused the slowness, and
  *	  the lower limit stays. Otherwise, the slots are independent of each
  *	  other, a lower limit would only cost capacity, and the higher limit is
- *	  restored. After a trial that failed, or in which the allowed slots were
- *	  never all in use, the next trial begins after a pause. The pause
+ *	  restored. After a trial that failed, or in which the allowed slots
+ *	  were never all in use, the next trial begins after a pause. The pause
  *	  doubles each time and is at least 16 times the duration of the trial.
  *	  After a failed trial, the next one goes in the other direction if
  *	  possible.
