--- a/include/comfreydockd/decide/quarantine.h
+++ b/include/comfreydockd/decide/quarantine.h
@@ -74,7 +74,7 @@
 
 struct quarantine_record {
 	TAILQ_ENTRY(quarantine_record) link;
-	uint64_t key;
+	uint64_t key; /* hash of the request's content, see content.h */
 	uint32_t round; /* incremented with the first mark after a clear */
 	bool is_cleared;
 	uint32_t crash_count;
@@ -82,7 +82,7 @@
 	uint64_t crashes[QUARANTINE_CRASHES];
 	uint32_t failed_trials;
 	int64_t changed_us;
-	int64_t asked_us; /* when it last came to any daemon; approximate */
+	int64_t asked_us; /* last request at any daemon; approximate */
 	unsigned int times_sent; /* since the last change */
 	bool is_news;
 	bool is_on_trial; /* a trial runs on this host */
@@ -92,7 +92,7 @@
 
 enum quarantine_change {
 	QUARANTINE_MARKED,
-	QUARANTINE_HOLDS, /* newly held, or held again after a trial */
+	QUARANTINE_HOLD_BEGAN, /* newly held, or held again after a trial */
 	QUARANTINE_CLEARED,
 	QUARANTINE_FORGOTTEN,
 };
@@ -125,9 +125,9 @@
 
 struct quarantine;
 
-/* trial_us: how long a request is held until its first trial; 0: no request is
- * ever held. The handler may be NULL. */
-struct quarantine *quarantine_create(int64_t trial_us,
+/* trial_delay_us: how long a request is held until its first trial; 0: no
+ * request is ever held. The handler may be NULL. */
+struct quarantine *quarantine_create(int64_t trial_delay_us,
 				     quarantine_handler handler, void *data);
 void quarantine_destroy(struct quarantine *quarantine);
 
@@ -142,7 +142,7 @@
  * recently or because the table is full of held requests.
  */
 bool quarantine_note_crash(struct quarantine *quarantine, uint64_t key,
-			   uint64_t crash, int64_t now_us);
+			   uint64_t crash_id, int64_t now_us);
 
 /* Notes that an upstream gave a complete answer below 500 to the request. */
 void quarantine_note_answer(struct quarantine *quarantine, uint64_t key,
@@ -156,7 +156,8 @@
 void quarantine_begin_trial(struct quarantine *quarantine, uint64_t key);
 void quarantine_end_trial(struct quarantine *quarantine, uint64_t key);
 
-/* Removes expired records. Must be called regularly. */
+/* Forgets records once QUARANTINE_FORGET_US has passed for them. Must be called
+ * regularly. */
 void quarantine_tick(struct quarantine *quarantine, int64_t now_us);
 
 /* Merges a record from another daemon. Its times must be converted to this
@@ -164,30 +165,34 @@
 void quarantine_merge(struct quarantine *quarantine,
 		      const struct quarantine_record *received, int64_t now_us);
 
-/* Return true if there are records to send, or records that were never sent. */
+/* RETURN VALUE: true if a changed record has not been sent often enough yet. */
 bool quarantine_has_news(const struct quarantine *quarantine);
+
+/* RETURN VALUE: true if a changed record has not been sent at all yet. */
 bool quarantine_has_unsent(const struct quarantine *quarantine);
 
 /*
- * Copies the records to send with a packet to out; each change is sent
- * times_max times.
+ * Copies the records to send with a packet to out and counts them as sent. Each
+ * change is sent times_max times. After the changes come up to
+ * QUARANTINE_RESENT_MAX settled records, in turn, if size allows.
  *
  * RETURN VALUE: their number.
  */
-size_t quarantine_copy_news(struct quarantine *quarantine, unsigned int times_max,
-			    struct quarantine_record *out, size_t size);
+size_t quarantine_fill_packet(struct quarantine *quarantine,
+			      unsigned int times_max,
+			      struct quarantine_record *out, size_t size);
 
 /* RETURN VALUE: false if there is no mark to clear. */
 bool quarantine_clear(struct quarantine *quarantine, uint64_t key,
 		      int64_t now_us);
 
 /* Calls handle_record for each record. */
-void quarantine_list(const struct quarantine *quarantine,
-		     void (*handle_record)(const struct quarantine_record *record,
-					   void *data),
-		     void *data);
+void quarantine_foreach(const struct quarantine *quarantine,
+			void (*handle_record)(const struct quarantine_record *record,
+					      void *data),
+			void *data);
 
 /* RETURN VALUE: the number of held requests. */
-unsigned int quarantine_held(const struct quarantine *quarantine);
+unsigned int quarantine_held_count(const struct quarantine *quarantine);
 
 #endif
