--- a/bench/capacity/bench_links.c
+++ b/bench/capacity/bench_links.c
@@ -100,8 +100,8 @@
 	endpoint->daemon.members = member_table_create();
 	endpoint->daemon.peers = peers_create(&endpoint->daemon);
 	g_assert_nonnull(endpoint->daemon.peers);
-	peers_set_owner(endpoint->daemon.peers, &owner);
-	peers_set_entry(endpoint->daemon.peers, &entry);
+	peers_set_owner_role(endpoint->daemon.peers, &owner);
+	peers_set_entry_role(endpoint->daemon.peers, &entry);
 }
 
 static void endpoint_finish(struct endpoint *endpoint)
--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -53,7 +53,7 @@
 	entry->tick.data = entry;
 	ev_timer_start(daemon->loop, &entry->tick);
 	entry_fill_role(entry, &role);
-	peers_set_entry(daemon->peers, &role);
+	peers_set_entry_role(daemon->peers, &role);
 	return entry;
 }
 
@@ -68,7 +68,7 @@
 		call->sink->handle_abort(call->sink_data);
 		call_free(call);
 	}
-	peers_set_entry(entry->daemon->peers, &none);
+	peers_set_entry_role(entry->daemon->peers, &none);
 	ev_timer_stop(entry->daemon->loop, &entry->tick);
 	g_hash_table_unref(entry->attempts);
 	g_hash_table_unref(entry->by_peer);
--- a/comfreydockd/caller/frames.c
+++ b/comfreydockd/caller/frames.c
@@ -161,7 +161,7 @@
 
 static void attempt_handle_link_lost(struct entry_attempt *attempt)
 {
-	bool was_sent = peer_has_handed_over(attempt->peer, attempt->position);
+	bool was_sent = peer_has_begun_sending(attempt->peer, attempt->position);
 
 	attempt_entry_step(&attempt->state,
 			   was_sent ? ENTRY_LINK_LOST : ENTRY_LINK_LOST_UNSENT);
--- a/comfreydockd/peer/link.c
+++ b/comfreydockd/peer/link.c
@@ -20,8 +20,8 @@
 #define BUFFER_KEEP_BYTES 2048
 
 struct link {
-	LIST_ENTRY(link) link;
-	LIST_ENTRY(link) dirty_link;
+	LIST_ENTRY(link) all_node;
+	LIST_ENTRY(link) flush_node;
 	struct link_group *group;
 	struct link_callbacks callbacks;
 	int fd; /* -1: an in-memory link */
@@ -36,7 +36,7 @@
 	size_t out_start;
 	uint64_t queued; /* all bytes ever passed to link_send() */
 	uint64_t handed_over; /* those given to the kernel or the other end */
-	bool dirty;
+	bool flush_scheduled;
 	bool trusted;
 	bool failed;
 	bool dispatching;
@@ -236,20 +236,20 @@
 	link_parse(other);
 }
 
-static void link_unmark_dirty(struct link *link)
+static void link_unschedule_flush(struct link *link)
 {
-	if (!link->dirty)
+	if (!link->flush_scheduled)
 		return;
-	link->dirty = false;
-	LIST_REMOVE(link, dirty_link);
+	link->flush_scheduled = false;
+	LIST_REMOVE(link, flush_node);
 }
 
 static void link_group_flush(struct link_group *group)
 {
 	struct link *link;
 
-	while ((link = LIST_FIRST(&group->dirty))) {
-		link_unmark_dirty(link);
+	while ((link = LIST_FIRST(&group->to_flush))) {
+		link_unschedule_flush(link);
 		if (link->failed)
 			continue;
 		if (link->fd < 0)
@@ -278,28 +278,28 @@
 {
 	group->loop = loop;
 	group->chunk = g_malloc(READ_CHUNK_BYTES);
-	LIST_INIT(&group->dirty);
+	LIST_INIT(&group->to_flush);
 	LIST_INIT(&group->all);
-	ev_prepare_init(&group->flush, handle_flush);
+	ev_prepare_init(&group->flush_prepare, handle_flush);
 	ev_timer_init(&group->flush_timer, handle_flush_timer, 0.0, 0.0);
-	group->flush.data = group;
+	group->flush_prepare.data = group;
 	group->flush_timer.data = group;
-	ev_prepare_start(loop, &group->flush);
+	ev_prepare_start(loop, &group->flush_prepare);
 }
 
 void link_group_finish(struct link_group *group)
 {
-	ev_prepare_stop(group->loop, &group->flush);
+	ev_prepare_stop(group->loop, &group->flush_prepare);
 	ev_timer_stop(group->loop, &group->flush_timer);
 	g_free(group->chunk);
 }
 
-void link_group_drain_input(struct link_group *group)
+void link_group_read_input(struct link_group *group)
 {
 	struct link *link = LIST_FIRST(&group->all);
 
 	while (link) {
-		struct link *next = LIST_NEXT(link, link);
+		struct link *next = LIST_NEXT(link, all_node);
 
 		if (link->fd >= 0 && !link->failed)
 			link_read(link, SIZE_MAX);
@@ -332,7 +332,7 @@
 	link->reader.data = link;
 	link->writer.data = link;
 	link->close_timer.data = link;
-	LIST_INSERT_HEAD(&group->all, link, link);
+	LIST_INSERT_HEAD(&group->all, link, all_node);
 	return link;
 }
 
@@ -365,8 +365,8 @@
 	ev_io_stop(link->group->loop, &link->reader);
 	ev_io_stop(link->group->loop, &link->writer);
 	ev_timer_stop(link->group->loop, &link->close_timer);
-	link_unmark_dirty(link);
-	LIST_REMOVE(link, link);
+	link_unschedule_flush(link);
+	LIST_REMOVE(link, all_node);
 	if (link->other) {
 		link->other->other = NULL;
 		link_fail(link->other, "closed by peer");
@@ -383,12 +383,12 @@
 	link->trusted = true;
 }
 
-static void link_mark_dirty(struct link *link)
+static void link_schedule_flush(struct link *link)
 {
-	if (link->dirty)
+	if (link->flush_scheduled)
 		return;
-	link->dirty = true;
-	LIST_INSERT_HEAD(&link->group->dirty, link, dirty_link);
+	link->flush_scheduled = true;
+	LIST_INSERT_HEAD(&link->group->to_flush, link, flush_node);
 	/* Keeps the loop from blocking if its prepare watchers have already
 	 * run. */
 	ev_timer_start(link->group->loop, &link->group->flush_timer);
@@ -409,11 +409,11 @@
 	cfd__frame__pack(frame, link->out->data + at + LENGTH_BYTES);
 	link->queued += LENGTH_BYTES + size;
 	counters.peer_frames_out++;
-	link_mark_dirty(link);
+	link_schedule_flush(link);
 	return position;
 }
 
-bool link_has_handed_over(const struct link *link, uint64_t position)
+bool link_has_begun_sending(const struct link *link, uint64_t position)
 {
 	return link->handed_over > position;
 }
--- a/comfreydockd/peer/peers.c
+++ b/comfreydockd/peer/peers.c
@@ -218,12 +218,12 @@
 	g_free(peers);
 }
 
-void peers_set_entry(struct peers *peers, const struct peers_role *role)
+void peers_set_entry_role(struct peers *peers, const struct peers_role *role)
 {
 	peers->entry = *role;
 }
 
-void peers_set_owner(struct peers *peers, const struct peers_role *role)
+void peers_set_owner_role(struct peers *peers, const struct peers_role *role)
 {
 	peers->owner = *role;
 }
@@ -300,9 +300,9 @@
 		link_fail(peer->link, "host is dead");
 }
 
-void peers_drain_input(struct peers *peers)
+void peers_read_input(struct peers *peers)
 {
-	link_group_drain_input(&peers->links);
+	link_group_read_input(&peers->links);
 }
 
 static uint64_t peer_hold(struct peer *peer, const Cfd__Frame *frame)
@@ -326,10 +326,10 @@
 	return link_send(peer->link, frame) - peer->base;
 }
 
-bool peer_has_handed_over(const struct peer *peer, uint64_t position)
+bool peer_has_begun_sending(const struct peer *peer, uint64_t position)
 {
 	return peer->state == PEER_READY &&
-	       link_has_handed_over(peer->link, peer->base + position);
+	       link_has_begun_sending(peer->link, peer->base + position);
 }
 
 void peer_begin_use(struct peer *peer)
--- a/comfreydockd/upstream/attempts.c
+++ b/comfreydockd/upstream/attempts.c
@@ -24,7 +24,7 @@
 {
 	if (attempt->peer)
 		LIST_REMOVE(attempt, link);
-	owner_remove_held(attempt->owner, attempt);
+	owner_remove_from_gate(attempt->owner, attempt);
 	run_destroy(attempt->run);
 	if (attempt->body)
 		g_byte_array_unref(attempt->body);
@@ -82,8 +82,9 @@
 	peer_send(attempt->peer, &frame);
 }
 
-static void attempt_send_body(struct owner_attempt *attempt, const void *bytes,
-			      size_t size, bool ends, bool aborted)
+static void attempt_send_answer_body(struct owner_attempt *attempt,
+				     const void *bytes, size_t size, bool ends,
+				     bool aborted)
 {
 	Cfd__Load load = CFD__LOAD__INIT;
 	Cfd__AnswerBody body = CFD__ANSWER_BODY__INIT;
@@ -137,7 +138,7 @@
 	attempt->status = status;
 	latency_record_us(&latencies.owner_upstream,
 			  attempt->head_us - attempt->started_us);
-	owner_note_answer(attempt->owner, fields);
+	owner_note_load_header(attempt->owner, fields);
 	attempt->verdict = attempt_classify(attempt, status, fields);
 	if (attempt->verdict != ANSWER_GOOD)
 		return false;
@@ -159,17 +160,17 @@
 	return true;
 }
 
-static void handle_body(void *data, const void *bytes, size_t size)
+static void handle_answer_body(void *data, const void *bytes, size_t size)
 {
 	struct owner_attempt *attempt = data;
 
 	attempt->credit -= (int64_t)size;
 	if (attempt->credit <= 0 && !attempt->stalled_since_us)
 		attempt->stalled_since_us = clock_mono_us();
-	attempt_send_body(attempt, bytes, size, false, false);
+	attempt_send_answer_body(attempt, bytes, size, false, false);
 }
 
-static void handle_body_consumed(void *data, size_t size)
+static void handle_request_body_consumed(void *data, size_t size)
 {
 	struct owner_attempt *attempt = data;
 	Cfd__Window window = CFD__WINDOW__INIT;
@@ -193,14 +194,14 @@
 		     LOG_INT("took_us", clock_mono_us() - attempt->started_us));
 	owner_note_finished(attempt->owner, attempt,
 			    failed ? LIMIT_OUTCOME_FAILED : LIMIT_OUTCOME_OK);
-	owner_note_run(attempt->owner, true);
-	attempt_send_body(attempt, NULL, 0, true, false);
+	owner_note_breaker_result(attempt->owner, true);
+	attempt_send_answer_body(attempt, NULL, 0, true, false);
 	attempt_destroy(attempt);
 }
 
 /* Nothing was written to the upstream, or the upstream itself states that it
  * did not run the request. */
-static void attempt_finish_not_begun(struct owner_attempt *attempt)
+static void attempt_finish_not_run(struct owner_attempt *attempt)
 {
 	struct owner *owner = attempt->owner;
 
@@ -214,21 +215,21 @@
 		reason = CFD__REASON__REASON_NO_UPSTREAM;
 		owner_note_other_instance(owner);
 	} else {
-		owner_note_refused(owner);
+		owner_note_connection_refused(owner);
 	}
 	attempt_refuse(attempt, reason, owner_retry_after_ms(owner));
 }
 
-static void attempt_finish_broken(struct owner_attempt *attempt, bool has_head,
-				  const char *why)
+static void attempt_finish_broken(struct owner_attempt *attempt,
+				  bool head_was_sent, const char *why)
 {
 	attempt_owner_step(&attempt->state, OWNER_BREAK);
 	counters.owner_broken++;
 	attempt_note(attempt, EV_OWNER_BROKEN, LOG_STR("why", why),
 		     LOG_INT("took_us", clock_mono_us() - attempt->started_us));
 	owner_note_finished(attempt->owner, attempt, LIMIT_OUTCOME_CANCELLED);
-	if (has_head)
-		attempt_send_body(attempt, NULL, 0, false, true);
+	if (head_was_sent)
+		attempt_send_answer_body(attempt, NULL, 0, false, true);
 	else
 		attempt_send_failed(attempt, why);
 	attempt_destroy(attempt);
@@ -253,7 +254,7 @@
 
 	if (attempt->verdict == ANSWER_NOT_RUN ||
 	    attempt->verdict == ANSWER_OTHER_INSTANCE || result == RUN_NOT_BEGUN) {
-		attempt_finish_not_begun(attempt);
+		attempt_finish_not_run(attempt);
 		return;
 	}
 	if (attempt->verdict == ANSWER_GOOD && result == RUN_COMPLETE) {
@@ -267,10 +268,10 @@
 		attempt_finish_broken(attempt, result == RUN_TRUNCATED,
 				      "upstream did not complete its answer");
 	}
-	owner_note_run(owner, false);
+	owner_note_breaker_result(owner, false);
 }
 
-void attempt_break(struct owner_attempt *attempt, const char *why)
+void attempt_abort(struct owner_attempt *attempt, const char *why)
 {
 	/* Nothing was written yet, so "not run" is certain and tells the entry
 	 * more than "failed". */
@@ -284,14 +285,14 @@
 	attempt_finish_broken(attempt, attempt->head_us != 0, why);
 }
 
-void attempt_give_up(struct owner_attempt *attempt)
+void attempt_cancel_running(struct owner_attempt *attempt)
 {
 	/* A request whose body is incomplete is aborted as well: if its body
 	 * were ended here, the upstream would take the part for the whole and
 	 * book something that nobody asked for. */
 	if (attempt->request->idempotent || !run_has_begun(attempt->run) ||
 	    !attempt->body_ends) {
-		attempt_break(attempt, "cancelled");
+		attempt_abort(attempt, "cancelled");
 		return;
 	}
 	/* A half-finished booking is worse than one that nobody waits for: it
@@ -338,14 +339,14 @@
 {
 	static const struct run_callbacks callbacks = {
 		.handle_head = handle_head,
-		.handle_body = handle_body,
-		.handle_body_consumed = handle_body_consumed,
+		.handle_answer_body = handle_answer_body,
+		.handle_request_body_consumed = handle_request_body_consumed,
 		.handle_done = handle_done,
 	};
 	const Cfd__Attempt *request = attempt->request;
 	int64_t now = clock_mono_us();
 	struct fields fields;
-	struct run_request run = {
+	struct run_request run_request = {
 		.method = request->method,
 		.target = request->target,
 		.fields = &fields,
@@ -369,7 +370,7 @@
 	counters.gate_slow_starts += owner_is_slow(attempt->owner);
 	latency_record_us(&latencies.owner_waited, now - attempt->arrived_us);
 	attempt_fill_fields(attempt, &fields, attempt->item.deadline_us - now);
-	attempt->run = run_create(owner_pool(attempt->owner), &run,
+	attempt->run = run_create(owner_pool(attempt->owner), &run_request,
 				  (size_t)attempt->credit, &callbacks, attempt);
 	fields_finish(&fields);
 	if (attempt->body)
@@ -377,7 +378,7 @@
 			     attempt->body->len, attempt->body_ends);
 }
 
-void attempt_add_body(struct owner_attempt *attempt, const Cfd__Body *body)
+void attempt_add_request_body(struct owner_attempt *attempt, const Cfd__Body *body)
 {
 	attempt->body_ends |= body->ends;
 	if (attempt->run) {
--- a/comfreydockd/upstream/crash.c
+++ b/comfreydockd/upstream/crash.c
@@ -24,10 +24,10 @@
 		quarantine_end_trial(owner->daemon->quarantine,
 				     owner->crash.runs[i].content);
 	owner->crash.count = 0;
-	ev_timer_stop(owner->daemon->loop, &owner->crash.check);
+	ev_timer_stop(owner->daemon->loop, &owner->crash.port_check_timer);
 }
 
-static void crash_schedule(struct owner *owner)
+static void crash_schedule_next_check(struct owner *owner)
 {
 	struct crash_watch *watch = &owner->crash;
 
@@ -35,7 +35,7 @@
 		crash_clear(owner);
 		return;
 	}
-	timer_restart_us(owner->daemon->loop, &watch->check,
+	timer_restart_us(owner->daemon->loop, &watch->port_check_timer,
 			 check_delays_ms[watch->checks] * US_PER_MS);
 }
 
@@ -46,21 +46,21 @@
 	(void)events;
 	ev_timer_stop(loop, timer);
 	owner->crash.checks++;
-	if (probe_is_listening(owner->probe))
-		crash_schedule(owner);
+	if (probe_upstream_is_listening(owner->probe))
+		crash_schedule_next_check(owner);
 	else
 		crash_confirm(owner, "refused");
 }
 
 void crash_init(struct owner *owner)
 {
-	ev_init(&owner->crash.check, handle_check);
-	owner->crash.check.data = owner;
+	ev_init(&owner->crash.port_check_timer, handle_check);
+	owner->crash.port_check_timer.data = owner;
 }
 
 void crash_finish(struct owner *owner)
 {
-	ev_timer_stop(owner->daemon->loop, &owner->crash.check);
+	ev_timer_stop(owner->daemon->loop, &owner->crash.port_check_timer);
 }
 
 void crash_note_broken(struct owner *owner, const struct owner_attempt *attempt)
@@ -69,12 +69,12 @@
 	int64_t now = clock_mono_us();
 	struct crash_run *run;
 
-	if (now - watch->broken_us > CRASH_WINDOW_MS * US_PER_MS)
+	if (now - watch->last_broken_us > CRASH_WINDOW_MS * US_PER_MS)
 		crash_clear(owner);
-	watch->broken_us = now;
+	watch->last_broken_us = now;
 	if (watch->count == 0) {
 		watch->checks = 0;
-		crash_schedule(owner);
+		crash_schedule_next_check(owner);
 	}
 	if (watch->count == CRASH_RUNS_MAX)
 		return;
@@ -85,7 +85,7 @@
 }
 
 /* A request that ran several times at the upstream is marked only once. */
-static bool is_first(const struct crash_watch *watch, unsigned int at)
+static bool is_first_of_content(const struct crash_watch *watch, unsigned int at)
 {
 	for (unsigned int i = 0; i < at; i++) {
 		if (watch->runs[i].content == watch->runs[at].content)
@@ -95,44 +95,46 @@
 }
 
 static const char *mark_crashed_run(struct owner *owner, unsigned int at,
-				    uint64_t crash)
+				    uint64_t crash_id)
 {
 	const struct crash_watch *watch = &owner->crash;
 
 	if (watch->runs[at].content == 0)
 		return "unknown";
-	if (!is_first(watch, at))
+	if (!is_first_of_content(watch, at))
 		return "again";
 	if (quarantine_note_crash(owner->daemon->quarantine,
-				  watch->runs[at].content, crash, clock_mono_us()))
+				  watch->runs[at].content, crash_id,
+				  clock_mono_us()))
 		return "marked";
 	counters.quarantine_spared++;
 	return "spared";
 }
 
-static void record_crashed_run(struct owner *owner, unsigned int at,
-			       uint64_t crash)
+static void mark_and_log_crashed_run(struct owner *owner, unsigned int at,
+				     uint64_t crash_id)
 {
 	const struct crash_run *run = &owner->crash.runs[at];
-	const char *outcome = mark_crashed_run(owner, at, crash);
+	const char *outcome = mark_crashed_run(owner, at, crash_id);
 	char content[KEY_TEXT_SIZE];
 
 	timeline_log(&owner->daemon->timeline, run->trace, EV_OWNER_RAN_AT_CRASH,
 		     LOG_STR("content", key_text(run->content, content)),
 		     LOG_STR("outcome", outcome),
-		     LOG_INT("ran_us", owner->crash.broken_us - run->started_us));
+		     LOG_INT("ran_us",
+			     owner->crash.last_broken_us - run->started_us));
 }
 
 void crash_confirm(struct owner *owner, const char *by)
 {
 	struct crash_watch *watch = &owner->crash;
-	int64_t age_us = clock_mono_us() - watch->broken_us;
-	uint64_t crash;
+	int64_t age_us = clock_mono_us() - watch->last_broken_us;
+	uint64_t crash_id;
 
 	if (watch->count == 0)
 		return;
 	if (age_us <= CRASH_CONFIRM_MS * US_PER_MS) {
-		crash = quarantine_crash_id(
+		crash_id = quarantine_crash_id(
 			member_host_hash(owner->daemon->settings->host),
 			id_random_u64());
 		counters.owner_crashes++;
@@ -141,7 +143,7 @@
 			  LOG_INT("runs", watch->count),
 			  LOG_INT("age_us", age_us));
 		for (unsigned int i = 0; i < watch->count; i++)
-			record_crashed_run(owner, i, crash);
+			mark_and_log_crashed_run(owner, i, crash_id);
 	}
 	crash_clear(owner);
 }
@@ -155,8 +157,8 @@
 	return false;
 }
 
-void crash_note_finished(struct owner *owner,
-			 const struct owner_attempt *attempt, bool is_served)
+void crash_note_run_result(struct owner *owner,
+			   const struct owner_attempt *attempt, bool is_served)
 {
 	struct quarantine *quarantine = owner->daemon->quarantine;
 	uint64_t content = attempt->request->content_key;
@@ -173,14 +175,14 @@
 check_quarantine(const struct owner *owner, const struct owner_attempt *attempt)
 {
 	const char *host = owner->daemon->settings->host;
-	struct quarantine_decision answer =
+	struct quarantine_decision decision =
 		quarantine_judge(owner->daemon->quarantine,
 				 attempt->request->content_key, clock_mono_us());
 
-	if (answer.verdict == QUARANTINE_TRIAL &&
-	    answer.trial_host != member_host_hash(host))
-		answer.verdict = QUARANTINE_HELD;
-	return answer;
+	if (decision.verdict == QUARANTINE_TRIAL &&
+	    decision.trial_host != member_host_hash(host))
+		decision.verdict = QUARANTINE_HELD;
+	return decision;
 }
 
 static void refuse_quarantined(struct owner_attempt *attempt, int64_t left_us)
@@ -191,13 +193,14 @@
 		       (uint32_t)(MAX(left_us, 0) / US_PER_MS));
 }
 
-bool crash_may_queue(struct owner *owner, struct owner_attempt *attempt)
+bool owner_quarantine_admit_arrival(struct owner *owner,
+				    struct owner_attempt *attempt)
 {
-	struct quarantine_decision answer = check_quarantine(owner, attempt);
+	struct quarantine_decision decision = check_quarantine(owner, attempt);
 
-	if (answer.verdict != QUARANTINE_HELD)
+	if (decision.verdict != QUARANTINE_HELD)
 		return true;
-	refuse_quarantined(attempt, answer.left_us);
+	refuse_quarantined(attempt, decision.left_us);
 	return false;
 }
 
@@ -214,15 +217,16 @@
 		     LOG_STR("content", key_text(key, content)));
 }
 
-bool crash_may_start(struct owner *owner, struct owner_attempt *attempt)
+bool owner_quarantine_admit_start(struct owner *owner,
+				  struct owner_attempt *attempt)
 {
-	struct quarantine_decision answer = check_quarantine(owner, attempt);
+	struct quarantine_decision decision = check_quarantine(owner, attempt);
 
-	if (answer.verdict == QUARANTINE_HELD) {
-		refuse_quarantined(attempt, answer.left_us);
+	if (decision.verdict == QUARANTINE_HELD) {
+		refuse_quarantined(attempt, decision.left_us);
 		return false;
 	}
-	if (answer.verdict == QUARANTINE_TRIAL)
+	if (decision.verdict == QUARANTINE_TRIAL)
 		begin_trial(owner, attempt);
 	return true;
 }
--- a/comfreydockd/upstream/frames.c
+++ b/comfreydockd/upstream/frames.c
@@ -47,7 +47,7 @@
 			       OWNER_RETRY_AFTER_MS);
 		return;
 	}
-	if (crash_may_queue(owner, attempt))
+	if (owner_quarantine_admit_arrival(owner, attempt))
 		gate_offer(owner, attempt);
 }
 
@@ -68,7 +68,7 @@
 {
 	counters.owner_cancels++;
 	if (attempt->state == OWNER_ATTEMPT_RUNNING) {
-		attempt_give_up(attempt);
+		attempt_cancel_running(attempt);
 		return;
 	}
 	queue_remove(&owner->queue, &attempt->item);
@@ -115,7 +115,7 @@
 	case CFD__FRAME__KIND_BODY:
 		attempt = owner_find(peer, frame->body->seq);
 		if (attempt)
-			attempt_add_body(attempt, frame->body);
+			attempt_add_request_body(attempt, frame->body);
 		break;
 	case CFD__FRAME__KIND_CANCEL:
 		attempt = owner_find(peer, frame->cancel->seq);
--- a/comfreydockd/upstream/gate.c
+++ b/comfreydockd/upstream/gate.c
@@ -74,7 +74,7 @@
 static void gate_refuse(struct owner *owner, struct owner_attempt *attempt,
 			Cfd__Reason reason)
 {
-	owner_remove_held(owner, attempt);
+	owner_remove_from_gate(owner, attempt);
 	attempt_owner_step(&attempt->state, OWNER_REFUSE);
 	attempt_refuse(attempt, reason, owner_retry_after_ms(owner));
 }
@@ -104,8 +104,8 @@
 {
 	if (!gate_decide(owner, attempt))
 		return;
-	owner_remove_held(owner, attempt);
-	owner_offer(owner, attempt);
+	owner_remove_from_gate(owner, attempt);
+	owner_enqueue(owner, attempt);
 }
 
 bool gate_may_start(struct owner *owner, struct owner_attempt *attempt)
@@ -179,7 +179,7 @@
 	}
 }
 
-void gate_note_run(struct owner *owner, bool is_answer)
+void gate_note_breaker_result(struct owner *owner, bool is_answer)
 {
 	if (!breaker_note_result(&owner->breaker, is_answer))
 		return;
@@ -232,7 +232,7 @@
 	struct owner_attempt *attempt;
 
 	while ((attempt = TAILQ_FIRST(&owner->held))) {
-		owner_remove_held(owner, attempt);
+		owner_remove_from_gate(owner, attempt);
 		attempt_destroy(attempt);
 	}
 	ev_timer_stop(owner->daemon->loop, &owner->gate_timer);
--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -118,11 +118,11 @@
 			 enum limit_outcome outcome)
 {
 	int64_t now = clock_mono_us();
-	int64_t first_byte_us = attempt->head_us ? attempt->head_us : now;
+	int64_t head_or_end_us = attempt->head_us ? attempt->head_us : now;
 	int64_t usual_us =
 		pace_usual_us(attempt->pace_percent, now - attempt->started_us);
 
-	limit_note_done(&owner->limit, first_byte_us - attempt->started_us,
+	limit_note_done(&owner->limit, head_or_end_us - attempt->started_us,
 			outcome, owner->running, now);
 	if (outcome == LIMIT_OUTCOME_OK || outcome == LIMIT_OUTCOME_FAILED) {
 		queue_note_done(&owner->queue, attempt->item.class, usual_us);
@@ -135,8 +135,8 @@
 	} else if (outcome == LIMIT_OUTCOME_FAILED) {
 		speed_note_error(&owner->speed);
 	}
-	crash_note_finished(owner, attempt, outcome == LIMIT_OUTCOME_OK);
-	if (first_byte_us > attempt->item.deadline_us)
+	crash_note_run_result(owner, attempt, outcome == LIMIT_OUTCOME_OK);
+	if (head_or_end_us > attempt->item.deadline_us)
 		counters.owner_late++;
 	TAILQ_REMOVE(&owner->runs, attempt, running_link);
 	owner->running--;
@@ -170,7 +170,7 @@
 			continue;
 		}
 		if (!gate_may_start(owner, owner_attempt_of(item)) ||
-		    !crash_may_start(owner, owner_attempt_of(item)))
+		    !owner_quarantine_admit_start(owner, owner_attempt_of(item)))
 			continue;
 		owner->running++;
 		TAILQ_INSERT_TAIL(&owner->runs, owner_attempt_of(item),
@@ -232,7 +232,7 @@
 		return;
 	owner_notice_freeze(owner, now);
 	if (now < owner->no_start_before_us) {
-		peers_drain_input(owner->daemon->peers);
+		peers_read_input(owner->daemon->peers);
 		timer_restart_us(loop, &owner->dispatch_timer,
 				 owner->no_start_before_us - now);
 		return;
@@ -263,7 +263,7 @@
 	return false;
 }
 
-void owner_offer(struct owner *owner, struct owner_attempt *attempt)
+void owner_enqueue(struct owner *owner, struct owner_attempt *attempt)
 {
 	struct queue_slots slots = owner_slots(owner);
 	uint32_t retry_after_ms = OWNER_RETRY_AFTER_MS;
@@ -313,7 +313,7 @@
 	ev_prepare_start(daemon->loop, &owner->loop_prepare);
 	ev_timer_start(daemon->loop, &owner->sweep_timer);
 	owner_fill_role(owner, &role);
-	peers_set_owner(daemon->peers, &role);
+	peers_set_owner_role(daemon->peers, &role);
 	return owner;
 }
 
@@ -337,8 +337,8 @@
 		TAILQ_REMOVE(&owner->runs, attempt, running_link);
 		attempt_destroy(attempt);
 	}
-	ev_timer_stop(owner->daemon->loop, &owner->check_timer);
-	report_check_finish(&owner->check);
+	ev_timer_stop(owner->daemon->loop, &owner->start_check_timer);
+	report_check_reset(&owner->start_check);
 	probe_destroy(owner->probe);
 	run_pool_destroy(owner->pool);
 	g_ptr_array_unref(owner->old_pools);
@@ -346,9 +346,9 @@
 	g_free(owner);
 }
 
-void owner_note_run(struct owner *owner, bool is_answer)
+void owner_note_breaker_result(struct owner *owner, bool is_answer)
 {
-	gate_note_run(owner, is_answer);
+	gate_note_breaker_result(owner, is_answer);
 }
 
 void owner_note_broken(struct owner *owner, const struct owner_attempt *attempt)
@@ -356,12 +356,12 @@
 	crash_note_broken(owner, attempt);
 }
 
-void owner_note_refused(struct owner *owner)
+void owner_note_connection_refused(struct owner *owner)
 {
-	probe_note_refused(owner->probe);
+	probe_note_connection_refused(owner->probe);
 }
 
-void owner_note_answer(struct owner *owner, const struct fields *fields)
+void owner_note_load_header(struct owner *owner, const struct fields *fields)
 {
 	struct answer_load load;
 
@@ -371,7 +371,7 @@
 	gate_review(owner);
 }
 
-void owner_remove_held(struct owner *owner, struct owner_attempt *attempt)
+void owner_remove_from_gate(struct owner *owner, struct owner_attempt *attempt)
 {
 	if (!attempt->is_held)
 		return;
--- a/comfreydockd/upstream/probe.c
+++ b/comfreydockd/upstream/probe.c
@@ -141,7 +141,7 @@
 	return error == 0 && !(poller.revents & (POLLERR | POLLHUP));
 }
 
-bool probe_is_listening(const struct probe *probe)
+bool probe_upstream_is_listening(const struct probe *probe)
 {
 	return !probe->announced || upstream_is_listening(probe->announced);
 }
@@ -243,7 +243,7 @@
 	probe_configure(probe);
 }
 
-void probe_note_refused(struct probe *probe)
+void probe_note_connection_refused(struct probe *probe)
 {
 	probe_note_reachable(probe, false);
 }
--- a/comfreydockd/upstream/report.c
+++ b/comfreydockd/upstream/report.c
@@ -54,8 +54,8 @@
 	return !is_past(history, report->instance);
 }
 
-static void history_begin_start(struct report_history *history,
-				const struct report *report)
+static void history_set_current_start(struct report_history *history,
+				      const struct report *report)
 {
 	if (history->instance[0])
 		note_past(history);
@@ -80,7 +80,7 @@
 	}
 	if (!is_first && !is_later_start(history, report))
 		return REPORT_LATE;
-	history_begin_start(history, report);
+	history_set_current_start(history, report);
 	return REPORT_NEW_START;
 }
 
@@ -95,13 +95,15 @@
 static bool is_configured_upstream(const struct owner *owner,
 				   const struct report *report)
 {
-	const struct settings_address *own = &owner->daemon->settings->upstream;
+	const struct settings_address *configured =
+		&owner->daemon->settings->upstream;
 
-	return !own->address || (own->port == report->port &&
-				 strcmp(own->address, report->address) == 0);
+	return !configured->address ||
+	       (configured->port == report->port &&
+		strcmp(configured->address, report->address) == 0);
 }
 
-void report_check_finish(struct report_check *check)
+void report_check_reset(struct report_check *check)
 {
 	if (check->pending)
 		http_client_cancel(check->pending);
@@ -110,8 +112,8 @@
 	memset(check, 0, sizeof(*check));
 }
 
-static void announce(struct owner *owner, const struct report_check *check,
-		     bool is_new_start)
+static void announce_to_owner(struct owner *owner,
+			      const struct report_check *check, bool is_new_start)
 {
 	char *groups[] = {check->group, NULL};
 	struct owner_announcement announcement = {
@@ -127,13 +129,13 @@
 	owner_announce(owner, &announcement);
 }
 
-static void confirm(struct owner *owner, const char *by)
+static void confirm_start(struct owner *owner, const char *by)
 {
 	log_event(EV_OWNER_CONFIRMED,
-		  LOG_STR("instance", owner->history.instance),
-		  LOG_STR("by", by), LOG_INT("reports", owner->check.reports));
-	owner->check.is_open = false;
-	announce(owner, &owner->check, true);
+		  LOG_STR("instance", owner->history.instance), LOG_STR("by", by),
+		  LOG_INT("reports", owner->start_check.reports));
+	owner->start_check.is_unconfirmed = false;
+	announce_to_owner(owner, &owner->start_check, true);
 }
 
 static void handle_health(const struct http_answer *answer, void *data)
@@ -144,16 +146,16 @@
 				       http_answer_header(answer, name) :
 				       NULL;
 
-	owner->check.pending = NULL;
-	if (!owner->check.is_open || owner->history.has_left)
+	owner->start_check.pending = NULL;
+	if (!owner->start_check.is_unconfirmed || owner->history.has_left)
 		return;
 	if (answer->status / 100 == 2 && instance &&
 	    strcmp(instance, owner->history.instance) == 0) {
-		confirm(owner, "health");
+		confirm_start(owner, "health");
 		return;
 	}
-	ev_timer_again(owner->daemon->loop, &owner->check_timer);
-	if (owner->check.failed_checks++ == 0)
+	ev_timer_again(owner->daemon->loop, &owner->start_check_timer);
+	if (owner->start_check.failed_checks++ == 0)
 		log_event(EV_OWNER_UNCONFIRMED,
 			  LOG_STR("instance", owner->history.instance),
 			  LOG_STR("answers", instance ? instance : ""),
@@ -163,8 +165,9 @@
 /* RETURN VALUE: false if no health path is known. */
 static bool ask_health(struct owner *owner)
 {
-	const struct config_group *group = config_snapshot_group(
-		config_store_current(owner->daemon->config), owner->check.group);
+	const struct config_group *group =
+		config_snapshot_group(config_store_current(owner->daemon->config),
+				      owner->start_check.group);
 	struct http_call call = {
 		.method = "GET",
 		.timeout_ms = REPORT_CHECK_TIMEOUT_MS,
@@ -173,13 +176,13 @@
 
 	if (!group || !group->health_path)
 		return false;
-	if (owner->check.pending)
+	if (owner->start_check.pending)
 		return true;
-	url = address_to_url(owner->check.address, owner->check.port,
-			     group->health_path);
+	url = address_to_url(owner->start_check.address,
+			     owner->start_check.port, group->health_path);
 	call.url = url;
-	owner->check.pending = http_client_call(owner->daemon->http, &call,
-						handle_health, owner);
+	owner->start_check.pending = http_client_call(owner->daemon->http, &call,
+						      handle_health, owner);
 	g_free(url);
 	return true;
 }
@@ -195,14 +198,14 @@
 
 void report_check_init(struct owner *owner)
 {
-	ev_timer_init(&owner->check_timer, handle_check_timer, 0.0,
+	ev_timer_init(&owner->start_check_timer, handle_check_timer, 0.0,
 		      REPORT_CHECK_RETRY_S);
-	owner->check_timer.data = owner;
+	owner->start_check_timer.data = owner;
 }
 
 void report_check_retry(struct owner *owner)
 {
-	if (owner->check.is_open && !owner->history.has_left)
+	if (owner->start_check.is_unconfirmed && !owner->history.has_left)
 		ask_health(owner);
 }
 
@@ -220,24 +223,24 @@
 static void handle_ready_report(struct owner *owner,
 				const struct report *report, bool is_new_start)
 {
-	struct report_check *check = &owner->check;
+	struct report_check *check = &owner->start_check;
 
 	if (is_new_start) {
 		crash_confirm(owner, "new-start");
-		report_check_finish(check);
-		check->is_open = true;
+		report_check_reset(check);
+		check->is_unconfirmed = true;
 		/* The previous announcement no longer applies. */
 		owner_set_no_upstream(owner);
 	}
 	check_fill(check, report);
-	if (!check->is_open) {
-		announce(owner, check, false);
+	if (!check->is_unconfirmed) {
+		announce_to_owner(owner, check, false);
 		return;
 	}
 	check->reports++;
 	if (!owner->daemon->headers->instance ||
-	    check->reports >= REPORT_CONFIRMING)
-		confirm(owner, "reports");
+	    check->reports >= REPORT_CONFIRM_COUNT)
+		confirm_start(owner, "reports");
 	else
 		ask_health(owner);
 }
@@ -255,12 +258,12 @@
 			  LOG_STR("address", report->address),
 			  LOG_INT("sequence", report->sequence),
 			  LOG_INT("born_ms", report->born_ms),
-			  LOG_INT("drains", report->drains),
+			  LOG_INT("drains", report->is_draining),
 			  LOG_STR("verdict", report_verdict_name(verdict)));
 	if (verdict != REPORT_NEWS && verdict != REPORT_NEW_START)
 		return verdict;
-	if (report->drains) {
-		owner->check.is_open = false;
+	if (report->is_draining) {
+		owner->start_check.is_unconfirmed = false;
 		owner_drain_upstream(owner);
 	} else {
 		handle_ready_report(owner, report, verdict == REPORT_NEW_START);
@@ -274,13 +277,13 @@
  */
 bool owner_handle_leave(struct owner *owner, const char *instance)
 {
-	bool counts = report_note_leave(&owner->history, instance);
+	bool is_current = report_note_leave(&owner->history, instance);
 
 	log_event(EV_OWNER_LEFT, LOG_STR("instance", instance),
-		  LOG_INT("counts", counts));
-	if (counts) {
-		owner->check.is_open = false;
+		  LOG_INT("counts", is_current));
+	if (is_current) {
+		owner->start_check.is_unconfirmed = false;
 		owner_drain_upstream(owner);
 	}
-	return counts;
+	return is_current;
 }
--- a/comfreydockd/upstream/run.c
+++ b/comfreydockd/upstream/run.c
@@ -99,7 +99,7 @@
 		return 0;
 	memcpy(out, run->body->data, taken);
 	g_byte_array_remove_range(run->body, 0, (guint)taken);
-	run->callbacks.handle_body_consumed(run->data, taken);
+	run->callbacks.handle_request_body_consumed(run->data, taken);
 	return taken;
 }
 
@@ -195,7 +195,7 @@
 		return CURL_WRITEFUNC_PAUSE;
 	}
 	run->credit -= (int64_t)total;
-	run->callbacks.handle_body(run->data, bytes, total);
+	run->callbacks.handle_answer_body(run->data, bytes, total);
 	return total;
 }
 
--- a/comfreydockd/upstream/sweep.c
+++ b/comfreydockd/upstream/sweep.c
@@ -45,11 +45,11 @@
 
 		if (!attempt->head_us &&
 		    now > attempt->item.deadline_us + HEAD_GRACE_US) {
-			attempt_break(attempt, "no answer after the deadline");
-			owner_note_run(owner, false);
+			attempt_abort(attempt, "no answer after the deadline");
+			owner_note_breaker_result(owner, false);
 		} else if (attempt->stalled_since_us &&
 			   now - attempt->stalled_since_us > STALL_US)
-			attempt_break(attempt, "caller stopped reading");
+			attempt_abort(attempt, "caller stopped reading");
 		attempt = next;
 	}
 }
--- a/include/comfreydockd/peer/link.h
+++ b/include/comfreydockd/peer/link.h
@@ -45,9 +45,9 @@
 struct link_group {
 	struct ev_loop *loop;
 	uint8_t *chunk; /* read buffer, shared by all links */
-	ev_prepare flush;
+	ev_prepare flush_prepare;
 	ev_timer flush_timer;
-	LIST_HEAD(, link) dirty;
+	LIST_HEAD(, link) to_flush;
 	LIST_HEAD(, link) all;
 };
 
@@ -55,7 +55,7 @@
 void link_group_finish(struct link_group *group);
 
 /* Reads all that is readable on any link, without blocking. */
-void link_group_drain_input(struct link_group *group);
+void link_group_read_input(struct link_group *group);
 
 /* Takes over a connected or connecting non-blocking socket. If the socket could
  * not be opened, the creator passes -1 and then calls link_fail(). */
@@ -77,7 +77,7 @@
 uint64_t link_send(struct link *link, const Cfd__Frame *frame);
 
 /* True if any byte of the frame at this position was handed to the kernel. */
-bool link_has_handed_over(const struct link *link, uint64_t position);
+bool link_has_begun_sending(const struct link *link, uint64_t position);
 
 /* Ends the link; the loop calls handle_closed afterwards. */
 void link_fail(struct link *link, const char *error);
--- a/include/comfreydockd/peer/peers.h
+++ b/include/comfreydockd/peer/peers.h
@@ -50,8 +50,8 @@
 struct peers *peers_create(struct daemon *daemon);
 void peers_destroy(struct peers *peers);
 
-void peers_set_entry(struct peers *peers, const struct peers_role *role);
-void peers_set_owner(struct peers *peers, const struct peers_role *role);
+void peers_set_entry_role(struct peers *peers, const struct peers_role *role);
+void peers_set_owner_role(struct peers *peers, const struct peers_role *role);
 
 /* Sends all frames of this kind to the handler instead of the roles, whichever
  * side sent them. For queries between daemons that don't belong to a call. */
@@ -74,11 +74,11 @@
 void peers_notify_entries(struct peers *peers, const Cfd__Frame *frame);
 
 /* Reads all that has arrived on any connection, without blocking. */
-void peers_drain_input(struct peers *peers);
+void peers_read_input(struct peers *peers);
 
-/* RETURN VALUE: the frame's position, for peer_has_handed_over(). */
+/* RETURN VALUE: the frame's position, for peer_has_begun_sending(). */
 uint64_t peer_send(struct peer *peer, const Cfd__Frame *frame);
-bool peer_has_handed_over(const struct peer *peer, uint64_t position);
+bool peer_has_begun_sending(const struct peer *peer, uint64_t position);
 
 /* Mark the time from the sending of an attempt to its end, during which the
  * connection is not idle. */
--- a/include/comfreydockd/upstream/attempts.h
+++ b/include/comfreydockd/upstream/attempts.h
@@ -66,24 +66,25 @@
 /* Starts the attempt on the upstream. */
 void attempt_start(struct owner_attempt *attempt);
 
-void attempt_add_body(struct owner_attempt *attempt, const Cfd__Body *body);
+void attempt_add_request_body(struct owner_attempt *attempt,
+			      const Cfd__Body *body);
 void attempt_add_credit(struct owner_attempt *attempt, uint32_t bytes);
 
 /* Aborts a running attempt: closes its connection to the upstream, sends
  * Failed (or an aborted end of the body) and destroys the attempt. An attempt
  * of which nothing was written to the upstream is refused as not run. */
-void attempt_break(struct owner_attempt *attempt, const char *why);
+void attempt_abort(struct owner_attempt *attempt, const char *why);
 
 /* Handles a cancel or a lost connection of a running attempt. Aborts an
  * idempotent one; lets any other run to its end and discards the answer. */
-void attempt_give_up(struct owner_attempt *attempt);
+void attempt_cancel_running(struct owner_attempt *attempt);
 
 /* Called by attempts.c when a running attempt has ended, before it is freed. */
 void owner_note_finished(struct owner *owner, struct owner_attempt *attempt,
 			 enum limit_outcome outcome);
 
 /* Reads the upstream's load from the head of any answer. */
-void owner_note_answer(struct owner *owner, const struct fields *fields);
+void owner_note_load_header(struct owner *owner, const struct fields *fields);
 
 /* An instance other than the announced one answers at the address. */
 void owner_note_other_instance(struct owner *owner);
@@ -92,7 +93,7 @@
 const char *owner_instance(const struct owner *owner);
 
 /* Removes the attempt from the gate, if it is held there. */
-void owner_remove_held(struct owner *owner, struct owner_attempt *attempt);
+void owner_remove_from_gate(struct owner *owner, struct owner_attempt *attempt);
 
 /* RETURN VALUE: the host's pace as last reported; 0: never reported. */
 uint32_t owner_pace_percent(const struct owner *owner);
@@ -101,14 +102,14 @@
 uint32_t owner_running(const struct owner *owner);
 
 /* The upstream refused a connection. */
-void owner_note_refused(struct owner *owner);
+void owner_note_connection_refused(struct owner *owner);
 
 /* The upstream aborted the run; see crash.h. */
 void owner_note_broken(struct owner *owner, const struct owner_attempt *attempt);
 
 /* A run ended: with a complete answer, or without one because the upstream
  * failed. */
-void owner_note_run(struct owner *owner, bool is_answer);
+void owner_note_breaker_result(struct owner *owner, bool is_answer);
 
 /* Fills in the load that is sent with each answer. */
 void owner_fill_load(const struct owner *owner, Cfd__Load *load);
--- a/include/comfreydockd/upstream/crash.h
+++ b/include/comfreydockd/upstream/crash.h
@@ -42,9 +42,9 @@
 struct crash_watch {
 	struct crash_run runs[CRASH_RUNS_MAX];
 	unsigned int count;
-	int64_t broken_us; /* when the last run was aborted */
+	int64_t last_broken_us; /* when the last run was aborted */
 	unsigned int checks; /* of the port, since the first run was recorded */
-	ev_timer check;
+	ev_timer port_check_timer;
 };
 
 void crash_init(struct owner *owner);
@@ -60,8 +60,8 @@
 /* A run has ended. is_served: with a complete answer that reports no failure.
  * A failure doesn't clear the request, as an upstream that fails all requests
  * may not even have begun to run them. */
-void crash_note_finished(struct owner *owner,
-			 const struct owner_attempt *attempt, bool is_served);
+void crash_note_run_result(struct owner *owner,
+			   const struct owner_attempt *attempt, bool is_served);
 
 /*
  * Check the quarantine when an attempt arrives and again before it starts.
@@ -69,7 +69,9 @@
  * RETURN VALUE: false if the request is quarantined: the attempt was refused
  * and freed.
  */
-bool crash_may_queue(struct owner *owner, struct owner_attempt *attempt);
-bool crash_may_start(struct owner *owner, struct owner_attempt *attempt);
+bool owner_quarantine_admit_arrival(struct owner *owner,
+				    struct owner_attempt *attempt);
+bool owner_quarantine_admit_start(struct owner *owner,
+				  struct owner_attempt *attempt);
 
 #endif
--- a/include/comfreydockd/upstream/gate.h
+++ b/include/comfreydockd/upstream/gate.h
@@ -37,7 +37,7 @@
 
 /* A run ended: with a complete answer, or without one because the upstream
  * failed. */
-void gate_note_run(struct owner *owner, bool is_answer);
+void gate_note_breaker_result(struct owner *owner, bool is_answer);
 
 /* Refuses all held attempts. */
 void gate_refuse_all(struct owner *owner, Cfd__Reason reason);
--- a/include/comfreydockd/upstream/owner_internal.h
+++ b/include/comfreydockd/upstream/owner_internal.h
@@ -34,8 +34,8 @@
 	struct report_history history; /* empty if the upstream never reports */
 	bool is_closed; /* drained by the operator or by this daemon's stop */
 	bool is_stopping;
-	ev_timer check_timer;
-	struct report_check check; /* for a start that is not confirmed yet */
+	ev_timer start_check_timer;
+	struct report_check start_check; /* for a start that is not confirmed yet */
 	struct gauge *gauge;
 	struct pace pace;
 	struct knee knee;
@@ -71,7 +71,7 @@
 /* owner.c */
 
 /* Offers an attempt to the queue; refuses and frees it if there is no room. */
-void owner_offer(struct owner *owner, struct owner_attempt *attempt);
+void owner_enqueue(struct owner *owner, struct owner_attempt *attempt);
 bool owner_has_group(const struct owner *owner, const char *group);
 
 /* Treats the upstream as gone until its next announcement. */
--- a/include/comfreydockd/upstream/probe.h
+++ b/include/comfreydockd/upstream/probe.h
@@ -45,10 +45,10 @@
 void probe_configure(struct probe *probe);
 
 /* Tries to connect. RETURN VALUE: true also if no address is known yet. */
-bool probe_is_listening(const struct probe *probe);
+bool probe_upstream_is_listening(const struct probe *probe);
 
 /* The upstream refused the connection of a request. */
-void probe_note_refused(struct probe *probe);
+void probe_note_connection_refused(struct probe *probe);
 
 /* A request was answered, so no probe is needed for now. */
 void probe_note_traffic(struct probe *probe);
--- a/include/comfreydockd/upstream/report.h
+++ b/include/comfreydockd/upstream/report.h
@@ -40,7 +40,7 @@
 	uint16_t port;
 	uint32_t slots;
 	uint32_t warm_ms; /* how long it is slow after its start */
-	bool drains;
+	bool is_draining;
 	uint64_t sequence; /* grows with each report of one start */
 	int64_t born_ms; /* time of the start, Unix time; 0: not reported */
 };
@@ -82,7 +82,7 @@
  * serves; or, as a health answer may mislead, by further reports, which an
  * instance that has left doesn't send.
  */
-#define REPORT_CONFIRMING 3 /* reports of one start that confirm it */
+#define REPORT_CONFIRM_COUNT 3 /* reports of one start that confirm it */
 #define REPORT_CHECK_TIMEOUT_MS 200 /* a health answer on the same host */
 #define REPORT_CHECK_RETRY_S 0.25 /* shorter than an upstream's start */
 
@@ -90,7 +90,7 @@
 
 /* All zero if no start is being confirmed. */
 struct report_check {
-	bool is_open; /* a start waits for its confirmation */
+	bool is_unconfirmed; /* a start waits for its confirmation */
 	unsigned int reports; /* received from this start */
 	unsigned int failed_checks; /* unsuccessful health requests */
 	struct http_pending *pending;
@@ -101,7 +101,7 @@
 	uint32_t warm_ms;
 };
 
-void report_check_finish(struct report_check *check);
+void report_check_reset(struct report_check *check);
 
 /* Sets up the owner's timer for the retries. */
 void report_check_init(struct owner *owner);
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -29,7 +29,7 @@
 	g_assert_cmpuint(report.slots, ==, 9);
 	g_assert_cmpuint(report.sequence, ==, 4);
 	g_assert_cmpint(report.born_ms, ==, 1700000000000);
-	g_assert_true(report.drains);
+	g_assert_true(report.is_draining);
 	json_object_put(root);
 }
 
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -83,8 +83,8 @@
 	node->peers = peers_create(&node->daemon);
 	g_assert_nonnull(node->peers);
 	node->daemon.peers = node->peers;
-	peers_set_owner(node->peers, &owner);
-	peers_set_entry(node->peers, &entry);
+	peers_set_owner_role(node->peers, &owner);
+	peers_set_entry_role(node->peers, &entry);
 }
 
 static void node_finish(struct node *node)
@@ -127,10 +127,10 @@
 	peer = peers_connect(a.peers, &member);
 	first = send_cancel(peer, 1);
 	last = send_cancel(peer, 2);
-	g_assert_false(peer_has_handed_over(peer, first));
+	g_assert_false(peer_has_begun_sending(peer, first));
 	while (strcmp(b.received->str, "1 2 ") != 0)
 		run_for(1);
-	g_assert_true(peer_has_handed_over(peer, last));
+	g_assert_true(peer_has_begun_sending(peer, last));
 	g_assert_cmpstr(peer_host(b.from), ==, "a");
 	g_assert_cmpuint(peer_incarnation(b.from), ==, 7);
 	g_assert_true(peers_connect(a.peers, &member) == peer);
@@ -211,7 +211,7 @@
 	peer = peers_connect(a.peers, &member);
 	position = send_cancel(peer, 1);
 	while (!a.lost) {
-		g_assert_false(peer_has_handed_over(peer, position));
+		g_assert_false(peer_has_begun_sending(peer, position));
 		run_for(1);
 	}
 	g_assert_cmpstr(b.received->str, ==, "");
@@ -313,7 +313,7 @@
 	peer = peers_connect(a.peers, &member);
 	position = send_cancel(peer, 1);
 	while (!a.lost) {
-		g_assert_false(peer_has_handed_over(peer, position));
+		g_assert_false(peer_has_begun_sending(peer, position));
 		run_for(1);
 	}
 	node_finish(&a);
--- a/tests/test_probe.c
+++ b/tests/test_probe.c
@@ -126,12 +126,12 @@
 	http_server_destroy(server);
 	probe = probe_create(&daemon, handle_reachable, NULL);
 	probe_set_upstream(probe, &announced);
-	probe_note_refused(probe);
+	probe_note_connection_refused(probe);
 	/* Resets the count, as a single refusal may be momentary. */
 	probe_note_traffic(probe);
-	probe_note_refused(probe);
+	probe_note_connection_refused(probe);
 	g_assert_true(reachable);
-	probe_note_refused(probe);
+	probe_note_connection_refused(probe);
 	g_assert_false(reachable);
 	server = listen_at(announced.port);
 	run_for(300);
--- a/tests/test_run.c
+++ b/tests/test_run.c
@@ -94,12 +94,12 @@
 	return true;
 }
 
-static void handle_body(void *data, const void *bytes, size_t size)
+static void handle_answer_body(void *data, const void *bytes, size_t size)
 {
 	g_string_append_len(((struct outcome *)data)->body, bytes, (gssize)size);
 }
 
-static void handle_body_consumed(void *data, size_t size)
+static void handle_request_body_consumed(void *data, size_t size)
 {
 	(void)data;
 	(void)size;
@@ -116,8 +116,8 @@
 
 static const struct run_callbacks callbacks = {
 	.handle_head = handle_head,
-	.handle_body = handle_body,
-	.handle_body_consumed = handle_body_consumed,
+	.handle_answer_body = handle_answer_body,
+	.handle_request_body_consumed = handle_request_body_consumed,
 	.handle_done = handle_done,
 };
 
