--- a/comfreydockd/upstream/attempts.c
+++ b/comfreydockd/upstream/attempts.c
@@ -11,7 +11,7 @@
 #include "common/tally.h"
 
 /* Writes an event to the time line and the log, with the attempt's sequence
- * number and its entry. */
+ * number and the name of the daemon that sent it (its entry). */
 #define attempt_note(attempt, event, ...)                                         \
 	timeline_log(&owner_daemon((attempt)->owner)->timeline,                   \
 		     (attempt)->request->trace, event,                            \
@@ -187,6 +187,9 @@
 
 static void attempt_finish_complete(struct owner_attempt *attempt)
 {
+	/* A 5xx is a complete answer to the entry. Within the owner it counts
+	 * as a failure for the limit, the reported service time and the
+	 * quarantine. */
 	bool failed = attempt->status >= 500;
 
 	attempt_owner_step(&attempt->state, OWNER_FINISH);
@@ -199,8 +202,9 @@
 	attempt_destroy(attempt);
 }
 
-/* Nothing was written to the upstream, or the upstream itself states that it
- * did not run the request. */
+/* Ends an attempt that was started but certainly did not run: nothing was
+ * written to the upstream, the upstream itself states that it did not run the
+ * request, or another instance than the expected one rejected it. */
 static void attempt_finish_not_run(struct owner_attempt *attempt)
 {
 	struct owner *owner = attempt->owner;
@@ -212,6 +216,8 @@
 	if (attempt->verdict == ANSWER_NOT_RUN) {
 		reason = CFD__REASON__REASON_SHED;
 	} else if (attempt->verdict == ANSWER_OTHER_INSTANCE) {
+		/* Another process listens at the announced address, so this
+		 * host has no known upstream until the next announcement. */
 		reason = CFD__REASON__REASON_NO_UPSTREAM;
 		owner_note_other_instance(owner);
 	} else {
@@ -220,6 +226,9 @@
 	attempt_refuse(attempt, reason, owner_retry_after_ms(owner));
 }
 
+/* Ends an attempt that may have run but has no complete answer. head_was_sent:
+ * the entry already has the answer's head, so only an aborted end of the body
+ * can tell it of the failure. */
 static void attempt_finish_broken(struct owner_attempt *attempt,
 				  bool head_was_sent, const char *why)
 {
@@ -227,6 +236,9 @@
 	counters.owner_broken++;
 	attempt_note(attempt, EV_OWNER_BROKEN, LOG_STR("why", why),
 		     LOG_INT("took_us", clock_mono_us() - attempt->started_us));
+	/* Without a complete answer the duration says nothing about the
+	 * upstream's speed; LIMIT_OUTCOME_CANCELLED keeps it out of all
+	 * estimates. */
 	owner_note_finished(attempt->owner, attempt, LIMIT_OUTCOME_CANCELLED);
 	if (head_was_sent)
 		attempt_send_answer_body(attempt, NULL, 0, false, true);
@@ -266,7 +278,7 @@
 	} else {
 		owner_note_broken(owner, attempt);
 		attempt_finish_broken(attempt, result == RUN_TRUNCATED,
-				      "upstream did not complete its answer");
+				      "no complete answer from the upstream");
 	}
 	owner_note_breaker_result(owner, false);
 }
@@ -287,16 +299,19 @@
 
 void attempt_cancel_running(struct owner_attempt *attempt)
 {
-	/* A request whose body is incomplete is aborted as well: if its body
-	 * were ended here, the upstream would take the part for the whole and
-	 * book something that nobody asked for. */
+	/* An idempotent request may be aborted at any time. A request whose
+	 * body is incomplete must be aborted: if the body were ended here, the
+	 * upstream would take the part for the whole and, for example, make a
+	 * reservation that nobody asked for. */
 	if (attempt->request->idempotent || !run_has_begun(attempt->run) ||
 	    !attempt->body_ends) {
 		attempt_abort(attempt, "cancelled");
 		return;
 	}
-	/* A half-finished booking is worse than one that nobody waits for: it
-	 * runs to its end, and the rest of its answer is discarded. */
+	/* Aborting any other request could leave it half executed, such as a
+	 * reservation without its payment. That is worse than a result that
+	 * nobody waits for, so the request runs to its end, and the rest of its
+	 * answer is discarded. */
 	attempt_send_failed(attempt, "cancelled while running");
 	if (attempt->peer)
 		LIST_REMOVE(attempt, link);
@@ -313,8 +328,9 @@
 	fields_add(fields, name, text);
 }
 
-/* Builds the header fields for the upstream. It copies trace, depth and
- * deadline into the calls that it makes itself. */
+/* Builds the header fields for the upstream. The names of the fields for trace,
+ * depth, deadline and instance come from the headers table. The upstream copies
+ * trace, depth and deadline into the calls that it makes itself. */
 static void attempt_fill_fields(const struct owner_attempt *attempt,
 				struct fields *fields, int64_t remaining_us)
 {
--- a/comfreydockd/upstream/crash.c
+++ b/comfreydockd/upstream/crash.c
@@ -18,6 +18,9 @@
  * upstream's socket. */
 static const int64_t check_delays_ms[] = {20, 250};
 
+/* Discards the recorded runs. Ends the trials among them, which were left open
+ * by crash_note_run_result(); for other requests quarantine_end_trial() has no
+ * effect. */
 static void crash_clear(struct owner *owner)
 {
 	for (unsigned int i = 0; i < owner->crash.count; i++)
@@ -27,6 +30,8 @@
 	ev_timer_stop(owner->daemon->loop, &owner->crash.port_check_timer);
 }
 
+/* Schedules the next check of the port. If the upstream still listens at the
+ * last one, it has not crashed, and the recorded runs are discarded. */
 static void crash_schedule_next_check(struct owner *owner)
 {
 	struct crash_watch *watch = &owner->crash;
@@ -84,7 +89,8 @@
 	run->started_us = attempt->started_us;
 }
 
-/* A request that ran several times at the upstream is marked only once. */
+/* Requests with equal content, also of different callers, are one request to
+ * the quarantine, which one crash marks only once. */
 static bool is_first_of_content(const struct crash_watch *watch, unsigned int at)
 {
 	for (unsigned int i = 0; i < at; i++) {
@@ -94,6 +100,12 @@
 	return true;
 }
 
+/*
+ * RETURN VALUE: the outcome for the log. "marked": the request now has a mark;
+ * "again": another run of the same request was marked for this crash;
+ * "spared": the quarantine did not mark it, as it was answered recently or the
+ * table is full of held requests; "unknown": it has no content hash.
+ */
 static const char *mark_crashed_run(struct owner *owner, unsigned int at,
 				    uint64_t crash_id)
 {
@@ -165,12 +177,16 @@
 
 	if (content == 0)
 		return;
+	/* If the run is recorded, the upstream may have crashed. Its trial then
+	 * stays open until this is known, as a crash makes the trial a failed
+	 * one. */
 	if (is_served)
 		quarantine_note_answer(quarantine, content, clock_mono_us());
 	else if (attempt->is_trial && !is_watched(&owner->crash, content))
 		quarantine_end_trial(quarantine, content);
 }
 
+/* A request that may run as a trial at another host only is held here. */
 static struct quarantine_decision
 check_quarantine(const struct owner *owner, const struct owner_attempt *attempt)
 {
--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -17,8 +17,9 @@
 #include "common/log.h"
 #include "common/timer.h"
 
-/* A timer that fires slightly before an item is stale would find none and be
- * set again at once. */
+/* Added to the wait for the next stale item. Without it, a timer that fires
+ * slightly early would find no stale item and be set again at once, so that the
+ * loop would spin until the item is stale. */
 #define STALE_SLACK_US 500
 
 static Cfd__Reason reason_of(enum queue_verdict verdict)
@@ -47,10 +48,11 @@
 		.limit = limit,
 	};
 
-	/* An upstream that reports its load uses all its slots from the start
-	 * and is only slower while it warms up. If its daemon limited the slots
-	 * as well, nine in ten attempts would be refused when all upstreams
-	 * have just been started together. */
+	/* An upstream that reports its load needs no slow start: it uses all
+	 * its slots from the start, and its reports show that it is slower
+	 * while it warms up. If its owner limited the slots as well, nine in
+	 * ten attempts would be refused when all upstreams have just been
+	 * started together. */
 	if (owner->daemon->headers->load)
 		slots.limit = knee_slots(&owner->knee, limit);
 	else
@@ -68,13 +70,16 @@
 	load->pace_percent = owner->pace.percent;
 	load->limit = owner->state == OWNER_UP ? slots.limit : 0;
 	/* With an open breaker the owner reports itself as full, so that
-	 * entries try others first. If nothing runs, it reports one free slot
-	 * for a trial. */
+	 * entries try others first. If nothing runs, it reports one free slot,
+	 * so that an entry sends the request with which the breaker tests
+	 * whether the upstream answers again. */
 	if (owner->breaker.is_open)
 		load->limit = MIN(load->limit, MAX(slots.running, 1));
 	load->expected_wait_us =
 		(uint32_t)MIN(queue_expected_wait_us(&owner->queue, &slots),
 			      (int64_t)UINT32_MAX);
+	/* The median service time at the usual pace, with errors counted as
+	 * slow answers; pace_percent says how much longer requests take now. */
 	load->service_us =
 		(uint32_t)MIN(speed_us(&owner->speed), (int64_t)UINT32_MAX);
 }
@@ -118,6 +123,7 @@
 			 enum limit_outcome outcome)
 {
 	int64_t now = clock_mono_us();
+	/* When the answer's head came, or now if the run ended without one. */
 	int64_t head_or_end_us = attempt->head_us ? attempt->head_us : now;
 	int64_t usual_us =
 		pace_usual_us(attempt->pace_percent, now - attempt->started_us);
@@ -214,12 +220,13 @@
  * Dispatches attempts before the loop blocks again, after all frames of this
  * iteration were read.
  *
- * A daemon that was stopped for seconds finds old attempts in its socket
- * buffers and, behind them, the cancels of callers who gave up. If attempts
- * started as their frames arrive, the old ones would take the slots from
- * callers who still wait, and calls that could have been refused as not run
- * would run: each pause would be followed by a burst of late runs. After a
- * pause the owner therefore only reads, for POST_FREEZE_READ_US.
+ * After a freeze of seconds, in which its loop did not run, a daemon finds old
+ * attempts in its socket buffers and, behind them, the cancels of callers who
+ * gave up. If attempts started as their frames arrive, the old ones would take
+ * the slots from callers who still wait. The owner would also run requests that
+ * it could still refuse as not run. A burst of late runs would follow each
+ * freeze. After a freeze the owner therefore only reads, for
+ * POST_FREEZE_READ_US.
  */
 static void handle_loop_prepare(struct ev_loop *loop, ev_prepare *prepare,
 				int events)
@@ -243,8 +250,8 @@
 	http_client_flush(owner->daemon->http);
 }
 
-/* Callback of both timers. A due timer keeps the loop from blocking, and
- * handle_loop_prepare() then dispatches. */
+/* Callback of dispatch_timer and stale_timer. A due timer keeps the loop from
+ * blocking, and handle_loop_prepare() then dispatches. */
 static void handle_dispatch_due(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct owner *owner = timer->data;
--- a/comfreydockd/upstream/report.c
+++ b/comfreydockd/upstream/report.c
@@ -45,7 +45,9 @@
 	return false;
 }
 
-/* Without a start time, only the instance id distinguishes starts. */
+/* The later start time is decisive; a missing one counts as 0, as the earliest.
+ * If neither start has a time, a start is later if its instance id was not
+ * replaced before. */
 static bool is_later_start(const struct report_history *history,
 			   const struct report *report)
 {
@@ -92,6 +94,7 @@
 	return true;
 }
 
+/* True for any upstream if the settings name none. */
 static bool is_configured_upstream(const struct owner *owner,
 				   const struct report *report)
 {
@@ -112,6 +115,7 @@
 	memset(check, 0, sizeof(*check));
 }
 
+/* Passes the upstream to the owner as it was last reported. */
 static void announce_to_owner(struct owner *owner,
 			      const struct report_check *check, bool is_new_start)
 {
@@ -129,6 +133,8 @@
 	owner_announce(owner, &announcement);
 }
 
+/* Ends the confirmation of the current start and announces the upstream to the
+ * owner, which sends it requests from then on. */
 static void confirm_start(struct owner *owner, const char *by)
 {
 	log_event(EV_OWNER_CONFIRMED,
@@ -162,7 +168,8 @@
 			  LOG_INT("status", answer->status));
 }
 
-/* RETURN VALUE: false if no health path is known. */
+/* RETURN VALUE: false if no health path is known. Further reports then confirm
+ * the start. */
 static bool ask_health(struct owner *owner)
 {
 	const struct config_group *group =
@@ -229,7 +236,8 @@
 		crash_confirm(owner, "new-start");
 		report_check_reset(check);
 		check->is_unconfirmed = true;
-		/* The previous announcement no longer applies. */
+		/* The announced start has been replaced. The owner sends no
+		 * requests until the new start is confirmed and announced. */
 		owner_set_no_upstream(owner);
 	}
 	check_fill(check, report);
--- a/comfreydockd/upstream/sweep.c
+++ b/comfreydockd/upstream/sweep.c
@@ -17,6 +17,7 @@
  * in the entries' own send buffers and arrive only now. */
 #define POST_FREEZE_READ_US (50 * US_PER_MS)
 
+/* The sweep goes through all running attempts every SWEEP_S. */
 static void owner_mark_sweep(struct owner *owner, int64_t now)
 {
 	owner->last_sweep_us = now;
--- a/include/comfreydockd/upstream/answer.h
+++ b/include/comfreydockd/upstream/answer.h
@@ -21,7 +21,7 @@
 #include "comfreydockd/peer/fields.h"
 
 enum answer_verdict {
-	ANSWER_GOOD, /* is forwarded, also if it reports a failure */
+	ANSWER_GOOD, /* is forwarded, also if it is a 5xx */
 	ANSWER_NOT_RUN, /* the upstream states that it did not run it */
 	ANSWER_OTHER_INSTANCE, /* not run: 421, sent to the wrong instance */
 	ANSWER_STRANGE, /* belongs to another request, or is corrupt */
--- a/include/comfreydockd/upstream/attempts.h
+++ b/include/comfreydockd/upstream/attempts.h
@@ -28,17 +28,21 @@
 	LIST_ENTRY(owner_attempt) link; /* in the list of its connection */
 	TAILQ_ENTRY(owner_attempt) running_link;
 	TAILQ_ENTRY(owner_attempt) held_link;
-	bool is_held; /* waits at the gate */
+	bool is_held; /* waits at the gate for the host's pace, see gate.h */
 	bool is_trial; /* of a quarantined request, see decide/quarantine.h */
 	struct owner *owner;
 	struct peer *peer; /* NULL: the entry cancelled or its link is lost */
 	enum attempt_owner_state state;
 	Cfd__Attempt *request;
-	GByteArray *body; /* received after the Attempt, until the start */
-	bool body_ends;
+	/* Parts of the request's body that came after the Attempt frame and
+	 * before the start. */
+	GByteArray *body;
+	bool body_ends; /* the request's body is complete */
 	struct queue_item item;
 	int64_t target_us; /* an answer by this time is on time */
-	uint32_t pace_percent; /* of the host, when the attempt started */
+	/* The host's pace when the attempt started, in percent of the usual
+	 * service time: 200 is twice as slow. */
+	uint32_t pace_percent;
 	struct run *run;
 	int64_t arrived_us;
 	int64_t started_us;
@@ -47,7 +51,7 @@
 	int64_t stalled_since_us; /* since when it has no credit; 0: it has */
 	int64_t credit;
 	unsigned int status;
-	enum answer_verdict verdict;
+	enum answer_verdict verdict; /* ANSWER_GOOD also before the head came */
 };
 
 LIST_HEAD(owner_attempt_list, owner_attempt);
@@ -59,7 +63,10 @@
 
 void attempt_destroy(struct owner_attempt *attempt);
 
-/* Sends NotRun and destroys the attempt. */
+/* Ends an attempt that certainly did not run: sends NotRun to the entry and
+ * destroys the attempt. Also applies to a cancelled attempt that had not
+ * started, and to one that the upstream shed or that reached the wrong
+ * instance. */
 void attempt_refuse(struct owner_attempt *attempt, Cfd__Reason reason,
 		    uint32_t retry_after_ms);
 
@@ -70,20 +77,22 @@
 			      const Cfd__Body *body);
 void attempt_add_credit(struct owner_attempt *attempt, uint32_t bytes);
 
-/* Aborts a running attempt: closes its connection to the upstream, sends
- * Failed (or an aborted end of the body) and destroys the attempt. An attempt
- * of which nothing was written to the upstream is refused as not run. */
+/* Aborts a running attempt: closes its connection to the upstream, sends Failed
+ * (or an aborted end of the body) and destroys the attempt. An attempt of which
+ * nothing was written to the upstream is refused as not run. */
 void attempt_abort(struct owner_attempt *attempt, const char *why);
 
-/* Handles a cancel or a lost connection of a running attempt. Aborts an
- * idempotent one; lets any other run to its end and discards the answer. */
+/* Handles a cancel by the entry, or the loss of its connection, for a running
+ * attempt. Aborts the attempt if its request is idempotent or its body is not
+ * complete, or if nothing was written to the upstream. Otherwise lets it run to
+ * its end and discards the answer. */
 void attempt_cancel_running(struct owner_attempt *attempt);
 
 /* Called by attempts.c when a running attempt has ended, before it is freed. */
 void owner_note_finished(struct owner *owner, struct owner_attempt *attempt,
 			 enum limit_outcome outcome);
 
-/* Reads the upstream's load from the head of any answer. */
+/* Reads the upstream's load from its header, which any answer may carry. */
 void owner_note_load_header(struct owner *owner, const struct fields *fields);
 
 /* An instance other than the announced one answers at the address. */
@@ -92,23 +101,28 @@
 /* RETURN VALUE: the instance id of the upstream's current start, or NULL. */
 const char *owner_instance(const struct owner *owner);
 
-/* Removes the attempt from the gate, if it is held there. */
+/* Removes the attempt from the attempts that wait at the gate, if it is one of
+ * them. */
 void owner_remove_from_gate(struct owner *owner, struct owner_attempt *attempt);
 
-/* RETURN VALUE: the host's pace as last reported; 0: never reported. */
+/* RETURN VALUE: the host's pace as last reported, in percent of the usual
+ * service time; 0: never reported. */
 uint32_t owner_pace_percent(const struct owner *owner);
 bool owner_is_slow(const struct owner *owner);
 int64_t owner_pace_age_us(const struct owner *owner);
 uint32_t owner_running(const struct owner *owner);
 
-/* The upstream refused a connection. */
+/* The upstream refused a connection. Tells the probe, which decides whether
+ * the upstream is gone. */
 void owner_note_connection_refused(struct owner *owner);
 
-/* The upstream aborted the run; see crash.h. */
+/* The run ended without a complete answer. Records it in case the upstream
+ * crashed; see crash.h. */
 void owner_note_broken(struct owner *owner, const struct owner_attempt *attempt);
 
-/* A run ended: with a complete answer, or without one because the upstream
- * failed. */
+/* Tells the circuit breaker how a run ended. is_answer: with a complete answer,
+ * 5xx included; otherwise the upstream gave none. Not called for runs that
+ * were cancelled, that were not run, or whose caller stopped reading. */
 void owner_note_breaker_result(struct owner *owner, bool is_answer);
 
 /* Fills in the load that is sent with each answer. */
--- a/include/comfreydockd/upstream/gate.h
+++ b/include/comfreydockd/upstream/gate.h
@@ -6,7 +6,12 @@
  *	Internal to upstream/. The gate stands before the queue for the
  *	upstream's slots. An attempt passes it once the pace of the host is
  *	known and allows a start; see decide/pace.h. Until then the attempt is
- *	held at the gate, which can still refuse it as not run.
+ *	held at the gate, which can still refuse it as not run. The gate also
+ *	refuses attempts while the circuit breaker is open; see
+ *	decide/breaker.h.
+ *
+ *	The gate delays attempts because the host is slow. The queue delays
+ *	attempts because all slots that the limit allows are in use.
  */
 #ifndef COMFREYDOCKD_UPSTREAM_GATE_H
 #define COMFREYDOCKD_UPSTREAM_GATE_H
@@ -35,8 +40,8 @@
 /* Records the load that the upstream reported; NULL if it did not answer. */
 void gate_note_load(struct owner *owner, const struct answer_load *load);
 
-/* A run ended: with a complete answer, or without one because the upstream
- * failed. */
+/* Tells the circuit breaker how a run ended. is_answer: with a complete answer,
+ * 5xx included; otherwise the upstream gave none. */
 void gate_note_breaker_result(struct owner *owner, bool is_answer);
 
 /* Refuses all held attempts. */
--- a/include/comfreydockd/upstream/owner_internal.h
+++ b/include/comfreydockd/upstream/owner_internal.h
@@ -34,13 +34,14 @@
 	struct report_history history; /* empty if the upstream never reports */
 	bool is_closed; /* drained by the operator or by this daemon's stop */
 	bool is_stopping;
-	ev_timer start_check_timer;
-	struct report_check start_check; /* for a start that is not confirmed yet */
+	ev_timer start_check_timer; /* retries the health request */
+	struct report_check start_check; /* for a start not confirmed yet */
 	struct gauge *gauge;
-	struct pace pace;
+	struct pace pace; /* how slow the upstream reports its host to be */
 	struct knee knee;
-	struct breaker breaker;
-	TAILQ_HEAD(, owner_attempt) held; /* attempts that wait at the gate */
+	struct breaker breaker; /* opens if the upstream answers no request */
+	/* Attempts that wait at the gate, before the queue; see gate.h. */
+	TAILQ_HEAD(, owner_attempt) held;
 	ev_timer gate_timer;
 	struct answer_load load; /* as the upstream last reported it */
 	int64_t load_at_us; /* 0: never */
@@ -49,7 +50,7 @@
 	struct limit limit;
 	struct warm warm;
 	struct queue queue;
-	struct speed speed;
+	struct speed speed; /* service time, without the effect of pace */
 	struct probe *probe;
 	struct crash_watch crash;
 	uint32_t running;
@@ -58,7 +59,7 @@
 	bool dispatch_is_due;
 	ev_timer dispatch_timer;
 	ev_timer stale_timer;
-	ev_timer sweep_timer;
+	ev_timer sweep_timer; /* aborts hanging runs, see sweep.c */
 	int64_t last_sweep_us;
 	struct freeze_mark last_sweep;
 	int64_t no_start_before_us; /* see handle_loop_prepare() */
@@ -70,7 +71,8 @@
 
 /* owner.c */
 
-/* Offers an attempt to the queue; refuses and frees it if there is no room. */
+/* Adds an attempt to the queue; refuses and frees it if the queue does not
+ * accept it. */
 void owner_enqueue(struct owner *owner, struct owner_attempt *attempt);
 bool owner_has_group(const struct owner *owner, const char *group);
 
@@ -99,11 +101,12 @@
 /* The upstream's port refuses connections, or accepts them again. */
 void owner_note_reachable(bool reachable, void *data);
 
-/* sweep.c: aborts runs that hang, and detects pauses of this daemon */
+/* sweep.c: the sweep, a timer that aborts runs that hang and detects freezes of
+ * this daemon's loop */
 void owner_init_sweep(struct owner *owner);
 void owner_notice_freeze(struct owner *owner, int64_t now);
 
-/* frames.c: the handlers for the connections from entries */
+/* frames.c: the handlers of the owner's role, for frames from entries */
 void owner_fill_role(struct owner *owner, struct peers_role *role);
 
 #endif
--- a/include/comfreydockd/upstream/report.h
+++ b/include/comfreydockd/upstream/report.h
@@ -1,15 +1,16 @@
 /*
  * NAME
- *	report - orders the heartbeats of an upstream
+ *	report - orders the heartbeats in which an upstream reports itself
  *
  * DESCRIPTION
- *	An upstream that announces itself by heartbeats identifies its instance
- *	and its start in each of them. A heartbeat can arrive seconds late:
- *	after a newer one, after its sender has left, or after another start
- *	took over the address. If the owner acted on it, it would send work to
- *	an upstream that drains or is gone: running calls would be cut off, or
- *	requests would reach another instance. It would show as requests on an
- *	upstream that was told it may stop.
+ *	A report is one heartbeat, which the upstream sends to this daemon by
+ *	HTTP; see platform/control.h. A start is one lifetime of the upstream's
+ *	process. Each report identifies the upstream's instance and its start. A
+ *	report can arrive seconds late: after a newer one, after its sender has
+ *	left, or after another start took over the address. If the owner acted
+ *	on it, it would send work to an upstream that drains or is gone: running
+ *	calls would be cut off, or requests would reach another instance. It
+ *	would show as requests on an upstream that was told it may stop.
  *
  *	Reports are therefore ordered by the time of the start, then by their
  *	sequence number. An instance that has left is ignored until a later
@@ -40,7 +41,7 @@
 	uint16_t port;
 	uint32_t slots;
 	uint32_t warm_ms; /* how long it is slow after its start */
-	bool is_draining;
+	bool is_draining; /* the upstream asks for no new requests */
 	uint64_t sequence; /* grows with each report of one start */
 	int64_t born_ms; /* time of the start, Unix time; 0: not reported */
 };
@@ -57,7 +58,7 @@
 };
 
 enum report_verdict {
-	REPORT_NEWS, /* from the current start, and newer */
+	REPORT_NEWS, /* from the current start, and newer than the last one */
 	REPORT_NEW_START, /* from a later start, which is now the current one */
 	REPORT_LATE, /* older than what is known; ignored */
 	REPORT_GONE, /* from an instance that has left; ignored */
@@ -82,15 +83,15 @@
  * serves; or, as a health answer may mislead, by further reports, which an
  * instance that has left doesn't send.
  */
-#define REPORT_CONFIRM_COUNT 3 /* reports of one start that confirm it */
+#define REPORT_CONFIRM_COUNT 3 /* this many reports confirm their start */
 #define REPORT_CHECK_TIMEOUT_MS 200 /* a health answer on the same host */
 #define REPORT_CHECK_RETRY_S 0.25 /* shorter than an upstream's start */
 
 struct http_pending;
 
-/* All zero if no start is being confirmed. */
+/* The confirmation of the current start, and the upstream as last reported. */
 struct report_check {
-	bool is_unconfirmed; /* a start waits for its confirmation */
+	bool is_unconfirmed; /* the current start is not confirmed yet */
 	unsigned int reports; /* received from this start */
 	unsigned int failed_checks; /* unsuccessful health requests */
 	struct http_pending *pending;
@@ -101,6 +102,8 @@
 	uint32_t warm_ms;
 };
 
+/* Cancels a pending health request and clears the check, for a new start or for
+ * the owner's teardown. */
 void report_check_reset(struct report_check *check);
 
 /* Sets up the owner's timer for the retries. */
--- a/include/comfreydockd/upstream/run.h
+++ b/include/comfreydockd/upstream/run.h
@@ -39,7 +39,7 @@
 	bool (*handle_head)(void *data, unsigned int status,
 			    const struct fields *fields, int64_t length);
 	void (*handle_answer_body)(void *data, const void *bytes, size_t size);
-	/* This many bytes of the request's body were passed to libcurl. */
+	/* libcurl took this many bytes of the request's body. */
 	void (*handle_request_body_consumed)(void *data, size_t size);
 	/* The run has ended; its owner destroys it in this call or later. */
 	void (*handle_done)(void *data, enum run_result result);
