--- a/comfreydockd/peer/link.c
+++ b/comfreydockd/peer/link.c
@@ -10,8 +10,9 @@
 
 #define LENGTH_BYTES 4
 #define READ_CHUNK_BYTES (64 * 1024)
-/* A link reads at most this much per loop iteration, so that none delays the
- * others. */
+/* A link reads at most about this much per loop iteration, so that none delays
+ * the others. Written output is removed from the buffer once it exceeds this,
+ * as each removal moves the rest. */
 #define READ_TURN_BYTES (1024 * 1024)
 
 /* An empty buffer that has grown larger than this is freed. Of a thousand links
@@ -20,8 +21,8 @@
 #define BUFFER_KEEP_BYTES 2048
 
 struct link {
-	LIST_ENTRY(link) all_node;
-	LIST_ENTRY(link) flush_node;
+	LIST_ENTRY(link) all_node; /* in group->all */
+	LIST_ENTRY(link) flush_node; /* in group->to_flush */
 	struct link_group *group;
 	struct link_callbacks callbacks;
 	int fd; /* -1: an in-memory link */
@@ -36,7 +37,7 @@
 	size_t out_start;
 	uint64_t queued; /* all bytes ever passed to link_send() */
 	uint64_t handed_over; /* those given to the kernel or the other end */
-	bool flush_scheduled;
+	bool flush_scheduled; /* in group->to_flush */
 	bool trusted;
 	bool failed;
 	bool dispatching;
@@ -149,8 +150,9 @@
 	return got;
 }
 
-/* Handles the frames that arrived before the end of the stream or an error,
- * and then fails the link. */
+/* Reads what has arrived, about max_bytes at most, and handles the complete
+ * frames. Fails the link if the stream has ended or an error occurred, but only
+ * after the frames that arrived before. */
 static void link_read(struct link *link, size_t max_bytes)
 {
 	const char *error = NULL;
@@ -389,8 +391,9 @@
 		return;
 	link->flush_scheduled = true;
 	LIST_INSERT_HEAD(&link->group->to_flush, link, flush_node);
-	/* Keeps the loop from blocking if its prepare watchers have already
-	 * run. */
+	/* If the prepare watchers of this iteration have already run, the loop
+	 * could block before it flushes the link. The due timer prevents
+	 * this. */
 	ev_timer_start(link->group->loop, &link->group->flush_timer);
 }
 
--- a/include/comfreydockd/peer/link.h
+++ b/include/comfreydockd/peer/link.h
@@ -40,13 +40,13 @@
 	void *data;
 };
 
-/* Shared by all links of a daemon. Flushes the dirty ones, which have unwritten
- * frames, in each iteration of the loop. */
+/* Shared by all links of a daemon. In each iteration of the loop it writes the
+ * frames of the links that have any to write. */
 struct link_group {
 	struct ev_loop *loop;
 	uint8_t *chunk; /* read buffer, shared by all links */
-	ev_prepare flush_prepare;
-	ev_timer flush_timer;
+	ev_prepare flush_prepare; /* flushes before the loop blocks */
+	ev_timer flush_timer; /* keeps the loop from blocking unflushed */
 	LIST_HEAD(, link) to_flush;
 	LIST_HEAD(, link) all;
 };
@@ -54,7 +54,8 @@
 void link_group_init(struct link_group *group, struct ev_loop *loop);
 void link_group_finish(struct link_group *group);
 
-/* Reads all that is readable on any link, without blocking. */
+/* Reads all that is readable on any link, without blocking, and passes the
+ * frames to their handlers. */
 void link_group_read_input(struct link_group *group);
 
 /* Takes over a connected or connecting non-blocking socket. If the socket could
@@ -76,7 +77,8 @@
 /* RETURN VALUE: the frame's position in the stream, in bytes. */
 uint64_t link_send(struct link *link, const Cfd__Frame *frame);
 
-/* True if any byte of the frame at this position was handed to the kernel. */
+/* RETURN VALUE: true if at least the first byte of the frame at this position
+ * was handed to the kernel. */
 bool link_has_begun_sending(const struct link *link, uint64_t position);
 
 /* Ends the link; the loop calls handle_closed afterwards. */
--- a/include/comfreydockd/peer/peers.h
+++ b/include/comfreydockd/peer/peers.h
@@ -38,7 +38,9 @@
 struct peer;
 struct peers;
 
-/* The handlers of a role, entry or owner, for its connections. */
+/* Handlers for the connections of one role. Each daemon has two roles: it is
+ * the entry on the connections that it opens, and the owner on those that it
+ * accepts. */
 struct peers_role {
 	void (*handle_frame)(struct peer *peer, Cfd__Frame *frame, void *data);
 	/* The connection was lost; the peer is freed after this call. */
@@ -73,11 +75,15 @@
 /* Sends a frame to all entries that are connected to this owner. */
 void peers_notify_entries(struct peers *peers, const Cfd__Frame *frame);
 
-/* Reads all that has arrived on any connection, without blocking. */
+/* Reads all that has arrived on any connection, without blocking, and passes
+ * the frames to their handlers. */
 void peers_read_input(struct peers *peers);
 
 /* RETURN VALUE: the frame's position, for peer_has_begun_sending(). */
 uint64_t peer_send(struct peer *peer, const Cfd__Frame *frame);
+
+/* RETURN VALUE: true if at least the first byte of the frame at this position
+ * was handed to the kernel. */
 bool peer_has_begun_sending(const struct peer *peer, uint64_t position);
 
 /* Mark the time from the sending of an attempt to its end, during which the
