--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -18,8 +18,8 @@
 #include "common/timer.h"
 
 /* Added to the wait for the next stale item. Without it, a timer that fires
- * slightly early would find no stale item and be set again at once, so that the
- * loop would spin until the item is stale. */
+ * slightly early would wake the loop in vain, as it would find no stale item
+ * and be set again at once. */
 #define STALE_SLACK_US 500
 
 static Cfd__Reason reason_of(enum queue_verdict verdict)
--- a/include/comfreydockd/peer/link.h
+++ b/include/comfreydockd/peer/link.h
@@ -40,14 +40,16 @@
 	void *data;
 };
 
-/* Shared by all links of a daemon. In each iteration of the loop it writes the
- * frames of the links that have any to write. */
+/* Shared by all links of a daemon. In each iteration of the loop it flushes the
+ * links to which frames were added. */
 struct link_group {
 	struct ev_loop *loop;
 	uint8_t *chunk; /* read buffer, shared by all links */
 	ev_prepare flush_prepare; /* flushes before the loop blocks */
-	ev_timer flush_timer; /* keeps the loop from blocking unflushed */
-	LIST_HEAD(, link) to_flush;
+	/* Prevents that the loop blocks if a frame is added after
+	 * flush_prepare has run. */
+	ev_timer flush_timer;
+	LIST_HEAD(, link) to_flush; /* links with new frames */
 	LIST_HEAD(, link) all;
 };
 
--- a/include/comfreydockd/upstream/attempts.h
+++ b/include/comfreydockd/upstream/attempts.h
@@ -116,13 +116,14 @@
  * the upstream is gone. */
 void owner_note_connection_refused(struct owner *owner);
 
-/* The run ended without a complete answer. Records it in case the upstream
- * crashed; see crash.h. */
+/* The upstream broke off the run before its answer was complete. Records the
+ * run in case the upstream has crashed; see crash.h. */
 void owner_note_broken(struct owner *owner, const struct owner_attempt *attempt);
 
 /* Tells the circuit breaker how a run ended. is_answer: with a complete answer,
- * 5xx included; otherwise the upstream gave none. Not called for runs that
- * were cancelled, that were not run, or whose caller stopped reading. */
+ * 5xx included; otherwise the upstream gave none or an invalid one. Not called
+ * for runs that did not begin, or that were aborted because the caller
+ * cancelled or stopped reading. */
 void owner_note_breaker_result(struct owner *owner, bool is_answer);
 
 /* Fills in the load that is sent with each answer. */
--- a/include/comfreydockd/upstream/crash.h
+++ b/include/comfreydockd/upstream/crash.h
@@ -3,12 +3,12 @@
  *	crash - records which requests ran when an upstream crashed
  *
  * DESCRIPTION
- *	Internal to upstream/. Runs that ended without a complete answer, each
- *	within CRASH_WINDOW_MS of the one before, are recorded until it is known
- *	whether the upstream's process has ended: its port refuses connections,
- *	or a newer start has reported. If the port still accepts connections,
- *	the upstream has only dropped some of them, and the recorded runs are
- *	discarded.
+ *	Internal to upstream/. Runs that the upstream broke off before their
+ *	answer was complete, each within CRASH_WINDOW_MS of the one before, are
+ *	recorded until it is known whether the upstream's process has ended: its
+ *	port refuses connections, or a newer start has reported. If the port
+ *	still accepts connections, the upstream has only dropped some of them,
+ *	and the recorded runs are discarded.
  *
  *	Attempts whose request the quarantine holds are refused here; they don't
  *	wait. If the quarantine names this host for a trial, one attempt runs as
@@ -33,13 +33,13 @@
 /* Runs that break off further apart than this are not of one crash: a later one
  * replaces those recorded before. */
 #define CRASH_WINDOW_MS 200
-/* A crash that is confirmed later than this after the last recorded run broke
- * off may have nothing to do with the runs, and they are discarded. */
+/* A crash that is confirmed later than this after the latest run broke off may
+ * have nothing to do with the recorded runs, and they are discarded. */
 #define CRASH_CONFIRM_MS 10000
 
 struct crash_run {
 	char trace[TIMELINE_TRACE_MAX];
-	uint64_t content; /* hash of the request's content; 0: none was sent */
+	uint64_t content; /* hash of the request's content; 0: not known */
 	int64_t started_us;
 };
 
@@ -54,7 +54,7 @@
 void crash_init(struct owner *owner);
 void crash_finish(struct owner *owner);
 
-/* Records a run that ended without a complete answer. */
+/* Records a run that the upstream broke off. */
 void crash_note_broken(struct owner *owner, const struct owner_attempt *attempt);
 
 /* The upstream's process has ended, as a refused connection or a new start
--- a/include/comfreydockd/upstream/gate.h
+++ b/include/comfreydockd/upstream/gate.h
@@ -7,8 +7,8 @@
  *	upstream's slots. An attempt passes it once the pace of the host is
  *	known and allows a start; see decide/pace.h. Until then the attempt is
  *	held at the gate, which can still refuse it as not run. The gate also
- *	refuses attempts while the circuit breaker is open; see
- *	decide/breaker.h.
+ *	refuses attempts that another upstream may take while the circuit
+ *	breaker is open; see decide/breaker.h.
  *
  *	The gate delays attempts because the host is slow. The queue delays
  *	attempts because all slots that the limit allows are in use.
@@ -41,7 +41,7 @@
 void gate_note_load(struct owner *owner, const struct answer_load *load);
 
 /* Tells the circuit breaker how a run ended. is_answer: with a complete answer,
- * 5xx included; otherwise the upstream gave none. */
+ * 5xx included; otherwise the upstream gave none or an invalid one. */
 void gate_note_breaker_result(struct owner *owner, bool is_answer);
 
 /* Refuses all held attempts. */
