--- a/comfreydockd/peer/link.c
+++ b/comfreydockd/peer/link.c
@@ -11,8 +11,8 @@
 #define LENGTH_BYTES 4
 #define READ_CHUNK_BYTES (64 * 1024)
 /* A link reads at most about this much per loop iteration, so that none delays
- * the others. Written output is removed from the buffer once it exceeds this,
- * as each removal moves the rest. */
+ * the others. A partly written output buffer is compacted once the written part
+ * exceeds this, as each compaction moves the rest. */
 #define READ_TURN_BYTES (1024 * 1024)
 
 /* An empty buffer that has grown larger than this is freed. Of a thousand links
--- a/comfreydockd/upstream/attempts.c
+++ b/comfreydockd/upstream/attempts.c
@@ -187,9 +187,9 @@
 
 static void attempt_finish_complete(struct owner_attempt *attempt)
 {
-	/* A 5xx is a complete answer to the entry. Within the owner it counts
-	 * as a failure for the limit, the reported service time and the
-	 * quarantine. */
+	/* The entry gets a 5xx as a complete answer. The owner counts it as a
+	 * failure in the reported service time, and the quarantine does not
+	 * clear the request for it. */
 	bool failed = attempt->status >= 500;
 
 	attempt_owner_step(&attempt->state, OWNER_FINISH);
--- a/comfreydockd/upstream/crash.c
+++ b/comfreydockd/upstream/crash.c
@@ -31,7 +31,8 @@
 }
 
 /* Schedules the next check of the port. If the upstream still listens at the
- * last one, it has not crashed, and the recorded runs are discarded. */
+ * last one, it is taken not to have crashed, and the recorded runs are
+ * discarded. */
 static void crash_schedule_next_check(struct owner *owner)
 {
 	struct crash_watch *watch = &owner->crash;
@@ -186,7 +187,7 @@
 		quarantine_end_trial(quarantine, content);
 }
 
-/* A request that may run as a trial at another host only is held here. */
+/* A request that may run as a trial only at another host is held here. */
 static struct quarantine_decision
 check_quarantine(const struct owner *owner, const struct owner_attempt *attempt)
 {
