--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -17,8 +17,9 @@
 #include "common/log.h"
 #include "common/timer.h"
 
-/* A timer that fires slightly before an item is stale would find none and be
- * set again at once. */
+/* Added to the wait for the next stale item. Without it, a timer that fires
+ * slightly early would wake the loop in vain, as it would find no stale item
+ * and be set again at once. */
 #define STALE_SLACK_US 500
 
 static Cfd__Reason reason_of(enum queue_verdict verdict)
@@ -47,10 +48,11 @@
 		.limit = limit,
 	};
 
-	/* An upstream that reports its load uses all its slots from the start
-	 * and is only slower while it warms up. If its daemon limited the slots
-	 * as well, nine in ten attempts would be refused when all upstreams
-	 * have just been started together. */
+	/* An upstream that reports its load needs no slow start: it uses all
+	 * its slots from the start, and its reports show that it is slower
+	 * while it warms up. If its owner limited the slots as well, nine in
+	 * ten attempts would be refused when all upstreams have just been
+	 * started together. */
 	if (owner->daemon->headers->load)
 		slots.limit = knee_slots(&owner->knee, limit);
 	else
@@ -68,13 +70,16 @@
 	load->pace_percent = owner->pace.percent;
 	load->limit = owner->state == OWNER_UP ? slots.limit : 0;
 	/* With an open breaker the owner reports itself as full, so that
-	 * entries try others first. If nothing runs, it reports one free slot
-	 * for a trial. */
+	 * entries try others first. If nothing runs, it reports one free slot,
+	 * so that an entry sends the request with which the breaker tests
+	 * whether the upstream answers again. */
 	if (owner->breaker.is_open)
 		load->limit = MIN(load->limit, MAX(slots.running, 1));
 	load->expected_wait_us =
 		(uint32_t)MIN(queue_expected_wait_us(&owner->queue, &slots),
 			      (int64_t)UINT32_MAX);
+	/* The median service time at the usual pace, with errors counted as
+	 * slow answers; pace_percent says how much longer requests take now. */
 	load->service_us =
 		(uint32_t)MIN(speed_us(&owner->speed), (int64_t)UINT32_MAX);
 }
@@ -118,11 +123,12 @@
 			 enum limit_outcome outcome)
 {
 	int64_t now = clock_mono_us();
-	int64_t first_byte_us = attempt->head_us ? attempt->head_us : now;
+	/* When the answer's head came, or now if the run ended without one. */
+	int64_t head_or_end_us = attempt->head_us ? attempt->head_us : now;
 	int64_t usual_us = pace_nominal_us(attempt->pace_percent,
 					   now - attempt->started_us);
 
-	limit_note_done(&owner->limit, first_byte_us - attempt->started_us,
+	limit_note_done(&owner->limit, head_or_end_us - attempt->started_us,
 			outcome, owner->running, now);
 	if (outcome == LIMIT_OUTCOME_OK || outcome == LIMIT_OUTCOME_FAILED) {
 		queue_note_done(&owner->queue, attempt->item.class, usual_us);
@@ -135,8 +141,8 @@
 	} else if (outcome == LIMIT_OUTCOME_FAILED) {
 		speed_note_error(&owner->speed);
 	}
-	crash_note_finished(owner, attempt, outcome == LIMIT_OUTCOME_OK);
-	if (first_byte_us > attempt->item.deadline_us)
+	crash_note_run_result(owner, attempt, outcome == LIMIT_OUTCOME_OK);
+	if (head_or_end_us > attempt->item.deadline_us)
 		counters.owner_late++;
 	TAILQ_REMOVE(&owner->runs, attempt, running_link);
 	owner->running--;
@@ -170,7 +176,7 @@
 			continue;
 		}
 		if (!gate_may_start(owner, owner_attempt_of(item)) ||
-		    !crash_may_start(owner, owner_attempt_of(item)))
+		    !owner_quarantine_admit_start(owner, owner_attempt_of(item)))
 			continue;
 		owner->running++;
 		TAILQ_INSERT_TAIL(&owner->runs, owner_attempt_of(item),
@@ -214,12 +220,13 @@
  * Dispatches attempts before the loop blocks again, after all frames of this
  * iteration were read.
  *
- * A daemon that was stopped for seconds finds old attempts in its socket
- * buffers and, behind them, the cancels of callers who gave up. If attempts
- * started as their frames arrive, the old ones would take the slots from
- * callers who still wait, and calls that could have been refused as not run
- * would run: each pause would be followed by a burst of late runs. After a
- * pause the owner therefore only reads, for POST_FREEZE_READ_US.
+ * After a freeze of seconds, in which its loop did not run, a daemon finds old
+ * attempts in its socket buffers and, behind them, the cancels of callers who
+ * gave up. If attempts started as their frames arrive, the old ones would take
+ * the slots from callers who still wait. The owner would also run requests that
+ * it could still refuse as not run. A burst of late runs would follow each
+ * freeze. After a freeze the owner therefore only reads, for
+ * POST_FREEZE_READ_US.
  */
 static void handle_loop_prepare(struct ev_loop *loop, ev_prepare *prepare,
 				int events)
@@ -232,7 +239,7 @@
 		return;
 	owner_notice_freeze(owner, now);
 	if (now < owner->no_start_before_us) {
-		peers_drain_input(owner->daemon->peers);
+		peers_read_input(owner->daemon->peers);
 		timer_restart_us(loop, &owner->dispatch_timer,
 				 owner->no_start_before_us - now);
 		return;
@@ -243,8 +250,8 @@
 	http_client_flush(owner->daemon->http);
 }
 
-/* Callback of both timers. A due timer keeps the loop from blocking, and
- * handle_loop_prepare() then dispatches. */
+/* Callback of dispatch_timer and stale_timer. A due timer keeps the loop from
+ * blocking, and handle_loop_prepare() then dispatches. */
 static void handle_dispatch_due(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct owner *owner = timer->data;
@@ -263,7 +270,7 @@
 	return false;
 }
 
-void owner_offer(struct owner *owner, struct owner_attempt *attempt)
+void owner_enqueue(struct owner *owner, struct owner_attempt *attempt)
 {
 	struct queue_slots slots = owner_slots(owner);
 	uint32_t retry_after_ms = OWNER_RETRY_AFTER_MS;
@@ -313,7 +320,7 @@
 	ev_prepare_start(daemon->loop, &owner->loop_prepare);
 	ev_timer_start(daemon->loop, &owner->sweep_timer);
 	owner_fill_role(owner, &role);
-	peers_set_owner(daemon->peers, &role);
+	peers_set_owner_role(daemon->peers, &role);
 	return owner;
 }
 
@@ -337,8 +344,8 @@
 		TAILQ_REMOVE(&owner->runs, attempt, running_link);
 		attempt_destroy(attempt);
 	}
-	ev_timer_stop(owner->daemon->loop, &owner->check_timer);
-	report_check_finish(&owner->check);
+	ev_timer_stop(owner->daemon->loop, &owner->start_check_timer);
+	report_check_reset(&owner->start_check);
 	probe_destroy(owner->probe);
 	run_pool_destroy(owner->pool);
 	g_ptr_array_unref(owner->old_pools);
@@ -346,9 +353,9 @@
 	g_free(owner);
 }
 
-void owner_note_run(struct owner *owner, bool is_answer)
+void owner_note_breaker_result(struct owner *owner, bool is_answer)
 {
-	gate_note_run(owner, is_answer);
+	gate_note_breaker_result(owner, is_answer);
 }
 
 void owner_note_broken(struct owner *owner, const struct owner_attempt *attempt)
@@ -356,12 +363,12 @@
 	crash_note_broken(owner, attempt);
 }
 
-void owner_note_refused(struct owner *owner)
+void owner_note_connection_refused(struct owner *owner)
 {
-	probe_note_refused(owner->probe);
+	probe_note_connection_refused(owner->probe);
 }
 
-void owner_note_answer(struct owner *owner, const struct fields *fields)
+void owner_note_load_header(struct owner *owner, const struct fields *fields)
 {
 	struct answer_load load;
 
@@ -371,7 +378,7 @@
 	gate_review(owner);
 }
 
-void owner_remove_held(struct owner *owner, struct owner_attempt *attempt)
+void owner_remove_from_gate(struct owner *owner, struct owner_attempt *attempt)
 {
 	if (!attempt->is_held)
 		return;
--- a/comfreydockd/upstream/sweep.c
+++ b/comfreydockd/upstream/sweep.c
@@ -17,6 +17,7 @@
  * in the entries' own send buffers and arrive only now. */
 #define POST_FREEZE_READ_US (50 * US_PER_MS)
 
+/* The sweep goes through all running attempts every SWEEP_S. */
 static void owner_mark_sweep(struct owner *owner, int64_t now)
 {
 	owner->last_sweep_us = now;
@@ -45,11 +46,11 @@
 
 		if (!attempt->head_us &&
 		    now > attempt->item.deadline_us + HEAD_GRACE_US) {
-			attempt_break(attempt, "no answer after the deadline");
-			owner_note_run(owner, false);
+			attempt_abort(attempt, "no answer after the deadline");
+			owner_note_breaker_result(owner, false);
 		} else if (attempt->stalled_since_us &&
 			   now - attempt->stalled_since_us > STALL_US)
-			attempt_break(attempt, "caller stopped reading");
+			attempt_abort(attempt, "caller stopped reading");
 		attempt = next;
 	}
 }
--- a/include/comfreydockd/peer/link.h
+++ b/include/comfreydockd/peer/link.h
@@ -40,22 +40,25 @@
 	void *data;
 };
 
-/* Shared by all links of a daemon. Flushes the dirty ones, which have unwritten
- * frames, in each iteration of the loop. */
+/* Shared by all links of a daemon. In each iteration of the loop it flushes the
+ * links to which frames were added. */
 struct link_group {
 	struct ev_loop *loop;
 	uint8_t *chunk; /* read buffer, shared by all links */
-	ev_prepare flush;
+	ev_prepare flush_prepare; /* flushes before the loop blocks */
+	/* Prevents that the loop blocks if a frame is added after
+	 * flush_prepare has run. */
 	ev_timer flush_timer;
-	LIST_HEAD(, link) dirty;
+	LIST_HEAD(, link) to_flush; /* links with new frames */
 	LIST_HEAD(, link) all;
 };
 
 void link_group_init(struct link_group *group, struct ev_loop *loop);
 void link_group_finish(struct link_group *group);
 
-/* Reads all that is readable on any link, without blocking. */
-void link_group_drain_input(struct link_group *group);
+/* Reads all that is readable on any link, without blocking, and passes the
+ * frames to their handlers. */
+void link_group_read_input(struct link_group *group);
 
 /* Takes over a connected or connecting non-blocking socket. If the socket could
  * not be opened, the creator passes -1 and then calls link_fail(). */
@@ -76,8 +79,9 @@
 /* RETURN VALUE: the frame's position in the stream, in bytes. */
 uint64_t link_send(struct link *link, const Cfd__Frame *frame);
 
-/* True if any byte of the frame at this position was handed to the kernel. */
-bool link_has_handed_over(const struct link *link, uint64_t position);
+/* RETURN VALUE: true if at least the first byte of the frame at this position
+ * was handed to the kernel. */
+bool link_has_begun_sending(const struct link *link, uint64_t position);
 
 /* Ends the link; the loop calls handle_closed afterwards. */
 void link_fail(struct link *link, const char *error);
