--- a/bench/capacity/bench_config.c
+++ b/bench/capacity/bench_config.c
@@ -73,7 +73,7 @@
 	config_body_sha256(text, strlen(text), ns->sha256);
 	ns->version = 1;
 	next = config_snapshot_with(snapshot, ns);
-	config_head_note(head, ns->name, ns->version, ns->sha256);
+	config_head_record_commit(head, ns->name, ns->version, ns->sha256);
 	config_namespace_unref(ns);
 	config_snapshot_unref(snapshot);
 	findings_finish(&findings);
--- a/comfreydockd/assembly.c
+++ b/comfreydockd/assembly.c
@@ -110,7 +110,7 @@
 	if (head != config_store_head(daemon->config))
 		config_store_note_head(daemon->config, head, host);
 	if (told_age_us >= 0)
-		config_store_note_told(daemon->config, head, told_age_us);
+		config_store_note_confirmed(daemon->config, head, told_age_us);
 }
 
 /* Gossip may still send the previous head for a moment after this daemon has
@@ -121,7 +121,7 @@
 
 	if (head != config_store_head(daemon->config))
 		return -1;
-	return config_store_told_age_us(daemon->config);
+	return config_store_confirmed_age_us(daemon->config);
 }
 
 static void handle_config_changed(struct config_snapshot *snapshot, void *data)
@@ -270,7 +270,7 @@
 	const struct config_platform_ops *ops = NULL;
 
 	if (daemon->platform)
-		config_store_expect_told(daemon->config);
+		config_store_expect_confirmation(daemon->config);
 	if (daemon->platform && !daemon->settings->follows_platform) {
 		ops = &config_platform_ops;
 		assembly->config_platform =
--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -249,12 +249,13 @@
 	copy_host(request->host, service, sizeof(service));
 	g_strlcpy(path, request->target, sizeof(path));
 	path[strcspn(path, "?#")] = '\0';
-	timeline_log(&entry->daemon->timeline, trace, EV_ENTRY_NO_RULE,
-		     LOG_STR("service", service), LOG_STR("path", path),
-		     LOG_STR("reason", reason), LOG_INT("status", status),
-		     LOG_INT("head", config_store_head(config)),
-		     LOG_INT("known_head", config_store_known_head(config)),
-		     LOG_INT("told_age_us", config_store_told_age_us(config)));
+	timeline_log(
+		&entry->daemon->timeline, trace, EV_ENTRY_NO_RULE,
+		LOG_STR("service", service), LOG_STR("path", path),
+		LOG_STR("reason", reason), LOG_INT("status", status),
+		LOG_INT("head", config_store_head(config)),
+		LOG_INT("known_head", config_store_known_head(config)),
+		LOG_INT("told_age_us", config_store_confirmed_age_us(config)));
 }
 
 /*
@@ -274,13 +275,13 @@
 	uint32_t come_back_ms = 0;
 
 	counters.caller_no_route++;
-	switch (config_store_doubt(entry->daemon->config)) {
+	switch (config_store_get_doubt(entry->daemon->config)) {
 	case CONFIG_DOUBT_BEHIND:
 		status = STATUS_UNAVAILABLE;
 		reason = "configuration-behind";
 		come_back_ms = CONFIG_BEHIND_COME_BACK_MS;
 		break;
-	case CONFIG_DOUBT_UNTOLD:
+	case CONFIG_DOUBT_UNCONFIRMED:
 		status = STATUS_UNAVAILABLE;
 		reason = "configuration-untold";
 		come_back_ms = NO_CONFIG_COME_BACK_MS;
--- a/comfreydockd/config/apply.c
+++ b/comfreydockd/config/apply.c
@@ -34,7 +34,7 @@
 	/* The answer to a transaction was lost; it may still take effect. */
 	bool unresolved;
 	bool was_in_force;
-	uint64_t head; /* the head that the last transaction writes */
+	uint64_t written_head; /* the head that the last transaction writes */
 	struct config_history history;
 	uint64_t row_version;
 };
@@ -73,7 +73,7 @@
 		.body = apply->ns ? apply->ns->body : NULL,
 		.version = version,
 		.base = apply->base,
-		.head = result == CONFIG_APPLY_IN_FORCE ? apply->head : 0,
+		.head = result == CONFIG_APPLY_IN_FORCE ? apply->written_head : 0,
 		.winner = winner,
 		.was_in_force = apply->was_in_force,
 		.findings = &apply->findings,
@@ -151,9 +151,9 @@
 	char *row_text;
 
 	head->head = MAX(head->head, apply->known_head);
-	config_head_note(head, apply->ns->name, apply->commit.version,
-			 apply->ns->sha256);
-	apply->head = head->head;
+	config_head_record_commit(head, apply->ns->name, apply->commit.version,
+				  apply->ns->sha256);
+	apply->written_head = head->head;
 	config_history_push(&apply->history, &apply->commit);
 	recent_text = config_head_to_recent_text(head);
 	head_text = config_head_to_text(head);
@@ -232,7 +232,7 @@
  * from an older copy. So the version held here counts as well. */
 static uint64_t version_in_force(const struct config_apply *apply)
 {
-	return MAX(config_history_version(&apply->history), apply->held);
+	return MAX(config_history_newest_version(&apply->history), apply->held);
 }
 
 /*
@@ -242,7 +242,7 @@
  * since an earlier apply of that body may have ended as unknown. If the history
  * no longer holds base + 1, a lost answer stays unknown.
  */
-static void resolve_moved_row(struct config_apply *apply)
+static void resolve_base_mismatch(struct config_apply *apply)
 {
 	const struct config_commit *commit =
 		config_history_find(&apply->history, apply->commit.version);
@@ -255,7 +255,7 @@
 		return;
 	}
 	if (is_ours && version == commit->version) {
-		apply->head = 0;
+		apply->written_head = 0;
 		finish(apply, CONFIG_APPLY_IN_FORCE, version, NULL);
 		return;
 	}
@@ -283,7 +283,7 @@
 	}
 	apply->row_version = row_version;
 	if (version_in_force(apply) != apply->base)
-		resolve_moved_row(apply);
+		resolve_base_mismatch(apply);
 	else if (apply->body_is_put)
 		read_head(apply);
 	else
--- a/comfreydockd/config/follow.c
+++ b/comfreydockd/config/follow.c
@@ -15,19 +15,19 @@
 	struct config_follow_options options;
 	struct random_state random;
 	ev_timer timer;
-	bool is_watching; /* version is known, so the next request is a watch */
+	bool has_read_row; /* version is known, so the next request is a watch */
 	uint64_t store_version; /* up to which all changes were seen */
 	uint64_t newest_version; /* of the configuration, as read */
 	bool is_row_unreadable; /* the latest value of the row was rejected */
 	int64_t backoff_us;
-	int64_t asked_us; /* boot time of the read that precedes the watch */
+	int64_t read_sent_us; /* boot time of the read that precedes the watch */
 
 	/* while behind */
 	ev_timer behind_timer;
 	int64_t behind_since_us;
-	int64_t read_at_us; /* time of the own read if still behind */
-	bool is_reading;
-	int64_t own_read_us;
+	int64_t own_read_at_us; /* time of the own read if still behind */
+	bool is_own_read_open;
+	int64_t own_read_sent_us;
 };
 
 static void schedule_request(struct config_follow *follow, int64_t us)
@@ -83,8 +83,8 @@
 
 /* Reports to the store that newest_version was the newest one at as_of_us,
  * unless the latest row was rejected or is still being adopted. */
-static void note_told(struct config_follow *follow, int64_t as_of_us,
-		      bool was_read)
+static void report_confirmation(struct config_follow *follow, int64_t as_of_us,
+				bool was_read)
 {
 	struct config_store *store = follow->options.store;
 
@@ -93,8 +93,8 @@
 	if (was_read)
 		config_store_note_newest(store, follow->newest_version, as_of_us);
 	else
-		config_store_note_told(store, follow->newest_version,
-				       clock_boot_us() - as_of_us);
+		config_store_note_confirmed(store, follow->newest_version,
+					    clock_boot_us() - as_of_us);
 }
 
 static void adopt_row(void *data)
@@ -125,7 +125,7 @@
 	}
 	g_free(body);
 	config_store_end_adoption(follow->options.store);
-	note_told(follow, adoption->as_of_us, adoption->was_read);
+	report_confirmation(follow, adoption->as_of_us, adoption->was_read);
 }
 
 static void begin_row_adoption(struct config_follow *follow,
@@ -159,14 +159,14 @@
 					   was_read);
 	}
 	/* An answer without changes also confirms the version held. */
-	note_told(follow, as_of_us, was_read);
+	report_confirmation(follow, as_of_us, was_read);
 	return true;
 }
 
-static void continue_watch(struct config_follow *follow,
+static void schedule_watch(struct config_follow *follow,
 			   const struct platform_answer *answer)
 {
-	follow->is_watching = true;
+	follow->has_read_row = true;
 	follow->backoff_us = 0;
 	schedule_request(follow,
 			 answer->row_count ? CONFIG_FOLLOW_COALESCE_US : 0);
@@ -181,15 +181,15 @@
 		log_event(EV_CONFIG_WATCH_REFUSED,
 			  LOG_INT("after", follow->store_version));
 		follow->store_version = 0;
-		follow->is_watching = false;
+		follow->has_read_row = false;
 		schedule_request(follow, 0);
 	} else if (handle_answer(follow, answer, clock_boot_us(), false)) {
-		continue_watch(follow, answer);
+		schedule_watch(follow, answer);
 	} else {
 		/* A store that was unavailable may have been restored from a
 		 * copy. A watch from the old version would then wait for a
 		 * change that the store already has. */
-		follow->is_watching = false;
+		follow->has_read_row = false;
 		schedule_retry(follow);
 	}
 }
@@ -198,18 +198,18 @@
 {
 	struct config_follow *follow = data;
 
-	if (handle_answer(follow, answer, follow->asked_us, true))
-		continue_watch(follow, answer);
+	if (handle_answer(follow, answer, follow->read_sent_us, true))
+		schedule_watch(follow, answer);
 	else
 		schedule_retry(follow);
 }
 
-static void handle_read_alone(const struct platform_answer *answer, void *data)
+static void handle_own_read(const struct platform_answer *answer, void *data)
 {
 	struct config_follow *follow = data;
 
-	follow->is_reading = false;
-	if (!handle_answer(follow, answer, follow->own_read_us, true))
+	follow->is_own_read_open = false;
+	if (!handle_answer(follow, answer, follow->own_read_sent_us, true))
 		counters.config_fetch_failures++;
 }
 
@@ -252,8 +252,8 @@
 
 	(void)loop;
 	(void)events;
-	if (!follow->is_watching) {
-		follow->asked_us = clock_boot_us();
+	if (!follow->has_read_row) {
+		follow->read_sent_us = clock_boot_us();
 		read_row(follow, handle_read);
 	} else if (is_elected_follower(follow)) {
 		counters.config_head_reads++;
@@ -276,26 +276,26 @@
 				CONFIG_FOLLOW_READ_SPACING_US +
 			1;
 
-	follow->read_at_us = clock_mono_us() + CONFIG_FOLLOW_PEER_GRACE_US +
-			     (is_first ? 0 : (int64_t)span) +
-			     (int64_t)random_below(&follow->random, span);
+	follow->own_read_at_us = clock_mono_us() + CONFIG_FOLLOW_PEER_GRACE_US +
+				 (is_first ? 0 : (int64_t)span) +
+				 (int64_t)random_below(&follow->random, span);
 }
 
 /* Waits while pieces of a version still arrive from peers, but not without end:
  * if versions follow each other faster than one crosses the link, none is ever
  * complete. */
-static bool is_due(const struct config_follow *follow)
+static bool is_own_read_due(const struct config_follow *follow)
 {
 	int64_t now_us = clock_mono_us();
 	int64_t progress_us = config_store_progress_us(follow->options.store);
 
-	return now_us >= follow->read_at_us &&
+	return now_us >= follow->own_read_at_us &&
 	       !config_store_is_adopting(follow->options.store) &&
 	       (now_us - progress_us >= CONFIG_FOLLOW_STALL_US ||
 		now_us - follow->behind_since_us >= CONFIG_FOLLOW_PIECES_MAX_US);
 }
 
-static void read_row_alone(struct config_follow *follow)
+static void send_own_read(struct config_follow *follow)
 {
 	const struct config_store *store = follow->options.store;
 
@@ -303,10 +303,10 @@
 		EV_CONFIG_READ_ALONE, LOG_INT("head", config_store_head(store)),
 		LOG_INT("known_head", config_store_known_head(store)),
 		LOG_INT("behind_us", clock_mono_us() - follow->behind_since_us));
-	follow->is_reading = true;
-	follow->own_read_us = clock_boot_us();
+	follow->is_own_read_open = true;
+	follow->own_read_sent_us = clock_boot_us();
 	schedule_own_read(follow, false);
-	read_row(follow, handle_read_alone);
+	read_row(follow, handle_own_read);
 }
 
 static void handle_behind_timer(struct ev_loop *loop, ev_timer *timer, int events)
@@ -314,10 +314,11 @@
 	struct config_follow *follow = timer->data;
 
 	(void)events;
-	if (config_store_doubt(follow->options.store) != CONFIG_DOUBT_BEHIND)
+	if (config_store_get_doubt(follow->options.store) != CONFIG_DOUBT_BEHIND)
 		ev_timer_stop(loop, timer);
-	else if (follow->is_watching && !follow->is_reading && is_due(follow))
-		read_row_alone(follow);
+	else if (follow->has_read_row && !follow->is_own_read_open &&
+		 is_own_read_due(follow))
+		send_own_read(follow);
 }
 
 /*
--- a/comfreydockd/config/rows.c
+++ b/comfreydockd/config/rows.c
@@ -120,8 +120,8 @@
 			      head->versions->len - 1);
 }
 
-void config_head_note(struct config_head *head, const char *name,
-		      uint64_t version, const char *sha256)
+void config_head_record_commit(struct config_head *head, const char *name,
+			       uint64_t version, const char *sha256)
 {
 	struct config_version *line = find_or_add_version(head, name);
 
@@ -199,7 +199,7 @@
 		g_array_set_size(history->commits, COMMITS_KEPT);
 }
 
-uint64_t config_history_version(const struct config_history *history)
+uint64_t config_history_newest_version(const struct config_history *history)
 {
 	if (!history->commits->len)
 		return 0;
--- a/comfreydockd/config/spread.c
+++ b/comfreydockd/config/spread.c
@@ -25,7 +25,7 @@
 	       (int64_t)(random_below(&spread->random, span));
 }
 
-void config_spread_publish(struct config_spread *spread)
+void config_spread_publish_head(struct config_spread *spread)
 {
 	uint64_t head = config_store_head(spread->store);
 
@@ -94,7 +94,7 @@
 	config_head_init(&row);
 	if (config_head_parse(&row, value)) {
 		suffices = note_head_row(spread, &row);
-		config_store_note_told(spread->store, row.head, 0);
+		config_store_note_confirmed(spread->store, row.head, 0);
 	} else {
 		log_event(EV_CONFIG_HEAD_UNREADABLE);
 		spread->platform_failed = true;
@@ -117,14 +117,14 @@
 		read_row(spread, CONFIG_HEAD_KEY);
 		return;
 	}
-	config_spread_publish(spread);
+	config_spread_publish_head(spread);
 	config_fetch_next(spread);
 }
 
 static void read_row(struct config_spread *spread, const char *key)
 {
 	spread->is_reading = true;
-	spread->read_requested = false;
+	spread->head_read_requested = false;
 	counters.config_head_reads++;
 	spread->platform_ops->get(spread->platform, key, handle_row, spread);
 }
@@ -145,7 +145,7 @@
 			log_event(EV_CONFIG_READER,
 				  LOG_INT("reads", spread->is_reader));
 	}
-	if (spread->read_requested ||
+	if (spread->head_read_requested ||
 	    (is_due &&
 	     (spread->is_reader || !config_store_is_ready(spread->store))))
 		read_row(spread, CONFIG_RECENT_KEY);
@@ -158,7 +158,7 @@
 
 	if (!from_host) {
 		/* The apply ran through this daemon. */
-		spread->read_requested = true;
+		spread->head_read_requested = true;
 		read_if_due(spread);
 		return;
 	}
@@ -179,7 +179,7 @@
 	config_fetch_check_timeout(spread);
 	config_fetch_drop_adopted_pieces(spread);
 	config_fetch_next(spread);
-	config_spread_publish(spread);
+	config_spread_publish_head(spread);
 }
 
 bool config_spread_is_reader(const struct config_spread *spread)
--- a/comfreydockd/config/spread_answer.c
+++ b/comfreydockd/config/spread_answer.c
@@ -88,7 +88,7 @@
 {
 	const struct config_snapshot *snapshot =
 		config_store_current(spread->store);
-	GArray *all = config_store_export(spread->store);
+	GArray *all = config_store_held_versions(spread->store);
 	size_t bytes_left = CONFIG_SPREAD_ANSWER_BYTES;
 	bool has_piece = false;
 
--- a/comfreydockd/config/spread_fetch.c
+++ b/comfreydockd/config/spread_fetch.c
@@ -113,7 +113,7 @@
 	spread->fetch_at_us = config_spread_random_time(spread, most / 4, most);
 	/* The peers can't help, so read what is in force from the platform. */
 	if (spread->tries % PEER_TRIES == 0)
-		spread->read_requested = true;
+		spread->head_read_requested = true;
 }
 
 static void note_success(struct config_spread *spread)
@@ -145,7 +145,7 @@
 		note_success(spread);
 	else
 		note_failure(spread, "no valid body in the object store");
-	config_spread_publish(spread);
+	config_spread_publish_head(spread);
 	config_fetch_next(spread);
 }
 
@@ -165,7 +165,7 @@
 	g_free(key);
 }
 
-static bool lists_name(GArray *missing, const char *name)
+static bool contains_name(GArray *missing, const char *name)
 {
 	for (guint i = 0; name && i < missing->len; i++) {
 		if (strcmp(g_array_index(missing, struct config_version, i).name,
@@ -175,7 +175,7 @@
 	return false;
 }
 
-static size_t list_names(GArray *missing, char **names)
+static size_t collect_names(GArray *missing, char **names)
 {
 	size_t count = MIN(missing->len, WANTED_MAX);
 
@@ -192,11 +192,11 @@
 	Cfd__ConfigQuery query = CFD__CONFIG_QUERY__INIT;
 	char *wanted[WANTED_MAX];
 
-	if (lists_name(missing, pieces->name)) {
+	if (contains_name(missing, pieces->name)) {
 		wanted[query.n_wanted++] = pieces->name;
 		config_pieces_fill_query(pieces, &query);
 	} else {
-		query.n_wanted = list_names(missing, wanted);
+		query.n_wanted = collect_names(missing, wanted);
 	}
 	query.wanted = wanted;
 	send_query(spread, member, CONFIG_FETCH_BODIES, &query);
@@ -369,7 +369,7 @@
 	config_store_end_adoption(spread->store);
 	if (result != CONFIG_OFFER_ADOPTED && result != CONFIG_OFFER_NOT_NEWER)
 		note_failure(spread, "the body was rejected");
-	config_spread_publish(spread);
+	config_spread_publish_head(spread);
 }
 
 static void begin_body_adoption(struct config_spread *spread)
@@ -489,6 +489,6 @@
 		note_failure(spread, answer->busy ? "busy" : "not ready");
 	else
 		take_configuration(spread, answer);
-	config_spread_publish(spread);
+	config_spread_publish_head(spread);
 	config_fetch_next(spread);
 }
--- a/comfreydockd/config/store.c
+++ b/comfreydockd/config/store.c
@@ -24,11 +24,11 @@
 	int64_t adopted_us;
 	int64_t progress_us;
 	unsigned int adoptions_open; /* begun and not ended */
-	bool is_told; /* told_us is valid */
-	int64_t told_us; /* boot time at which head was the newest one */
+	bool is_confirmed; /* confirmed_us is valid */
+	int64_t confirmed_us; /* boot time at which head was the newest one */
 	uint64_t pending_head; /* a head that is told but not reached yet */
-	int64_t pending_told_us; /* boot time at which it was the newest one */
-	bool expects_told;
+	int64_t pending_confirmed_us; /* boot time at which it was the newest one */
+	bool expects_confirmation;
 	int64_t expects_since_us; /* boot time */
 	int64_t known_head_us; /* boot time of the last note of known_head */
 	GArray *listing; /* of struct config_version, names owned */
@@ -131,32 +131,34 @@
 	store->progress_us = clock_mono_us();
 }
 
-int64_t config_store_told_age_us(const struct config_store *store)
+int64_t config_store_confirmed_age_us(const struct config_store *store)
 {
-	return store->is_told ? MAX(clock_boot_us() - store->told_us, 0) : -1;
+	return store->is_confirmed ?
+		       MAX(clock_boot_us() - store->confirmed_us, 0) :
+		       -1;
 }
 
-void config_store_expect_told(struct config_store *store)
+void config_store_expect_confirmation(struct config_store *store)
 {
-	store->expects_told = true;
+	store->expects_confirmation = true;
 	store->expects_since_us = clock_boot_us();
 }
 
 /* RETURN VALUE: the time since the platform last confirmed the head, or since
- * config_store_expect_told(); -1 if there is no platform to confirm it. */
-static int64_t untold_us(const struct config_store *store)
+ * config_store_expect_confirmation(); -1 if there is no platform to confirm it. */
+static int64_t unconfirmed_us(const struct config_store *store)
 {
-	if (!store->is_told && store->expects_told)
+	if (!store->is_confirmed && store->expects_confirmation)
 		return clock_boot_us() - store->expects_since_us;
-	return config_store_told_age_us(store);
+	return config_store_confirmed_age_us(store);
 }
 
-enum config_doubt config_store_doubt(const struct config_store *store)
+enum config_doubt config_store_get_doubt(const struct config_store *store)
 {
 	if (store->known_head > store->head || config_store_has_missing(store))
 		return CONFIG_DOUBT_BEHIND;
-	if (untold_us(store) > CONFIG_TOLD_MAX_US)
-		return CONFIG_DOUBT_UNTOLD;
+	if (unconfirmed_us(store) > CONFIG_CONFIRMED_MAX_AGE_US)
+		return CONFIG_DOUBT_UNCONFIRMED;
 	return CONFIG_DOUBT_NONE;
 }
 
@@ -200,16 +202,16 @@
 	return false;
 }
 
-static uint64_t origin_of(const struct config_store *store, const char *name,
-			  uint64_t version)
+static uint64_t applied_head_of(const struct config_store *store,
+				const char *name, uint64_t version)
 {
 	const struct origin *origin = g_hash_table_lookup(store->origins, name);
 
 	return origin && origin->version == version ? origin->at : 0;
 }
 
-static void note_origin(struct config_store *store,
-			const struct config_version *version)
+static void note_applied_head(struct config_store *store,
+			      const struct config_version *version)
 {
 	struct origin *origin =
 		g_hash_table_lookup(store->origins, version->name);
@@ -222,7 +224,7 @@
 	g_hash_table_replace(store->origins, g_strdup(version->name), origin);
 }
 
-GArray *config_store_export(const struct config_store *store)
+GArray *config_store_held_versions(const struct config_store *store)
 {
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct config_version));
 	const GPtrArray *namespaces = store->current->namespaces;
@@ -232,7 +234,7 @@
 		struct config_version version = {
 			.name = ns->name,
 			.version = ns->version,
-			.at = origin_of(store, ns->name, ns->version),
+			.at = applied_head_of(store, ns->name, ns->version),
 		};
 
 		g_strlcpy(version.sha256, ns->sha256, sizeof(version.sha256));
@@ -241,11 +243,12 @@
 	return all;
 }
 
-static void note_told_at(struct config_store *store, int64_t as_of_us)
+static void note_confirmed_at(struct config_store *store, int64_t as_of_us)
 {
-	store->told_us =
-		store->is_told ? MAX(store->told_us, as_of_us) : as_of_us;
-	store->is_told = true;
+	store->confirmed_us = store->is_confirmed ?
+				      MAX(store->confirmed_us, as_of_us) :
+				      as_of_us;
+	store->is_confirmed = true;
 }
 
 /* Advances the head once no version of its listing is missing. If a daemon
@@ -257,23 +260,24 @@
 		store->head = MAX(store->head, store->listed_head);
 		store->ready = true;
 		if (store->pending_head && store->pending_head <= store->head)
-			note_told_at(store, store->pending_told_us);
+			note_confirmed_at(store, store->pending_confirmed_us);
 		log_event(EV_CONFIG_HEAD_REACHED, LOG_INT("head", store->head));
 	}
 }
 
-void config_store_note_told(struct config_store *store, uint64_t head,
-			    int64_t age_us)
+void config_store_note_confirmed(struct config_store *store, uint64_t head,
+				 int64_t age_us)
 {
 	int64_t as_of_us = clock_boot_us() - age_us;
 
 	if (head <= store->head) {
-		note_told_at(store, as_of_us);
+		note_confirmed_at(store, as_of_us);
 	} else if (head > store->pending_head) {
 		store->pending_head = head;
-		store->pending_told_us = as_of_us;
+		store->pending_confirmed_us = as_of_us;
 	} else if (head == store->pending_head) {
-		store->pending_told_us = MAX(store->pending_told_us, as_of_us);
+		store->pending_confirmed_us =
+			MAX(store->pending_confirmed_us, as_of_us);
 	}
 }
 
@@ -303,7 +307,7 @@
 {
 	uint64_t highest = MAX(head, store->head);
 
-	config_store_note_told(store, head, clock_boot_us() - asked_us);
+	config_store_note_confirmed(store, head, clock_boot_us() - asked_us);
 	if (store->known_head > highest && store->known_head_us < asked_us)
 		drop_heads_above(store, highest);
 }
@@ -312,7 +316,7 @@
 			    const char *from_host)
 {
 	if (!from_host)
-		config_store_note_told(store, head, 0);
+		config_store_note_confirmed(store, head, 0);
 	if (head <= store->head && store->ready)
 		return;
 	note_known_head(store, head);
@@ -336,7 +340,7 @@
 	for (size_t i = 0; i < count; i++) {
 		struct config_version version = versions[i];
 
-		note_origin(store, &version);
+		note_applied_head(store, &version);
 		version.name = g_strdup(versions[i].name);
 		g_array_append_val(store->listing, version);
 	}
--- a/comfreydockd/operator/config.c
+++ b/comfreydockd/operator/config.c
@@ -159,7 +159,7 @@
 	bool is_refused;
 	char *text;
 
-	if (config_store_doubt(store) == CONFIG_DOUBT_NONE)
+	if (config_store_get_doubt(store) == CONFIG_DOUBT_NONE)
 		return false;
 	findings_init(&findings);
 	ns = config_namespace_load(file_argument(request),
--- a/comfreydockd/operator/gather.c
+++ b/comfreydockd/operator/gather.c
@@ -156,21 +156,21 @@
 
 /* RETURN VALUE: whether a host assigned this trace id, or may have events of
  * it. */
-static bool host_may_know(const struct member *member, const char *trace)
+static bool may_have_events(const struct member *member, const char *trace)
 {
 	if (member->state != MEMBER_ALIVE && member->state != MEMBER_SUSPECT)
 		return false;
 	return !trace_has_host_form(trace) || trace_is_from(trace, member->host);
 }
 
-static void gather_query_origin(struct gather *gather)
+static void gather_query_first_hosts(struct gather *gather)
 {
 	struct daemon *daemon = gather->gatherer->daemon;
 	struct member *member;
 
 	TAILQ_FOREACH (member, member_table_all(daemon->members), link) {
 		if (strcmp(member->host, daemon->settings->host) != 0 &&
-		    host_may_know(member, gather->trace))
+		    may_have_events(member, gather->trace))
 			gather_query(gather, member->host);
 	}
 }
@@ -222,7 +222,7 @@
 	LIST_INSERT_HEAD(&gatherer->gathers, gather, link);
 	g_hash_table_add(gather->queried, g_strdup(daemon->settings->host));
 	if (trace && daemon->peers)
-		gather_query_origin(gather);
+		gather_query_first_hosts(gather);
 	gather_add_events(gather, events);
 	g_free(events);
 	if (g_hash_table_size(gather->unanswered) == 0)
--- a/comfreydockd/operator/metrics.c
+++ b/comfreydockd/operator/metrics.c
@@ -73,7 +73,7 @@
 {
 	int64_t now_us = clock_mono_us();
 	int64_t adopted_us = config_store_adopted_us(store);
-	int64_t told_age_us = config_store_told_age_us(store);
+	int64_t told_age_us = config_store_confirmed_age_us(store);
 
 	append_versions(text, config_store_current(store));
 	metric_append_gauge(text, "config_head",
--- a/include/comfreydockd/config/rows.h
+++ b/include/comfreydockd/config/rows.h
@@ -46,8 +46,8 @@
 char *config_head_to_recent_text(const struct config_head *head);
 
 /* Increments the head for one apply and records its version. */
-void config_head_note(struct config_head *head, const char *name,
-		      uint64_t version, const char *sha256);
+void config_head_record_commit(struct config_head *head, const char *name,
+			       uint64_t version, const char *sha256);
 
 struct config_commit {
 	uint64_t version;
@@ -69,7 +69,7 @@
 			 const struct config_commit *commit);
 
 /* The version in force, 0 if none. */
-uint64_t config_history_version(const struct config_history *history);
+uint64_t config_history_newest_version(const struct config_history *history);
 
 /* RETURN VALUE: the commit of a version, or NULL if it is not kept. */
 const struct config_commit *
--- a/include/comfreydockd/config/spread_internal.h
+++ b/include/comfreydockd/config/spread_internal.h
@@ -52,7 +52,7 @@
 	int64_t read_at_us;
 	bool is_reading;
 	bool is_reader;
-	bool read_requested; /* even if this daemon is not a reader */
+	bool head_read_requested; /* even if this daemon is not a reader */
 	bool platform_failed; /* in the last read */
 	bool platform_tried;
 
@@ -130,6 +130,6 @@
 /* RETURN VALUE: a random time between least_us and most_us from now. */
 int64_t config_spread_random_time(struct config_spread *spread,
 				  int64_t least_us, int64_t most_us);
-void config_spread_publish(struct config_spread *spread);
+void config_spread_publish_head(struct config_spread *spread);
 
 #endif
--- a/include/comfreydockd/config/store.h
+++ b/include/comfreydockd/config/store.h
@@ -45,13 +45,13 @@
  * is noticed 2 s later. If a daemon is told nothing for this long, no daemon
  * nearby reaches the platform.
  */
-#define CONFIG_TOLD_MAX_US ((int64_t)60 * 1000 * 1000)
+#define CONFIG_CONFIRMED_MAX_AGE_US ((int64_t)60 * 1000 * 1000)
 
 /* Why the configuration held here may not be the one in force. */
 enum config_doubt {
 	CONFIG_DOUBT_NONE,
 	CONFIG_DOUBT_BEHIND, /* a higher head is known but not reached */
-	CONFIG_DOUBT_UNTOLD, /* not confirmed for CONFIG_TOLD_MAX_US */
+	CONFIG_DOUBT_UNCONFIRMED, /* not confirmed for CONFIG_CONFIRMED_MAX_AGE_US */
 };
 
 /* One line of a listing. */
@@ -124,12 +124,12 @@
  *	held here exists; peers pass such a confirmation on with its age. -1: it
  *	was never confirmed.
  */
-int64_t config_store_told_age_us(const struct config_store *store);
+int64_t config_store_confirmed_age_us(const struct config_store *store);
 
 /* Declares that a platform exists which confirms the head. If no confirmation
- * comes within CONFIG_TOLD_MAX_US from now, the configuration is in doubt, as
+ * comes within CONFIG_CONFIRMED_MAX_AGE_US from now, the configuration is in doubt, as
  * it is with an old confirmation. */
-void config_store_expect_told(struct config_store *store);
+void config_store_expect_confirmation(struct config_store *store);
 
 /*
  * Notes that the platform, asked at the boot time asked_us, answered that head
@@ -141,12 +141,12 @@
 			      int64_t asked_us);
 
 /* Notes that head was the newest one age_us ago. */
-void config_store_note_told(struct config_store *store, uint64_t head,
-			    int64_t age_us);
+void config_store_note_confirmed(struct config_store *store, uint64_t head,
+				 int64_t age_us);
 
 /* RETURN VALUE: whether and why a newer configuration may be in force
  * elsewhere, so that a request without a rule here may have one there. */
-enum config_doubt config_store_doubt(const struct config_store *store);
+enum config_doubt config_store_get_doubt(const struct config_store *store);
 
 /* Notes a head that a host named. from_host NULL: the platform named it just
  * now. */
@@ -172,7 +172,7 @@
 
 /* RETURN VALUE: an array as of config_store_missing() with all versions held
  * here. This daemon sends it to peers as its listing. */
-GArray *config_store_export(const struct config_store *store);
+GArray *config_store_held_versions(const struct config_store *store);
 
 /* Offers a body whose hash this daemon has computed itself. */
 enum config_offer config_store_offer_trusted(struct config_store *store,
--- a/tests/spread_net.c
+++ b/tests/spread_net.c
@@ -380,7 +380,7 @@
 
 	config_body_sha256(body, strlen(body), sha256);
 	g_hash_table_replace(net->objects, config_object_key(sha256), body);
-	config_head_note(&net->head, names[name], next, sha256);
+	config_head_record_commit(&net->head, names[name], next, sha256);
 }
 
 uint64_t net_held(const struct net *net, unsigned int i, unsigned int name)
--- a/tests/test_config_apply.c
+++ b/tests/test_config_apply.c
@@ -214,7 +214,7 @@
 		start(&p, &op, "a", 1, 0);
 		fake_platform_run(&p);
 		read_history(&p, "a", &history);
-		is_there = config_history_version(&history) == 1;
+		is_there = config_history_newest_version(&history) == 1;
 		g_assert_cmpuint(p.transactions, <=, 1);
 		unknown += op.result == CONFIG_APPLY_UNKNOWN;
 		if (op.result == CONFIG_APPLY_IN_FORCE)
@@ -278,7 +278,7 @@
 		struct config_history history;
 
 		read_history(p, names[n], &history);
-		sum += config_history_version(&history);
+		sum += config_history_newest_version(&history);
 		for (guint i = 0; i + 1 < history.commits->len; i++)
 			g_assert_cmpuint(g_array_index(history.commits,
 						       struct config_commit, i)
@@ -323,7 +323,7 @@
 
 				read_history(&p, name, &history);
 				start(&p, &operators[i], name, round * 5 + i,
-				      config_history_version(&history));
+				      config_history_newest_version(&history));
 				config_history_finish(&history);
 			}
 			fake_platform_run(&p);
--- a/tests/test_config_store.c
+++ b/tests/test_config_store.c
@@ -192,21 +192,24 @@
 	struct config_version listing[] = {version_of("a", 4)};
 
 	(void)unused;
-	g_assert_cmpint(config_store_told_age_us(f->store), ==, -1);
+	g_assert_cmpint(config_store_confirmed_age_us(f->store), ==, -1);
 	config_store_note_listing(f->store, 0, NULL, 0);
-	config_store_note_told(f->store, 4, 3 * US_PER_S);
+	config_store_note_confirmed(f->store, 4, 3 * US_PER_S);
 	config_store_note_head(f->store, 4, "esja-01");
-	g_assert_cmpint(config_store_told_age_us(f->store), ==, -1);
-	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_BEHIND);
+	g_assert_cmpint(config_store_confirmed_age_us(f->store), ==, -1);
+	g_assert_cmpint(config_store_get_doubt(f->store), ==,
+			CONFIG_DOUBT_BEHIND);
 	config_store_note_listing(f->store, 4, listing, 1);
-	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_BEHIND);
+	g_assert_cmpint(config_store_get_doubt(f->store), ==,
+			CONFIG_DOUBT_BEHIND);
 	offer(f, "a", 4);
-	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_NONE);
-	g_assert_cmpint(config_store_told_age_us(f->store), >=, 3 * US_PER_S);
-	config_store_note_told(f->store, 2, US_PER_S);
-	g_assert_cmpint(config_store_told_age_us(f->store), <, 3 * US_PER_S);
-	config_store_note_told(f->store, 4, 9 * US_PER_S);
-	g_assert_cmpint(config_store_told_age_us(f->store), <, 3 * US_PER_S);
+	g_assert_cmpint(config_store_get_doubt(f->store), ==, CONFIG_DOUBT_NONE);
+	g_assert_cmpint(config_store_confirmed_age_us(f->store), >=,
+			3 * US_PER_S);
+	config_store_note_confirmed(f->store, 2, US_PER_S);
+	g_assert_cmpint(config_store_confirmed_age_us(f->store), <, 3 * US_PER_S);
+	config_store_note_confirmed(f->store, 4, 9 * US_PER_S);
+	g_assert_cmpint(config_store_confirmed_age_us(f->store), <, 3 * US_PER_S);
 }
 
 /*
@@ -227,11 +230,13 @@
 	config_store_note_head(f->store, 9, "esja-01");
 	config_store_note_listing(f->store, 9, listing, 1);
 	config_store_note_newest(f->store, 7, before_us);
-	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_BEHIND);
+	g_assert_cmpint(config_store_get_doubt(f->store), ==,
+			CONFIG_DOUBT_BEHIND);
 	config_store_note_newest(f->store, 7, clock_boot_us() + 1);
-	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_NONE);
+	g_assert_cmpint(config_store_get_doubt(f->store), ==, CONFIG_DOUBT_NONE);
 	config_store_note_head(f->store, 9, "esja-01");
-	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_BEHIND);
+	g_assert_cmpint(config_store_get_doubt(f->store), ==,
+			CONFIG_DOUBT_BEHIND);
 }
 
 /* Guards against a missed update when a listing alone shows it and no higher
@@ -244,11 +249,12 @@
 	(void)unused;
 	config_store_note_listing(f->store, 4, listing, 1);
 	offer(f, "a", 4);
-	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_NONE);
+	g_assert_cmpint(config_store_get_doubt(f->store), ==, CONFIG_DOUBT_NONE);
 	listing[0] = version_of("a", 5);
 	config_store_note_listing(f->store, 4, listing, 1);
 	g_assert_cmpuint(config_store_known_head(f->store), ==, 4);
-	g_assert_cmpint(config_store_doubt(f->store), ==, CONFIG_DOUBT_BEHIND);
+	g_assert_cmpint(config_store_get_doubt(f->store), ==,
+			CONFIG_DOUBT_BEHIND);
 }
 
 static void test_empty_platform_makes_ready(struct fixture *f,
@@ -273,7 +279,7 @@
 	g_assert_true(config_store_is_ready(f->store));
 	g_assert_cmpint(offer(f, "spurningalina", 0), ==, CONFIG_OFFER_NOT_NEWER);
 	g_assert_cmpint(offer(f, "spurningalina", 1), ==, CONFIG_OFFER_ADOPTED);
-	all = config_store_export(f->store);
+	all = config_store_held_versions(f->store);
 	g_assert_cmpuint(all->len, ==, 1);
 	g_assert_cmpuint(g_array_index(all, struct config_version, 0).version,
 			 ==, 1);
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -159,16 +159,16 @@
 
 	(void)unused;
 	adopt(f, 1, "old.example");
-	config_store_note_told(config, 1, 0);
+	config_store_note_confirmed(config, 1, 0);
 	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
-	paused_clock_advance_us(CONFIG_TOLD_MAX_US);
-	config_store_note_told(config, 1, CONFIG_TOLD_MAX_US);
+	paused_clock_advance_us(CONFIG_CONFIRMED_MAX_AGE_US);
+	config_store_note_confirmed(config, 1, CONFIG_CONFIRMED_MAX_AGE_US);
 	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
 	paused_clock_advance_us(1);
-	config_store_note_told(config, 1, CONFIG_TOLD_MAX_US + 1);
+	config_store_note_confirmed(config, 1, CONFIG_CONFIRMED_MAX_AGE_US + 1);
 	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 503);
 	g_assert_cmpuint(f->come_back_ms, >, 0);
-	config_store_note_told(config, 1, CONFIG_TOLD_MAX_US / 2);
+	config_store_note_confirmed(config, 1, CONFIG_CONFIRMED_MAX_AGE_US / 2);
 	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
 }
 
@@ -182,11 +182,11 @@
 {
 	(void)unused;
 	adopt(f, 1, "old.example");
-	paused_clock_advance_us(CONFIG_TOLD_MAX_US * 2);
+	paused_clock_advance_us(CONFIG_CONFIRMED_MAX_AGE_US * 2);
 	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
-	config_store_expect_told(f->daemon.config);
+	config_store_expect_confirmation(f->daemon.config);
 	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 404);
-	paused_clock_advance_us(CONFIG_TOLD_MAX_US + 1);
+	paused_clock_advance_us(CONFIG_CONFIRMED_MAX_AGE_US + 1);
 	g_assert_cmpuint(request_status(f, "new.example", "/r/1"), ==, 503);
 }
 
