--- a/bench/capacity/bench_cluster.c
+++ b/bench/capacity/bench_cluster.c
@@ -8,7 +8,7 @@
  * DESCRIPTION
  *	For each size: starts that number of real daemons and a platform
  *	stand-in on loopback, announces an upstream to each, waits until every
- *	daemon knows every upstream, lets gossip advance_head and measures for SECONDS
+ *	daemon knows every upstream, lets gossip settle and measures for SECONDS
  *	seconds. Then it drains one upstream and kills another daemon, and
  *	measures the time until SAMPLES other daemons know. The bytes include 28
  *	per packet for the IP and UDP headers.
