--- a/comfreydockd/config/apply.c
+++ b/comfreydockd/config/apply.c
@@ -13,8 +13,9 @@
 
 /*
  * Steps: read the namespace row, put the body, read the head row, transact.
- * After any failure the apply starts again at the namespace row, which shows
- * whether the version is already in force.
+ * After a conflict or a failed platform call the apply starts again at the
+ * namespace row, which shows whether the version is already in force. A file
+ * that fails the check and a row that can't be parsed end the apply.
  */
 struct config_apply {
 	const struct config_platform_ops *ops;
@@ -26,15 +27,19 @@
 	char *file;
 	uint64_t base;
 	uint64_t held; /* version in force in this daemon; 0: none */
-	uint64_t known_head;
+	uint64_t known_head; /* the highest that this daemon has heard of */
 	struct config_commit commit;
 	int64_t deadline_us;
 	uint32_t pause_ms;
 	bool body_is_put;
-	/* The answer to a transaction was lost; it may still take effect. */
+	/* The answer to a transaction was lost. The transaction may still take
+	 * effect. */
 	bool unresolved;
+	/* The file was in force as base + 1 and was then replaced. */
 	bool was_in_force;
-	uint64_t written_head; /* the head that the last transaction writes */
+	/* The head that the last transaction writes, which counts the applies
+	 * of all namespaces; 0: unknown. */
+	uint64_t written_head;
 	struct config_history history;
 	uint64_t row_version;
 };
@@ -88,8 +93,9 @@
 	config_apply_free(apply);
 }
 
-/* Ends the apply as unknown if a transaction is unresolved. Otherwise nothing
- * was written, and the finding tells the operator so, with the reason. */
+/* Ends the apply as unknown if a transaction is unresolved; reason is then
+ * ignored. Otherwise no row was written, although the object store may have the
+ * body, and the finding tells the operator that nothing was changed and why. */
 static void give_up(struct config_apply *apply, const char *reason)
 {
 	if (apply->unresolved) {
@@ -134,6 +140,7 @@
 		return;
 	case CONFIG_PLATFORM_UNKNOWN:
 		apply->unresolved = true;
+		/* give_up() ignores the reason from now on. */
 		try_again(apply, "");
 		return;
 	case CONFIG_PLATFORM_UNAVAILABLE:
@@ -150,6 +157,9 @@
 	char *head_text;
 	char *row_text;
 
+	/* If the platform's store was restored from an older copy, the head in
+	 * the row is lower than the daemons' heads, and they ignore a head that
+	 * is not above their own. */
 	head->head = MAX(head->head, apply->known_head);
 	config_head_record_commit(head, apply->ns->name, apply->commit.version,
 				  apply->ns->sha256);
@@ -163,8 +173,8 @@
 		(const struct config_write[]){
 			{key, apply->row_version, row_text},
 			{CONFIG_HEAD_KEY, head_row_version, head_text},
-			/* The condition on the head row protects this row
-			 * too. */
+			/* This row repeats the last changes of the head row.
+			 * The condition on the head row protects it too. */
 			{CONFIG_RECENT_KEY, CONFIG_ANY_VERSION, recent_text},
 		},
 		3, handle_transacted, apply);
@@ -236,7 +246,7 @@
 }
 
 /*
- * Handles a namespace row whose version is above the base. If the commit at
+ * Handles a namespace whose version in force is not the base. If the commit at
  * base + 1 has the id of this apply, an earlier transaction took effect and its
  * answer was lost. A commit with the same body counts as this apply's too,
  * since an earlier apply of that body may have ended as unknown. If the history
--- a/comfreydockd/config/follow.c
+++ b/comfreydockd/config/follow.c
@@ -11,23 +11,30 @@
 #include "common/slice.h"
 #include "common/timer.h"
 
+/*
+ * Every daemon reads the row once after the start. The elected daemons of a
+ * failure domain then watch it; the others wait for the peers. A daemon that
+ * stays behind, elected or not, reads the row by itself: its own read.
+ */
 struct config_follow {
 	struct config_follow_options options;
 	struct random_state random;
 	ev_timer timer;
-	bool has_read_row; /* version is known, so the next request is a watch */
-	uint64_t store_version; /* up to which all changes were seen */
+	bool has_read_row; /* store_version is known, so the row can be watched */
+	/* The version of the platform's store up to which all changes were seen. */
+	uint64_t store_version;
 	uint64_t newest_version; /* of the configuration, as read */
-	bool is_row_unreadable; /* the latest value of the row was rejected */
+	/* The latest row was rejected or deleted, or adopt_row() is running. */
+	bool is_row_unreadable;
 	int64_t backoff_us;
-	int64_t read_sent_us; /* boot time of the read that precedes the watch */
+	int64_t read_sent_us; /* boot time of the read before the watch */
 
 	/* while behind */
 	ev_timer behind_timer;
 	int64_t behind_since_us;
-	int64_t own_read_at_us; /* time of the own read if still behind */
+	int64_t own_read_at_us; /* planned time of the next own read */
 	bool is_own_read_open;
-	int64_t own_read_sent_us;
+	int64_t own_read_sent_us; /* boot time */
 };
 
 static void schedule_request(struct config_follow *follow, int64_t us)
@@ -35,8 +42,8 @@
 	timer_restart_us(follow->options.loop, &follow->timer, us);
 }
 
-/* Half of the backoff is random, so that daemons that lost the store at the
- * same time don't reconnect at the same time. */
+/* Half of the backoff is random, so that daemons that lost the platform's store
+ * at the same time don't reconnect at the same time. */
 static void schedule_retry(struct config_follow *follow)
 {
 	follow->backoff_us =
@@ -52,6 +59,8 @@
 
 static void offer(struct config_follow *follow, uint64_t number, const char *body)
 {
+	/* The row holds the whole configuration, so its version is the head
+	 * too. */
 	struct config_version version = {
 		.name = follow->options.namespace,
 		.version = number,
@@ -63,7 +72,7 @@
 	config_store_offer_trusted(follow->options.store, &version, body);
 }
 
-/* A row that is being parsed and adopted in time slice_queue. */
+/* A row that is being parsed and adopted in time slices. */
 struct row_adoption {
 	struct config_follow *follow;
 	char *value; /* NULL: the row was deleted */
@@ -81,8 +90,13 @@
 	g_free(adoption);
 }
 
-/* Reports to the store that newest_version was the newest one at as_of_us,
- * unless the latest row was rejected or is still being adopted. */
+/*
+ * Reports to the config_store that newest_version was the newest one at
+ * as_of_us, unless the latest row was rejected or is still being adopted. A read
+ * returns the row itself, so config_store_note_newest() may drop higher heads. A
+ * watch returns only changes after store_version. It would miss that the
+ * platform's store was restored from an older copy, so it drops no head.
+ */
 static void report_confirmation(struct config_follow *follow, int64_t as_of_us,
 				bool was_read)
 {
@@ -145,7 +159,7 @@
 			free_row_adoption, adoption);
 }
 
-/* RETURN VALUE: false if the store did not answer. */
+/* RETURN VALUE: false if the platform's store did not answer. */
 static bool handle_answer(struct config_follow *follow,
 			  const struct platform_answer *answer,
 			  int64_t as_of_us, bool was_read)
@@ -163,6 +177,7 @@
 	return true;
 }
 
+/* Schedules the first watch after a read, or the next one. */
 static void schedule_watch(struct config_follow *follow,
 			   const struct platform_answer *answer)
 {
@@ -177,7 +192,8 @@
 	struct config_follow *follow = data;
 
 	if (answer->status == PLATFORM_HISTORY_GONE) {
-		/* The store dropped only the history; the row can be read. */
+		/* The platform's store dropped only the history; the row can
+		 * be read. */
 		log_event(EV_CONFIG_WATCH_REFUSED,
 			  LOG_INT("after", follow->store_version));
 		follow->store_version = 0;
@@ -186,8 +202,8 @@
 	} else if (handle_answer(follow, answer, clock_boot_us(), false)) {
 		schedule_watch(follow, answer);
 	} else {
-		/* A store that was unavailable may have been restored from a
-		 * copy. A watch from the old version would then wait for a
+		/* A platform store that was unavailable may have been restored
+		 * from a copy. A watch from the old version would then wait for a
 		 * change that the store already has. */
 		follow->has_read_row = false;
 		schedule_retry(follow);
@@ -261,15 +277,17 @@
 			       follow->store_version, CONFIG_FOLLOW_WAIT_MS,
 			       handle_watched, follow);
 	} else {
+		/* Checks again then whether this daemon is elected. */
 		schedule_request(follow, CONFIG_FOLLOW_RETRY_MAX_US);
 	}
 }
 
 /* The rest of this file handles a daemon that stays behind. */
 
-/* After a failed first read the delay is one span longer. Without it the
- * daemons of a large installation would repeat their reads at a higher rate
- * than CONFIG_FOLLOW_READ_SPACING_US allows. */
+/* The span has one CONFIG_FOLLOW_READ_SPACING_US per member. Each read after the
+ * first is delayed by one span more. Without this the daemons of a large
+ * installation would repeat failed reads at a higher rate than the spacing
+ * allows. */
 static void schedule_own_read(struct config_follow *follow, bool is_first)
 {
 	uint64_t span = member_table_size(follow->options.members) *
@@ -281,9 +299,9 @@
 				 (int64_t)random_below(&follow->random, span);
 }
 
-/* Waits while pieces of a version still arrive from peers, but not without end:
- * if versions follow each other faster than one crosses the link, none is ever
- * complete. */
+/* Delays the own read while pieces of a version still arrive from peers, but not
+ * after this daemon was behind for CONFIG_FOLLOW_PIECES_MAX_US: if new versions
+ * appear faster than the link transfers one, no version is ever complete. */
 static bool is_own_read_due(const struct config_follow *follow)
 {
 	int64_t now_us = clock_mono_us();
@@ -325,7 +343,7 @@
  * Most daemons get a version only from peers, the others through a watch that
  * may be lost without an error. If that path fails, because of the version's
  * size or an unforeseen fault, a daemon would keep the old rules for as long as
- * the failure lasts although the store is reachable. The symptom is
+ * the failure lasts although the platform's store is reachable. The symptom is
  * config.fetch-failed with the same known_head again and again.
  */
 static void handle_behind(uint64_t head, const char *from_host, void *data)
--- a/include/comfreydockd/config/follow.h
+++ b/include/comfreydockd/config/follow.h
@@ -4,15 +4,15 @@
  *
  * DESCRIPTION
  *	If the platform's own operator writes the configuration, one row holds
- *	all of it. The daemon reads the row once and then watches it: the store
- *	answers as soon as it changes. A lower version never replaces a higher
- *	one; see config_store.
+ *	all of it. The daemon reads the row once and then watches it: the
+ *	platform's store answers as soon as it changes. A lower version never
+ *	replaces a higher one; see config_store.
  *
  *	In each failure domain CONFIG_FOLLOWERS daemons, selected by rendezvous
  *	hashing, watch the row. The others, and those whose watch fails, hear of
  *	a higher version by gossip and ask a peer; see config_spread. Without
  *	this bound 22,000 daemons would make 11,700 reads a second for 46,000
- *	changes a day, and the store allows 2,000.
+ *	changes a day, and the platform's store allows 2,000.
  *
  *	A daemon that stays behind, for whatever reason its peers can't help,
  *	reads the row once by itself. It does so after
@@ -22,7 +22,7 @@
  *	The read is made in addition to the watch, which may be lost without an
  *	error.
  *
- *	If the store is unavailable, the daemon retries after
+ *	If the platform's store is unavailable, the daemon retries after
  *	CONFIG_FOLLOW_RETRY_MIN_US and doubles the delay up to
  *	CONFIG_FOLLOW_RETRY_MAX_US.
  */
@@ -37,10 +37,12 @@
 
 /* So many that some still watch if half of a domain is partitioned off. */
 #define CONFIG_FOLLOWERS 8
-/* The longest wait that the store allows. Each answer without a change costs a
- * call. */
+/* The longest wait that the platform's store allows. Each answer without a
+ * change costs a call. */
 #define CONFIG_FOLLOW_WAIT_MS 30000
 #define CONFIG_FOLLOW_RETRY_MIN_US (100 * 1000)
+/* Also the interval at which a daemon that does not watch the row checks whether
+ * it is elected to. */
 #define CONFIG_FOLLOW_RETRY_MAX_US (1000 * 1000)
 /* Most daemons get a version from their peers within this time. */
 #define CONFIG_FOLLOW_PEER_GRACE_US (1500 * 1000)
@@ -79,14 +81,15 @@
 	const char *key; /* "TABLE/REST" */
 	const char *namespace; /* of the file that ops->read returns */
 	const struct config_follow_ops *ops;
-	struct slice_queue *slice_queue; /* parse rows in time slice_queue; NULL: at once */
+	struct slice_queue *slice_queue; /* to parse rows in; NULL: at once */
 	uint64_t seed;
 };
 
 struct config_follow *
 config_follow_create(const struct config_follow_options *options);
 
-/* The store must not be used afterwards, because it still has this observer.
+/* The config_store must not be used afterwards, because it still has this
+ * observer.
  * The platform must be destroyed first, so that no callback is made. */
 void config_follow_destroy(struct config_follow *follow);
 
--- a/include/comfreydockd/config/spread.h
+++ b/include/comfreydockd/config/spread.h
@@ -76,7 +76,7 @@
 	const struct config_platform_ops *platform_ops; /* NULL: no platform */
 	void *platform;
 	const struct config_spread_ops *ops;
-	struct slice_queue *slice_queue; /* parse bodies in time slice_queue; NULL: at once */
+	struct slice_queue *slice_queue; /* to parse bodies in; NULL: at once */
 	uint64_t seed;
 };
 
