--- a/comfreydockd/config/store.c
+++ b/comfreydockd/config/store.c
@@ -10,9 +10,9 @@
 #define OBSERVERS_MAX 4
 
 /* The head at which a version was applied. */
-struct origin {
+struct applied_head {
 	uint64_t version;
-	uint64_t at;
+	uint64_t head;
 };
 
 struct config_store {
@@ -32,7 +32,7 @@
 	int64_t expects_since_us; /* boot time */
 	int64_t known_head_us; /* boot time of the last note of known_head */
 	GArray *listing; /* of struct config_version, names owned */
-	GHashTable *origins; /* name -> struct origin */
+	GHashTable *applied_heads; /* name -> struct applied_head */
 	struct config_store_observer observers[OBSERVERS_MAX];
 	size_t observer_count;
 };
@@ -59,7 +59,7 @@
 
 	store->current = config_snapshot_create();
 	store->listing = config_versions_create();
-	store->origins =
+	store->applied_heads =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return store;
 }
@@ -70,7 +70,7 @@
 		return;
 	config_snapshot_unref(store->current);
 	g_array_unref(store->listing);
-	g_hash_table_unref(store->origins);
+	g_hash_table_unref(store->applied_heads);
 	g_free(store);
 }
 
@@ -205,23 +205,25 @@
 static uint64_t applied_head_of(const struct config_store *store,
 				const char *name, uint64_t version)
 {
-	const struct origin *origin = g_hash_table_lookup(store->origins, name);
+	const struct applied_head *applied =
+		g_hash_table_lookup(store->applied_heads, name);
 
-	return origin && origin->version == version ? origin->at : 0;
+	return applied && applied->version == version ? applied->head : 0;
 }
 
 static void note_applied_head(struct config_store *store,
 			      const struct config_version *version)
 {
-	struct origin *origin =
-		g_hash_table_lookup(store->origins, version->name);
+	struct applied_head *applied =
+		g_hash_table_lookup(store->applied_heads, version->name);
 
-	if (!version->at || (origin && origin->version >= version->version))
+	if (!version->at || (applied && applied->version >= version->version))
 		return;
-	origin = g_new0(struct origin, 1);
-	origin->version = version->version;
-	origin->at = version->at;
-	g_hash_table_replace(store->origins, g_strdup(version->name), origin);
+	applied = g_new0(struct applied_head, 1);
+	applied->version = version->version;
+	applied->head = version->at;
+	g_hash_table_replace(store->applied_heads, g_strdup(version->name),
+			     applied);
 }
 
 GArray *config_store_held_versions(const struct config_store *store)
