--- a/comfreydockd/config/store.c
+++ b/comfreydockd/config/store.c
@@ -9,7 +9,7 @@
 
 #define OBSERVERS_MAX 4
 
-/* The head at which a version was applied. */
+/* The head at which a version of a namespace was applied. */
 struct applied_head {
 	uint64_t version;
 	uint64_t head;
@@ -18,20 +18,22 @@
 struct config_store {
 	struct config_snapshot *current;
 	bool ready;
-	uint64_t head;
-	uint64_t known_head;
-	uint64_t listed_head;
+	uint64_t head; /* everything applied up to it is held here */
+	uint64_t known_head; /* the highest heard of */
+	uint64_t listed_head; /* of listing */
 	int64_t adopted_us;
 	int64_t progress_us;
 	unsigned int adoptions_open; /* begun and not ended */
 	bool is_confirmed; /* confirmed_us is valid */
 	int64_t confirmed_us; /* boot time at which head was the newest one */
-	uint64_t pending_head; /* a head that is told but not reached yet */
+	/* The highest head that was confirmed as the newest but is not reached
+	 * yet. known_head also comes from hosts that don't confirm it. */
+	uint64_t pending_head;
 	int64_t pending_confirmed_us; /* boot time at which it was the newest one */
 	bool expects_confirmation;
 	int64_t expects_since_us; /* boot time */
-	int64_t known_head_us; /* boot time of the last note of known_head */
-	GArray *listing; /* of struct config_version, names owned */
+	int64_t known_head_us; /* boot time at which it was last heard of */
+	GArray *listing; /* the last one; of struct config_version, names owned */
 	GHashTable *applied_heads; /* name -> struct applied_head */
 	struct config_store_observer observers[OBSERVERS_MAX];
 	size_t observer_count;
@@ -253,7 +255,8 @@
 	store->is_confirmed = true;
 }
 
-/* Advances the head once no version of its listing is missing. If a daemon
+/* Advances the head to the listed one once no listed version is missing. A store
+ * that is not ready becomes ready even if the listed head is 0. If a daemon
  * announced a head earlier, peers would believe it and miss a version. */
 static void advance_head(struct config_store *store)
 {
@@ -291,6 +294,8 @@
 	store->known_head_us = clock_boot_us();
 }
 
+/* Drops the heads above the newest one, and the listing of such a head. See
+ * config_store_note_newest() for how they arise. */
 static void drop_heads_above(struct config_store *store, uint64_t head)
 {
 	log_event(EV_CONFIG_HEAD_DROPPED,
@@ -421,10 +426,10 @@
 	if (!ns || strcmp(ns->name, name) != 0) {
 		config_namespace_unref(ns);
 		return refuse(name, version, CONFIG_OFFER_BAD_CONTENT,
-			      "the body failed the check");
+			      "the body is not a valid file of the namespace");
 	}
-	/* Parsing yielded to the loop, so a newer version may be in force
-	 * now. */
+	/* The event loop may have run during the parsing, see slice_yield(), so
+	 * a newer version may be in force now. */
 	if (!is_newer(store, name, version)) {
 		config_namespace_unref(ns);
 		return CONFIG_OFFER_NOT_NEWER;
--- a/include/comfreydockd/config/store.h
+++ b/include/comfreydockd/config/store.h
@@ -25,9 +25,10 @@
 struct config_store_observer {
 	/* Called when a new snapshot is in force. */
 	void (*handle_changed)(struct config_snapshot *snapshot, void *data);
-	/* Called when from_host, or the platform if it is NULL, has a head
-	 * above the one held here. Each such note calls it, so that a failed
-	 * fetch is retried at the next one. */
+	/* Called by config_store_note_head() each time that from_host, or the
+	 * platform if it is NULL, has a head above the one held here, or any
+	 * head while the store is not ready. So a failed fetch is retried at
+	 * the next such report. */
 	void (*handle_behind)(uint64_t head, const char *from_host, void *data);
 	void *data;
 };
@@ -40,10 +41,11 @@
 };
 
 /*
- * A daemon without its own watch hears from those that have one. Their watches
- * end after 30 s without a change, all at about the same time, and a lost watch
- * is noticed 2 s later. If a daemon is told nothing for this long, no daemon
- * nearby reaches the platform.
+ * The platform confirms to a daemon with a watch that a head is the newest, and
+ * the other daemons get the confirmation from those. Their watches end after
+ * 30 s without a change, all at about the same time, and a lost watch is noticed
+ * 2 s later. If a daemon gets no confirmation for this long, no daemon nearby
+ * reaches the platform.
  */
 #define CONFIG_CONFIRMED_MAX_AGE_US ((int64_t)60 * 1000 * 1000)
 
@@ -73,7 +75,8 @@
 			  const struct config_store_observer *observer);
 
 /* Puts a file in force as version 0, until a higher version of its namespace is
- * adopted.
+ * adopted. The file is only checked if a version of the namespace is already in
+ * force.
  *
  * RETURN VALUE
  *	false if findings has errors. */
@@ -133,14 +136,16 @@
 
 /*
  * Notes that the platform, asked at the boot time asked_us, answered that head
- * is the newest. A higher head heard of before asked_us is dropped: its row was
- * rolled back before any daemon had it, or a peer was wrong, so no peer would
- * ever provide it. A daemon that holds it will name it again.
+ * is the newest. A higher head heard of before asked_us is dropped with its
+ * listing, unless this store has reached it: its row was rolled back before any
+ * daemon had it, or a peer was wrong, so no peer would ever provide it. A daemon
+ * that holds it will name it again.
  */
 void config_store_note_newest(struct config_store *store, uint64_t head,
 			      int64_t asked_us);
 
-/* Notes that head was the newest one age_us ago. */
+/* Notes that the platform confirmed age_us ago that head was the newest. If this
+ * store has not reached the head, the confirmation counts once it has. */
 void config_store_note_confirmed(struct config_store *store, uint64_t head,
 				 int64_t age_us);
 
@@ -149,7 +154,8 @@
 enum config_doubt config_store_get_doubt(const struct config_store *store);
 
 /* Notes a head that a host named. from_host NULL: the platform named it just
- * now. */
+ * now, which also confirms it. Calls handle_behind if this store has not reached
+ * the head or is not ready. */
 void config_store_note_head(struct config_store *store, uint64_t head,
 			    const char *from_host);
 
