--- a/comfreydockd/config/spread_fetch.c
+++ b/comfreydockd/config/spread_fetch.c
@@ -15,7 +15,9 @@
 #define PAUSE_MAX_US (300 * US_PER_MS)
 #define BACKOFF_US (200 * US_PER_MS)
 #define BACKOFF_MAX_DOUBLINGS 4 /* 3.2 s */
-#define PEER_TRIES 3 /* after so many failures the platform is read */
+/* Each time this many fetches in a row have failed, the head is read from the
+ * platform. */
+#define PEER_TRIES 3
 #define WANTED_MAX 64
 
 bool config_fetch_is_behind(const struct config_spread *spread)
@@ -41,8 +43,8 @@
 	return false;
 }
 
-/* Picks a random live peer that has not given its head at startup. The peer
- * asked last is picked only if there is no other. */
+/* Picks a random live peer that has not been asked for its head at startup. The
+ * peer asked last is picked only if there is no other. */
 static struct member *pick_random_peer(struct config_spread *spread)
 {
 	struct member *drawn = NULL;
@@ -111,7 +113,8 @@
 	spread->step = CONFIG_FETCH_NONE;
 	spread->tries++;
 	spread->fetch_at_us = config_spread_random_time(spread, most / 4, most);
-	/* The peers can't help, so read what is in force from the platform. */
+	/* The peers can't help, so read from the platform which versions are in
+	 * force. */
 	if (spread->tries % PEER_TRIES == 0)
 		spread->head_read_requested = true;
 }
@@ -144,7 +147,9 @@
 	if (result == CONFIG_OFFER_ADOPTED || result == CONFIG_OFFER_NOT_NEWER)
 		note_success(spread);
 	else
-		note_failure(spread, "no valid body in the object store");
+		note_failure(
+			spread,
+			"could not read a valid body from the object store");
 	config_spread_publish_head(spread);
 	config_fetch_next(spread);
 }
@@ -165,6 +170,7 @@
 	g_free(key);
 }
 
+/* RETURN VALUE: whether a version of this namespace is missing. */
 static bool contains_name(GArray *missing, const char *name)
 {
 	for (guint i = 0; name && i < missing->len; i++) {
@@ -175,6 +181,7 @@
 	return false;
 }
 
+/* RETURN VALUE: the number of namespaces put into names, at most WANTED_MAX. */
 static size_t collect_names(GArray *missing, char **names)
 {
 	size_t count = MIN(missing->len, WANTED_MAX);
@@ -203,10 +210,11 @@
 }
 
 /*
- * A reader is among the first to see a new head and hardly any peer has the
- * body yet, so it reads the object store first. The other daemons, and a reader
- * that has just started and lacks everything, read it after two peers failed in
- * a row.
+ * A reader of the platform's head is among the first to see a new head and
+ * hardly any peer has the body yet, so it reads the object store first. The
+ * other daemons, and a reader that has just started and lacks everything, read
+ * it after two peers failed in a row. This read gets one body;
+ * note_failure() requests reads of the head.
  */
 static bool prefers_object_store(const struct config_spread *spread)
 {
@@ -335,6 +343,8 @@
 		config_pieces_clear(pieces);
 }
 
+/* A line of an answer describes one version of a namespace. It may carry the
+ * whole body or, if its size is set, one piece of the body. */
 static bool offer_line(struct config_spread *spread, const Cfd__ConfigLine *line)
 {
 	return config_store_offer(spread->store, line->namespace_, line->version,
@@ -343,7 +353,7 @@
 }
 
 /* A body that arrived in pieces and is being parsed and adopted in time
- * slice_queue. */
+ * slices. */
 struct complete_body {
 	struct config_spread *spread;
 	struct config_pieces pieces;
@@ -452,6 +462,7 @@
 	g_strlcpy(spread->best_host, host, sizeof(spread->best_host));
 }
 
+/* Handles the answer to a query for a listing or for bodies. */
 static void take_configuration(struct config_spread *spread,
 			       const Cfd__ConfigBody *answer)
 {
--- a/comfreydockd/operator/gather.c
+++ b/comfreydockd/operator/gather.c
@@ -10,10 +10,11 @@
 #include "common/jsonc.h"
 #include "common/trace.h"
 
-/* The entry writes the next host after this key into the notes of its
- * events. */
+/* An event's note has the host that the entry sent an attempt to after this
+ * key. */
 #define SENT_TO "to="
 
+/* The collection of the events of one trace, for one operator request. */
 struct gather {
 	LIST_ENTRY(gather) link;
 	struct gatherer *gatherer;
@@ -22,10 +23,14 @@
 	char *trace;
 	json_object *events;
 	GHashTable *unanswered; /* set of hosts that have not answered yet */
-	GHashTable *queried; /* set of all hosts that were queried */
+	/* Set of the hosts that need no further query: this one, those queried,
+	 * and those that are unknown, dead or left. The latter get no query and
+	 * stay in unanswered. */
+	GHashTable *queried;
 	ev_timer timeout;
 };
 
+/* The collections that this daemon has begun and not finished. */
 struct gatherer {
 	struct daemon *daemon;
 	LIST_HEAD(, gather) gathers;
@@ -154,8 +159,8 @@
 		gather_finish(gather);
 }
 
-/* RETURN VALUE: whether a host assigned this trace id, or may have events of
- * it. */
+/* RETURN VALUE: whether the member is reachable and assigned this trace id. If the
+ * id names no host, any reachable member may have events of it. */
 static bool may_have_events(const struct member *member, const char *trace)
 {
 	if (member->state != MEMBER_ALIVE && member->state != MEMBER_SUSPECT)
@@ -163,6 +168,8 @@
 	return !trace_has_host_form(trace) || trace_is_from(trace, member->host);
 }
 
+/* Queries the host that assigned the trace id, or all live hosts if the id names
+ * none. The events in their answers name further hosts. */
 static void gather_query_first_hosts(struct gather *gather)
 {
 	struct daemon *daemon = gather->gatherer->daemon;
--- a/include/comfreydockd/config/apply.h
+++ b/include/comfreydockd/config/apply.h
@@ -87,7 +87,7 @@
 	 * version numbers continue from it if the platform's store was restored
 	 * to an older state. */
 	const struct config_snapshot *current;
-	uint64_t known_head; /* the highest head heard of */
+	uint64_t known_head; /* the highest head that this daemon has heard of */
 };
 
 struct config_apply_outcome {
@@ -97,9 +97,10 @@
 	const char *body;
 	uint64_t version; /* the one in force, of the file or of the winner */
 	uint64_t base;
-	uint64_t head; /* the head that the apply wrote; 0: not known */
+	uint64_t head; /* that the apply wrote, over all namespaces; 0: not known */
 	const char *winner; /* CONFLICT: who applied the version in force */
-	bool was_in_force; /* CONFLICT: the file was base + 1, then replaced */
+	/* CONFLICT: the file was in force as base + 1 and was then replaced. */
+	bool was_in_force;
 	const struct findings *findings;
 };
 
--- a/include/comfreydockd/config/rows.h
+++ b/include/comfreydockd/config/rows.h
@@ -45,7 +45,8 @@
 /* RETURN VALUE: the text of the recent row that belongs to a head row. */
 char *config_head_to_recent_text(const struct config_head *head);
 
-/* Increments the head for one apply and records its version. */
+/* Records the version that one apply puts in force, and increments the head,
+ * which counts the applies. */
 void config_head_record_commit(struct config_head *head, const char *name,
 			       uint64_t version, const char *sha256);
 
@@ -68,7 +69,7 @@
 void config_history_push(struct config_history *history,
 			 const struct config_commit *commit);
 
-/* The version in force, 0 if none. */
+/* The version of the newest commit, which is the one in force; 0 if none. */
 uint64_t config_history_newest_version(const struct config_history *history);
 
 /* RETURN VALUE: the commit of a version, or NULL if it is not kept. */
--- a/include/comfreydockd/config/spread_internal.h
+++ b/include/comfreydockd/config/spread_internal.h
@@ -52,7 +52,9 @@
 	int64_t read_at_us;
 	bool is_reading;
 	bool is_reader;
-	bool head_read_requested; /* even if this daemon is not a reader */
+	/* Read the head from the platform once no read is in progress, even if
+	 * this daemon is not a reader. */
+	bool head_read_requested;
 	bool platform_failed; /* in the last read */
 	bool platform_tried;
 
@@ -130,6 +132,8 @@
 /* RETURN VALUE: a random time between least_us and most_us from now. */
 int64_t config_spread_random_time(struct config_spread *spread,
 				  int64_t least_us, int64_t most_us);
+
+/* Calls ops->publish if the head of the store has changed. */
 void config_spread_publish_head(struct config_spread *spread);
 
 #endif
