--- a/comfreydockd/config/store.c
+++ b/comfreydockd/config/store.c
@@ -19,16 +19,14 @@
 	struct config_snapshot *current;
 	bool ready;
 	uint64_t head; /* everything applied up to it is held here */
-	uint64_t known_head; /* the highest heard of */
+	uint64_t known_head; /* the highest heard of, confirmed or not */
 	uint64_t listed_head; /* of listing */
 	int64_t adopted_us;
 	int64_t progress_us;
 	unsigned int adoptions_open; /* begun and not ended */
 	bool is_confirmed; /* confirmed_us is valid */
 	int64_t confirmed_us; /* boot time at which head was the newest one */
-	/* The highest head that was confirmed as the newest but is not reached
-	 * yet. known_head also comes from hosts that don't confirm it. */
-	uint64_t pending_head;
+	uint64_t pending_head; /* the highest confirmed but not yet reached */
 	int64_t pending_confirmed_us; /* boot time at which it was the newest one */
 	bool expects_confirmation;
 	int64_t expects_since_us; /* boot time */
--- a/include/comfreydockd/config/follow.h
+++ b/include/comfreydockd/config/follow.h
@@ -89,8 +89,8 @@
 config_follow_create(const struct config_follow_options *options);
 
 /* The config_store must not be used afterwards, because it still has this
- * observer.
- * The platform must be destroyed first, so that no callback is made. */
+ * observer. The platform must be destroyed first, so that no callback is
+ * made. */
 void config_follow_destroy(struct config_follow *follow);
 
 #endif
