--- a/comfreydockd/caller/entry.c
+++ b/comfreydockd/caller/entry.c
@@ -19,7 +19,7 @@
 #define STATUS_TOO_DEEP 508
 #define STATUS_UNAVAILABLE 503
 /* For a daemon without a configuration, or with one that was not confirmed
- * lately as the newest (CONFIG_DOUBT_UNTOLD). */
+ * lately as the newest (CONFIG_DOUBT_UNCONFIRMED). */
 #define CONFIG_UNCONFIRMED_COME_BACK_MS 1000
 /* A version that is being fetched has usually arrived after this time. */
 #define CONFIG_BEHIND_COME_BACK_MS 300
@@ -258,7 +258,7 @@
 		     LOG_STR("reason", reason), LOG_INT("status", status),
 		     LOG_INT("head", config_store_head(store)),
 		     LOG_INT("known_head", config_store_known_head(store)),
-		     LOG_INT("told_age_us", config_store_told_age_us(store)));
+		     LOG_INT("told_age_us", config_store_confirmed_age_us(store)));
 }
 
 /*
@@ -278,13 +278,13 @@
 	uint32_t come_back_ms = 0;
 
 	counters.caller_no_route++;
-	switch (config_store_doubt(entry->daemon->config)) {
+	switch (config_store_get_doubt(entry->daemon->config)) {
 	case CONFIG_DOUBT_BEHIND:
 		status = STATUS_UNAVAILABLE;
 		reason = "configuration-behind";
 		come_back_ms = CONFIG_BEHIND_COME_BACK_MS;
 		break;
-	case CONFIG_DOUBT_UNTOLD:
+	case CONFIG_DOUBT_UNCONFIRMED:
 		status = STATUS_UNAVAILABLE;
 		reason = "configuration-untold";
 		come_back_ms = CONFIG_UNCONFIRMED_COME_BACK_MS;
--- a/comfreydockd/config/follow.c
+++ b/comfreydockd/config/follow.c
@@ -11,23 +11,30 @@
 #include "common/slice.h"
 #include "common/timer.h"
 
+/*
+ * Every daemon reads the row once after the start. The elected daemons of a
+ * failure domain then watch it; the others wait for the peers. A daemon that
+ * stays behind, elected or not, reads the row by itself: its own read.
+ */
 struct config_follow {
 	struct config_follow_options options;
 	struct random_state random;
 	ev_timer timer;
-	bool is_watching; /* version is known, so the next request is a watch */
-	uint64_t store_version; /* up to which all changes were seen */
+	bool has_read_row; /* store_version is known, so the row can be watched */
+	/* The version of the platform's store up to which all changes were seen. */
+	uint64_t store_version;
 	uint64_t newest_version; /* of the configuration, as read */
-	bool is_row_unreadable; /* the latest value of the row was rejected */
+	/* The latest row was rejected or deleted, or adopt_row() is running. */
+	bool is_row_unreadable;
 	int64_t backoff_us;
-	int64_t asked_us; /* boot time of the read that precedes the watch */
+	int64_t read_sent_us; /* boot time of the read before the watch */
 
 	/* while behind */
 	ev_timer behind_timer;
 	int64_t behind_since_us;
-	int64_t read_at_us; /* time of the own read if still behind */
-	bool is_reading;
-	int64_t own_read_us;
+	int64_t own_read_at_us; /* planned time of the next own read */
+	bool is_own_read_open;
+	int64_t own_read_sent_us; /* boot time */
 };
 
 static void schedule_request(struct config_follow *follow, int64_t us)
@@ -35,8 +42,8 @@
 	timer_restart_us(follow->options.loop, &follow->timer, us);
 }
 
-/* Half of the backoff is random, so that daemons that lost the store at the
- * same time don't reconnect at the same time. */
+/* Half of the backoff is random, so that daemons that lost the platform's store
+ * at the same time don't reconnect at the same time. */
 static void schedule_retry(struct config_follow *follow)
 {
 	follow->backoff_us =
@@ -52,6 +59,8 @@
 
 static void offer(struct config_follow *follow, uint64_t number, const char *body)
 {
+	/* The row holds the whole configuration, so its version is the head
+	 * too. */
 	struct config_version version = {
 		.name = follow->options.namespace,
 		.version = number,
@@ -63,7 +72,7 @@
 	config_store_offer_trusted(follow->options.store, &version, body);
 }
 
-/* A row that is being parsed and adopted in time slice_queue. */
+/* A row that is being parsed and adopted in time slices. */
 struct row_adoption {
 	struct config_follow *follow;
 	char *value; /* NULL: the row was deleted */
@@ -81,10 +90,15 @@
 	g_free(adoption);
 }
 
-/* Reports to the store that newest_version was the newest one at as_of_us,
- * unless the latest row was rejected or is still being adopted. */
-static void note_told(struct config_follow *follow, int64_t as_of_us,
-		      bool was_read)
+/*
+ * Reports to the config_store that newest_version was the newest one at
+ * as_of_us, unless the latest row was rejected or is still being adopted. A read
+ * returns the row itself, so config_store_note_newest() may drop higher heads. A
+ * watch returns only changes after store_version. It would miss that the
+ * platform's store was restored from an older copy, so it drops no head.
+ */
+static void report_confirmation(struct config_follow *follow, int64_t as_of_us,
+				bool was_read)
 {
 	struct config_store *store = follow->options.store;
 
@@ -93,8 +107,8 @@
 	if (was_read)
 		config_store_note_newest(store, follow->newest_version, as_of_us);
 	else
-		config_store_note_told(store, follow->newest_version,
-				       clock_boot_us() - as_of_us);
+		config_store_note_confirmed(store, follow->newest_version,
+					    clock_boot_us() - as_of_us);
 }
 
 static void adopt_row(void *data)
@@ -125,7 +139,7 @@
 	}
 	g_free(body);
 	config_store_end_adoption(follow->options.store);
-	note_told(follow, adoption->as_of_us, adoption->was_read);
+	report_confirmation(follow, adoption->as_of_us, adoption->was_read);
 }
 
 static void begin_row_adoption(struct config_follow *follow,
@@ -145,7 +159,7 @@
 			free_row_adoption, adoption);
 }
 
-/* RETURN VALUE: false if the store did not answer. */
+/* RETURN VALUE: false if the platform's store did not answer. */
 static bool handle_answer(struct config_follow *follow,
 			  const struct platform_answer *answer,
 			  int64_t as_of_us, bool was_read)
@@ -159,14 +173,15 @@
 					   was_read);
 	}
 	/* An answer without changes also confirms the version held. */
-	note_told(follow, as_of_us, was_read);
+	report_confirmation(follow, as_of_us, was_read);
 	return true;
 }
 
-static void continue_watch(struct config_follow *follow,
+/* Schedules the first watch after a read, or the next one. */
+static void schedule_watch(struct config_follow *follow,
 			   const struct platform_answer *answer)
 {
-	follow->is_watching = true;
+	follow->has_read_row = true;
 	follow->backoff_us = 0;
 	schedule_request(follow,
 			 answer->row_count ? CONFIG_FOLLOW_COALESCE_US : 0);
@@ -177,19 +192,20 @@
 	struct config_follow *follow = data;
 
 	if (answer->status == PLATFORM_HISTORY_GONE) {
-		/* The store dropped only the history; the row can be read. */
+		/* The platform's store dropped only the history; the row can
+		 * be read. */
 		log_event(EV_CONFIG_WATCH_REFUSED,
 			  LOG_INT("after", follow->store_version));
 		follow->store_version = 0;
-		follow->is_watching = false;
+		follow->has_read_row = false;
 		schedule_request(follow, 0);
 	} else if (handle_answer(follow, answer, clock_boot_us(), false)) {
-		continue_watch(follow, answer);
+		schedule_watch(follow, answer);
 	} else {
-		/* A store that was unavailable may have been restored from a
-		 * copy. A watch from the old version would then wait for a
+		/* A platform store that was unavailable may have been restored
+		 * from a copy. A watch from the old version would then wait for a
 		 * change that the store already has. */
-		follow->is_watching = false;
+		follow->has_read_row = false;
 		schedule_retry(follow);
 	}
 }
@@ -198,18 +214,18 @@
 {
 	struct config_follow *follow = data;
 
-	if (handle_answer(follow, answer, follow->asked_us, true))
-		continue_watch(follow, answer);
+	if (handle_answer(follow, answer, follow->read_sent_us, true))
+		schedule_watch(follow, answer);
 	else
 		schedule_retry(follow);
 }
 
-static void handle_read_alone(const struct platform_answer *answer, void *data)
+static void handle_own_read(const struct platform_answer *answer, void *data)
 {
 	struct config_follow *follow = data;
 
-	follow->is_reading = false;
-	if (!handle_answer(follow, answer, follow->own_read_us, true))
+	follow->is_own_read_open = false;
+	if (!handle_answer(follow, answer, follow->own_read_sent_us, true))
 		counters.config_fetch_failures++;
 }
 
@@ -252,8 +268,8 @@
 
 	(void)loop;
 	(void)events;
-	if (!follow->is_watching) {
-		follow->asked_us = clock_boot_us();
+	if (!follow->has_read_row) {
+		follow->read_sent_us = clock_boot_us();
 		read_row(follow, handle_read);
 	} else if (is_elected_follower(follow)) {
 		counters.config_head_reads++;
@@ -261,41 +277,43 @@
 			       follow->store_version, CONFIG_FOLLOW_WAIT_MS,
 			       handle_watched, follow);
 	} else {
+		/* Checks again then whether this daemon is elected. */
 		schedule_request(follow, CONFIG_FOLLOW_RETRY_MAX_US);
 	}
 }
 
 /* The rest of this file handles a daemon that stays behind. */
 
-/* After a failed first read the delay is one span longer. Without it the
- * daemons of a large installation would repeat their reads at a higher rate
- * than CONFIG_FOLLOW_READ_SPACING_US allows. */
+/* The span has one CONFIG_FOLLOW_READ_SPACING_US per member. Each read after the
+ * first is delayed by one span more. Without this the daemons of a large
+ * installation would repeat failed reads at a higher rate than the spacing
+ * allows. */
 static void schedule_own_read(struct config_follow *follow, bool is_first)
 {
 	uint64_t span = member_table_size(follow->options.members) *
 				CONFIG_FOLLOW_READ_SPACING_US +
 			1;
 
-	follow->read_at_us = clock_mono_us() + CONFIG_FOLLOW_PEER_GRACE_US +
-			     (is_first ? 0 : (int64_t)span) +
-			     (int64_t)random_below(&follow->random, span);
+	follow->own_read_at_us = clock_mono_us() + CONFIG_FOLLOW_PEER_GRACE_US +
+				 (is_first ? 0 : (int64_t)span) +
+				 (int64_t)random_below(&follow->random, span);
 }
 
-/* Waits while pieces of a version still arrive from peers, but not without end:
- * if versions follow each other faster than one crosses the link, none is ever
- * complete. */
-static bool is_due(const struct config_follow *follow)
+/* Delays the own read while pieces of a version still arrive from peers, but not
+ * after this daemon was behind for CONFIG_FOLLOW_PIECES_MAX_US: if new versions
+ * appear faster than the link transfers one, no version is ever complete. */
+static bool is_own_read_due(const struct config_follow *follow)
 {
 	int64_t now_us = clock_mono_us();
 	int64_t progress_us = config_store_progress_us(follow->options.store);
 
-	return now_us >= follow->read_at_us &&
+	return now_us >= follow->own_read_at_us &&
 	       !config_store_is_adopting(follow->options.store) &&
 	       (now_us - progress_us >= CONFIG_FOLLOW_STALL_US ||
 		now_us - follow->behind_since_us >= CONFIG_FOLLOW_PIECES_MAX_US);
 }
 
-static void read_row_alone(struct config_follow *follow)
+static void send_own_read(struct config_follow *follow)
 {
 	const struct config_store *store = follow->options.store;
 
@@ -303,10 +321,10 @@
 		EV_CONFIG_READ_ALONE, LOG_INT("head", config_store_head(store)),
 		LOG_INT("known_head", config_store_known_head(store)),
 		LOG_INT("behind_us", clock_mono_us() - follow->behind_since_us));
-	follow->is_reading = true;
-	follow->own_read_us = clock_boot_us();
+	follow->is_own_read_open = true;
+	follow->own_read_sent_us = clock_boot_us();
 	schedule_own_read(follow, false);
-	read_row(follow, handle_read_alone);
+	read_row(follow, handle_own_read);
 }
 
 static void handle_behind_timer(struct ev_loop *loop, ev_timer *timer, int events)
@@ -314,17 +332,18 @@
 	struct config_follow *follow = timer->data;
 
 	(void)events;
-	if (config_store_doubt(follow->options.store) != CONFIG_DOUBT_BEHIND)
+	if (config_store_get_doubt(follow->options.store) != CONFIG_DOUBT_BEHIND)
 		ev_timer_stop(loop, timer);
-	else if (follow->is_watching && !follow->is_reading && is_due(follow))
-		read_row_alone(follow);
+	else if (follow->has_read_row && !follow->is_own_read_open &&
+		 is_own_read_due(follow))
+		send_own_read(follow);
 }
 
 /*
  * Most daemons get a version only from peers, the others through a watch that
  * may be lost without an error. If that path fails, because of the version's
  * size or an unforeseen fault, a daemon would keep the old rules for as long as
- * the failure lasts although the store is reachable. The symptom is
+ * the failure lasts although the platform's store is reachable. The symptom is
  * config.fetch-failed with the same known_head again and again.
  */
 static void handle_behind(uint64_t head, const char *from_host, void *data)
