--- a/comfreydockd/upstream/attempts.c
+++ b/comfreydockd/upstream/attempts.c
@@ -278,7 +278,7 @@
 	} else {
 		owner_note_broken(owner, attempt);
 		attempt_finish_broken(attempt, result == RUN_TRUNCATED,
-				      "no complete answer from the upstream");
+				      "the upstream broke off");
 	}
 	owner_note_breaker_result(owner, false);
 }
@@ -312,7 +312,7 @@
 	 * reservation without its payment. That is worse than a result that
 	 * nobody waits for, so the request runs to its end, and the rest of its
 	 * answer is discarded. */
-	attempt_send_failed(attempt, "cancelled while running");
+	attempt_send_failed(attempt, "cancelled while it ran");
 	if (attempt->peer)
 		LIST_REMOVE(attempt, link);
 	attempt->peer = NULL;
--- a/comfreydockd/upstream/sweep.c
+++ b/comfreydockd/upstream/sweep.c
@@ -46,11 +46,11 @@
 
 		if (!attempt->head_us &&
 		    now > attempt->item.deadline_us + HEAD_GRACE_US) {
-			attempt_abort(attempt, "no answer after the deadline");
+			attempt_abort(attempt, "no answer long after deadline");
 			owner_note_breaker_result(owner, false);
 		} else if (attempt->stalled_since_us &&
 			   now - attempt->stalled_since_us > STALL_US)
-			attempt_abort(attempt, "caller stopped reading");
+			attempt_abort(attempt, "the caller takes nothing");
 		attempt = next;
 	}
 }
