--- a/comfreydockd/assembly.c
+++ b/comfreydockd/assembly.c
@@ -261,7 +261,7 @@
 
 	assembly->rows_store = store;
 	assembly->rows = rows_create(&options);
-	platform_when_restored(daemon->platform, handle_restored, assembly);
+	platform_set_restore_handler(daemon->platform, handle_restored, assembly);
 }
 
 static void connect_config_sources(struct assembly *assembly)
--- a/include/comfreydockd/platform/platform.h
+++ b/include/comfreydockd/platform/platform.h
@@ -21,7 +21,7 @@
  *	certainly had no effect, a read on any failure.
  *
  * RETURN VALUE
- *	The status is in the answer; platform_status_message() has the reason.
+ *	The status is in the answer; platform_last_error() has the reason.
  */
 #ifndef COMFREYDOCKD_PLATFORM_PLATFORM_H
 #define COMFREYDOCKD_PLATFORM_PLATFORM_H
@@ -95,8 +95,9 @@
 /* Sets the one handler for restores of the store from a copy, after which
  * recent writes may be lost. It is called from the loop, once for each
  * restore. */
-void platform_when_restored(struct platform *platform,
-			    void (*handle_restored)(void *data), void *data);
+void platform_set_restore_handler(struct platform *platform,
+				  void (*handle_restored)(void *data),
+				  void *data);
 
 /* Open calls end without their callbacks. */
 void platform_destroy(struct platform *platform);
@@ -104,11 +105,11 @@
 void platform_get(struct platform *platform, const char *key,
 		  platform_handler handler, void *data);
 
-/* Lists rows of a table in the order of their keys, beginning after the key
- * after, or with the first row if it is NULL. limit 0: the platform chooses the
- * page size. */
+/* Lists rows of a table in the order of their keys, beginning after
+ * after_key, or with the first row if it is NULL. limit 0: the platform chooses
+ * the page size. */
 void platform_list(struct platform *platform, const char *table,
-		   const char *after, unsigned int limit,
+		   const char *after_key, unsigned int limit,
 		   platform_handler handler, void *data);
 
 /* Long poll: answers once a row of the table has changed after the version
@@ -130,6 +131,6 @@
 bool platform_is_up(const struct platform *platform);
 
 /* RETURN VALUE: the reason of the last failed call, or "". */
-const char *platform_status_message(const struct platform *platform);
+const char *platform_last_error(const struct platform *platform);
 
 #endif
--- a/include/platform/store_era.h
+++ b/include/platform/store_era.h
@@ -40,7 +40,7 @@
 uint64_t store_era_of(uint64_t version);
 
 /* RETURN VALUE: a version of the store combined with its era. */
-uint64_t store_era_add(uint64_t version, uint64_t era);
+uint64_t store_era_combine(uint64_t version, uint64_t era);
 
 /* RETURN VALUE: the version of the store. If the version is of another era, a
  * version that the store never assigns. */
--- a/tests/test_platform_client.c
+++ b/tests/test_platform_client.c
@@ -178,7 +178,7 @@
 	rig_kill(f->standin);
 	g_assert_cmpint(put(f, "t/a", PLATFORM_ABSENT, "1"), ==,
 			PLATFORM_UNAVAILABLE);
-	g_assert_cmpstr(platform_status_message(f->platform), !=, "");
+	g_assert_cmpstr(platform_last_error(f->platform), !=, "");
 }
 
 /* A service that hangs must delay its caller only for a bounded time. */
@@ -234,7 +234,7 @@
 	unsigned int restored = 0;
 
 	(void)data;
-	platform_when_restored(f->platform, count_restored, &restored);
+	platform_set_restore_handler(f->platform, count_restored, &restored);
 	for (int i = 0; i < 3; i++)
 		put(f, "t/a", PLATFORM_ANY_VERSION, "1");
 	restore_store(f, "{\"transactions\": 2}");
--- a/tests/test_store_era.c
+++ b/tests/test_store_era.c
@@ -4,12 +4,12 @@
 
 static void test_versions_carry_their_era(void)
 {
-	uint64_t version = store_era_add(33, 2);
+	uint64_t version = store_era_combine(33, 2);
 
 	g_assert_cmpuint(store_era_of(version), ==, 2);
 	g_assert_cmpuint(version & PLATFORM_VERSION_MASK, ==, 33);
-	g_assert_cmpuint(version, >, store_era_add(34, 1));
-	g_assert_cmpuint(store_era_add(33, 0), ==, 33);
+	g_assert_cmpuint(version, >, store_era_combine(34, 1));
+	g_assert_cmpuint(store_era_combine(33, 0), ==, 33);
 }
 
 /* Guards against a version from before a restore that is sent as a current one. */
@@ -19,8 +19,8 @@
 
 	g_assert_cmpuint(store_era_strip(&era, 33), ==, 33);
 	store_era_update(&era, 2);
-	g_assert_cmpuint(store_era_strip(&era, store_era_add(33, 2)), ==, 33);
-	g_assert_cmpuint(store_era_strip(&era, store_era_add(33, 1)), ==,
+	g_assert_cmpuint(store_era_strip(&era, store_era_combine(33, 2)), ==, 33);
+	g_assert_cmpuint(store_era_strip(&era, store_era_combine(33, 1)), ==,
 			 PLATFORM_VERSION_MASK);
 	g_assert_cmpuint(store_era_strip(&era, 0), ==, 0);
 }
@@ -45,12 +45,13 @@
 	uint64_t last = ((uint64_t)1 << STORE_ERA_BITS) - 1;
 
 	store_era_update(&era, told);
-	g_assert_cmpuint(store_era_of(store_era_add(33, told)), ==, told);
-	g_assert_cmpuint(store_era_strip(&era, store_era_add(33, told)), ==, 33);
+	g_assert_cmpuint(store_era_of(store_era_combine(33, told)), ==, told);
+	g_assert_cmpuint(store_era_strip(&era, store_era_combine(33, told)), ==,
+			 33);
 	g_assert_true(store_era_update(&era, store_era_parse("1764700001")));
 	era.current = last;
 	g_assert_true(store_era_update(&era, 0));
-	g_assert_cmpint((int64_t)store_era_add(33, last), >, 0);
+	g_assert_cmpint((int64_t)store_era_combine(33, last), >, 0);
 }
 
 int main(int argc, char **argv)
