--- a/common/log.c
+++ b/common/log.c
@@ -10,6 +10,7 @@
 #include "common/counters.h"
 
 /* Event numbers range from 1000 to 1999. */
+#define EVENT_NUMBER_FIRST 1000
 #define EVENT_NUMBERS 1000
 /* The limit for a single event of class BELIEF, so that a flapping host does not
  * use up the lines of all other events. */
@@ -17,7 +18,7 @@
 
 struct log_rate {
 	unsigned int lines; /* in this second */
-	uint64_t dropped; /* since the last log.suppressed */
+	uint64_t left_out; /* since the last log.suppressed */
 };
 
 static struct {
@@ -28,18 +29,18 @@
 	int64_t second;
 	unsigned int lines; /* in this second */
 	unsigned int bytes;
-	unsigned int routine_requested; /* ROUTINE lines in this second */
-	double routine_share; /* of the requests, sampled by trace id */
-	bool has_dropped;
+	unsigned int routine_lines_wanted; /* ROUTINE lines in this second */
+	double routine_sample_rate; /* of the requests, sampled by trace id */
+	bool has_left_out;
 	bool is_buffering;
-	bool is_reporting_dropped; /* prevents recursion */
+	bool is_reporting_left_out; /* prevents recursion */
 	GString *buffer;
 	struct log_rate rates[EVENT_NUMBERS];
 } state = {
 	.format = LOG_FORMAT_TEXT,
 	.lines_per_s = LOG_LINES_PER_S,
 	.bytes_per_s = LOG_BYTES_PER_S,
-	.routine_share = 1.0,
+	.routine_sample_rate = 1.0,
 };
 
 const char *log_event_name(enum event id)
@@ -151,7 +152,7 @@
 }
 
 /* Drops whole lines only. Half a line would corrupt the next one. */
-static void drop_unread_lines(void)
+static void drop_unwritten_lines(void)
 {
 	/* The first line may be partly written and is kept. */
 	char *end = strchr(state.buffer->str, '\n');
@@ -175,7 +176,7 @@
 	else if (written < 0 && errno != EAGAIN && errno != EINTR)
 		g_string_truncate(state.buffer, 0); /* no reader */
 	if (state.buffer->len > LOG_BUFFER_BYTES)
-		drop_unread_lines();
+		drop_unwritten_lines();
 }
 
 void log_enable_buffering(void)
@@ -226,33 +227,34 @@
 }
 
 /* Logs one log.suppressed for each event of which lines were dropped. */
-static void report_dropped(void)
+static void report_left_out(void)
 {
-	state.has_dropped = false;
-	state.is_reporting_dropped = true;
+	state.has_left_out = false;
+	state.is_reporting_left_out = true;
 	for (unsigned int i = 0; i < EVENT_NUMBERS; i++) {
 		struct log_rate *rate = &state.rates[i];
 
-		if (rate->dropped)
+		if (rate->left_out)
 			log_event(EV_LOG_SUPPRESSED,
-				  LOG_STR("event", log_event_name((enum event)(
-							   i + EVENT_NUMBERS))),
-				  LOG_INT("lines", rate->dropped));
-		counters.log_lines_left_out += rate->dropped;
-		rate->dropped = 0;
+				  LOG_STR("event",
+					  log_event_name((enum event)(
+						  i + EVENT_NUMBER_FIRST))),
+				  LOG_INT("lines", rate->left_out));
+		counters.log_lines_left_out += rate->left_out;
+		rate->left_out = 0;
 	}
-	state.is_reporting_dropped = false;
+	state.is_reporting_left_out = false;
 }
 
 /* Sets the share of requests that is logged in this second, from the number of
  * ROUTINE lines that the last second had. */
-static void adapt_routine_share(void)
+static void adapt_routine_sample_rate(void)
 {
 	double allowed = state.lines_per_s * LOG_ROUTINE_SHARE;
-	double asked = state.routine_requested;
+	double wanted = state.routine_lines_wanted;
 
-	state.routine_share = asked > allowed ? allowed / asked : 1.0;
-	state.routine_requested = 0;
+	state.routine_sample_rate = wanted > allowed ? allowed / wanted : 1.0;
+	state.routine_lines_wanted = 0;
 }
 
 static void begin_second(int64_t second)
@@ -262,9 +264,9 @@
 	state.bytes = 0;
 	for (unsigned int i = 0; i < EVENT_NUMBERS; i++)
 		state.rates[i].lines = 0;
-	adapt_routine_share();
-	if (state.has_dropped)
-		report_dropped();
+	adapt_routine_sample_rate();
+	if (state.has_left_out)
+		report_left_out();
 }
 
 static const char *find_trace(const struct log_field *fields)
@@ -281,7 +283,7 @@
 static bool trace_is_sampled(const char *trace)
 {
 	return !trace || g_str_hash(trace) * 2654435761u <=
-				 state.routine_share * (double)G_MAXUINT32;
+				 state.routine_sample_rate * (double)G_MAXUINT32;
 }
 
 static bool has_budget(double share)
@@ -290,7 +292,7 @@
 	       state.bytes < state.bytes_per_s * share;
 }
 
-static bool is_allowed(enum event id, const struct log_field *fields)
+static bool check_class_budget(enum event id, const struct log_field *fields)
 {
 	const struct log_rate *rate =
 		&state.rates[(unsigned int)id % EVENT_NUMBERS];
@@ -301,7 +303,7 @@
 	case LOG_CLASS_FAILURE:
 		return has_budget(LOG_FAILURE_SHARE);
 	case LOG_CLASS_ROUTINE:
-		state.routine_requested++;
+		state.routine_lines_wanted++;
 		return trace_is_sampled(find_trace(fields)) &&
 		       has_budget(LOG_ROUTINE_SHARE);
 	}
@@ -314,15 +316,15 @@
 	struct log_rate *rate = &state.rates[(unsigned int)id % EVENT_NUMBERS];
 	int64_t second = clock_mono_us() / US_PER_S;
 
-	if (state.second != second && !state.is_reporting_dropped)
+	if (state.second != second && !state.is_reporting_left_out)
 		begin_second(second);
-	if (id == EV_LOG_SUPPRESSED || is_allowed(id, fields)) {
+	if (id == EV_LOG_SUPPRESSED || check_class_budget(id, fields)) {
 		rate->lines++;
 		state.lines++;
 		return true;
 	}
-	rate->dropped++;
-	state.has_dropped = true;
+	rate->left_out++;
+	state.has_left_out = true;
 	return false;
 }
 
