--- a/common/log.c
+++ b/common/log.c
@@ -12,13 +12,14 @@
 /* Event numbers range from 1000 to 1999. */
 #define EVENT_NUMBER_FIRST 1000
 #define EVENT_NUMBERS 1000
-/* The limit for a single event of class BELIEF, so that a flapping host does not
- * use up the lines of all other events. */
+/* Class BELIEF holds the state of other hosts as this daemon sees it. Each event
+ * number of this class has its own limit, so that a flapping host does not use up
+ * the lines of all other events. */
 #define BELIEF_LINES_PER_S 50
 
 struct log_rate {
 	unsigned int lines; /* in this second */
-	uint64_t left_out; /* since the last log.suppressed */
+	uint64_t left_out; /* since the last event log.suppressed */
 };
 
 static struct {
@@ -29,8 +30,8 @@
 	int64_t second;
 	unsigned int lines; /* in this second */
 	unsigned int bytes;
-	unsigned int routine_lines_wanted; /* ROUTINE lines in this second */
-	double routine_sample_rate; /* of the requests, sampled by trace id */
+	unsigned int routine_lines_wanted; /* before sampling, in this second */
+	double routine_sample_rate; /* share of requests, sampled by trace id */
 	bool has_left_out;
 	bool is_buffering;
 	bool is_reporting_left_out; /* prevents recursion */
@@ -151,7 +152,8 @@
 	return g_string_free(line, FALSE);
 }
 
-/* Drops whole lines only. Half a line would corrupt the next one. */
+/* Makes room when the reader of standard output is too slow. Drops whole lines
+ * only, because half a line would corrupt the next one. */
 static void drop_unwritten_lines(void)
 {
 	/* The first line may be partly written and is kept. */
@@ -184,7 +186,8 @@
 	state.is_buffering = true;
 }
 
-/* Events arrive as rendered lines, warnings of GLib itself as plain text. */
+/* Receives the rendered lines of events as well as warnings of GLib itself. The
+ * warnings stay plain text even if the log format is JSON. */
 static GLogWriterOutput handle_log_line(GLogLevelFlags level,
 					const GLogField *fields, gsize count,
 					gpointer data)
@@ -292,6 +295,7 @@
 	       state.bytes < state.bytes_per_s * share;
 }
 
+/* Also counts the lines of class ROUTINE. */
 static bool check_class_budget(enum event id, const struct log_field *fields)
 {
 	const struct log_rate *rate =
@@ -310,7 +314,8 @@
 	return true;
 }
 
-/* RETURN VALUE: false if the event has used up its share of this second. */
+/* RETURN VALUE: false if the line must be left out, because the budget of its class
+ * or event for this second is spent or because its trace is not sampled. */
 static bool take_budget(enum event id, const struct log_field *fields)
 {
 	struct log_rate *rate = &state.rates[(unsigned int)id % EVENT_NUMBERS];
