--- a/comfreydockd/upstream/gauge.c
+++ b/comfreydockd/upstream/gauge.c
@@ -16,7 +16,7 @@
 	struct daemon *daemon;
 	gauge_handler handler;
 	void *data;
-	struct http_pending *pending;
+	struct http_pending_call *pending;
 	char *instance;
 	double tokens;
 	int64_t refilled_us;
--- a/comfreydockd/upstream/owner.c
+++ b/comfreydockd/upstream/owner.c
@@ -240,7 +240,7 @@
 	owner->dispatch_is_due = false;
 	ev_timer_stop(loop, &owner->dispatch_timer);
 	owner_dispatch(owner);
-	http_client_flush(owner->daemon->http);
+	http_client_begin_transfers(owner->daemon->http);
 }
 
 /* Callback of both timers. A due timer keeps the loop from blocking, and
--- a/comfreydockd/upstream/probe.c
+++ b/comfreydockd/upstream/probe.c
@@ -31,7 +31,7 @@
 	char *path; /* NULL: no health requests are sent */
 	ev_timer timer;
 	ev_timer connect_timer; /* runs while the port refuses connections */
-	struct http_pending *pending;
+	struct http_pending_call *pending;
 	int64_t asked_us;
 	unsigned int refusals; /* in a row */
 	bool is_unreachable;
--- a/comfreydockd/upstream/run.c
+++ b/comfreydockd/upstream/run.c
@@ -314,7 +314,7 @@
 	run_set_fields(run, request->fields);
 	run_set_body(run, request);
 	run->running = true;
-	http_client_start(pool->client, &run->transfer);
+	http_client_add_transfer(pool->client, &run->transfer);
 	return run;
 }
 
@@ -323,7 +323,7 @@
 	if (!run)
 		return;
 	if (run->running)
-		http_client_stop(run->pool->client, &run->transfer);
+		http_client_remove_transfer(run->pool->client, &run->transfer);
 	pool_release(run->pool, run->transfer.easy);
 	curl_slist_free_all(run->request_fields);
 	fields_finish(&run->answer_fields);
--- a/common/http_client.c
+++ b/common/http_client.c
@@ -8,13 +8,13 @@
 /* More than an upstream accepts in total. */
 #define IDLE_CONNECTIONS_MAX 1024L
 
-struct http_pending {
-	LIST_ENTRY(http_pending) link;
+struct http_pending_call {
+	LIST_ENTRY(http_pending_call) link;
 	struct http_client *client;
 	struct http_transfer transfer;
 	struct curl_slist *headers;
-	GString *request;
-	GString *answer;
+	GString *request_body;
+	GString *answer_body;
 	http_answer_handler handler;
 	void *data;
 };
@@ -24,7 +24,7 @@
 	CURLM *multi;
 	ev_timer timer;
 	bool has_unstarted; /* transfers that libcurl has not begun */
-	LIST_HEAD(, http_pending) pending;
+	LIST_HEAD(, http_pending_call) pending;
 };
 
 struct socket_watch {
@@ -142,7 +142,7 @@
 
 void http_client_destroy(struct http_client *client)
 {
-	struct http_pending *pending;
+	struct http_pending_call *pending;
 
 	if (!client)
 		return;
@@ -169,7 +169,8 @@
 	return CURL_PREREQFUNC_OK;
 }
 
-void http_client_start(struct http_client *client, struct http_transfer *transfer)
+void http_client_add_transfer(struct http_client *client,
+			      struct http_transfer *transfer)
 {
 	transfer->sent = false;
 	if (transfer->send_once) {
@@ -182,7 +183,7 @@
 	client->has_unstarted = true;
 }
 
-void http_client_flush(struct http_client *client)
+void http_client_begin_transfers(struct http_client *client)
 {
 	int running;
 
@@ -193,7 +194,8 @@
 	report_done(client);
 }
 
-void http_client_stop(struct http_client *client, struct http_transfer *transfer)
+void http_client_remove_transfer(struct http_client *client,
+				 struct http_transfer *transfer)
 {
 	curl_multi_remove_handle(client->multi, transfer->easy);
 }
@@ -202,36 +204,36 @@
 
 static size_t handle_body(char *data, size_t size, size_t count, void *user)
 {
-	struct http_pending *pending = user;
+	struct http_pending_call *pending = user;
 
-	g_string_append_len(pending->answer, data, (gssize)(size * count));
+	g_string_append_len(pending->answer_body, data, (gssize)(size * count));
 	return size * count;
 }
 
-static void http_pending_free(struct http_pending *pending)
+static void http_pending_call_free(struct http_pending_call *pending)
 {
 	LIST_REMOVE(pending, link);
 	curl_easy_cleanup(pending->transfer.easy);
 	curl_slist_free_all(pending->headers);
-	g_string_free(pending->request, TRUE);
-	g_string_free(pending->answer, TRUE);
+	g_string_free(pending->request_body, TRUE);
+	g_string_free(pending->answer_body, TRUE);
 	g_free(pending);
 }
 
 static void handle_call_done(struct http_transfer *transfer, CURLcode result)
 {
-	struct http_pending *pending = transfer->data;
+	struct http_pending_call *pending = transfer->data;
 	struct http_answer answer = {
 		.result = result,
 		.never_sent = result == CURLE_COULDNT_CONNECT,
-		.body = pending->answer->str,
-		.size = pending->answer->len,
+		.body = pending->answer_body->str,
+		.size = pending->answer_body->len,
 		.easy = transfer->easy,
 	};
 
 	curl_easy_getinfo(transfer->easy, CURLINFO_RESPONSE_CODE, &answer.status);
 	pending->handler(&answer, pending->data);
-	http_pending_free(pending);
+	http_pending_call_free(pending);
 }
 
 const char *http_answer_header(const struct http_answer *answer, const char *name)
@@ -244,7 +246,8 @@
 	return header->value;
 }
 
-static void set_headers(struct http_pending *pending, const char *const *headers)
+static void set_headers(struct http_pending_call *pending,
+			const char *const *headers)
 {
 	/* The servers are daemons or the platform. They need no "Expect:
 	 * 100-continue", which would delay the request body. */
@@ -259,11 +262,12 @@
 			 pending->headers);
 }
 
-struct http_pending *http_client_call(struct http_client *client,
-				      const struct http_call *call,
-				      http_answer_handler handler, void *data)
+struct http_pending_call *http_client_call(struct http_client *client,
+					   const struct http_call *call,
+					   http_answer_handler handler,
+					   void *data)
 {
-	struct http_pending *pending = g_new0(struct http_pending, 1);
+	struct http_pending_call *pending = g_new0(struct http_pending_call, 1);
 	CURL *easy = curl_easy_init();
 
 	pending->client = client;
@@ -275,8 +279,8 @@
 				    strcmp(call->method, "HEAD") != 0);
 	pending->handler = handler;
 	pending->data = data;
-	pending->answer = g_string_new(NULL);
-	pending->request = g_string_new(NULL);
+	pending->answer_body = g_string_new(NULL);
+	pending->request_body = g_string_new(NULL);
 	LIST_INSERT_HEAD(&client->pending, pending, link);
 	curl_easy_setopt(easy, CURLOPT_URL, call->url);
 	curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, call->method);
@@ -294,18 +298,19 @@
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, pending);
 	set_headers(pending, call->headers);
 	if (call->body) {
-		g_string_append_len(pending->request, call->body,
+		g_string_append_len(pending->request_body, call->body,
 				    (gssize)call->size);
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE_LARGE,
 				 (curl_off_t)call->size);
-		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, pending->request->str);
+		curl_easy_setopt(easy, CURLOPT_POSTFIELDS,
+				 pending->request_body->str);
 	}
-	http_client_start(client, &pending->transfer);
+	http_client_add_transfer(client, &pending->transfer);
 	return pending;
 }
 
-void http_client_cancel(struct http_pending *pending)
+void http_client_cancel(struct http_pending_call *pending)
 {
-	http_client_stop(pending->client, &pending->transfer);
-	http_pending_free(pending);
+	http_client_remove_transfer(pending->client, &pending->transfer);
+	http_pending_call_free(pending);
 }
--- a/include/comfreydockd/upstream/report.h
+++ b/include/comfreydockd/upstream/report.h
@@ -86,14 +86,14 @@
 #define REPORT_CHECK_TIMEOUT_MS 200 /* a health answer on the same host */
 #define REPORT_CHECK_RETRY_S 0.25 /* shorter than an upstream's start */
 
-struct http_pending;
+struct http_pending_call;
 
 /* All zero if no start is being confirmed. */
 struct report_check {
 	bool is_open; /* a start waits for its confirmation */
 	unsigned int reports; /* received from this start */
 	unsigned int failed_checks; /* unsuccessful health requests */
-	struct http_pending *pending;
+	struct http_pending_call *pending;
 	char *group; /* this and the fields below: as last reported */
 	char *address;
 	uint16_t port;
--- a/include/common/http_client.h
+++ b/include/common/http_client.h
@@ -40,15 +40,16 @@
 };
 
 /* Adds the transfer; it begins in the next iteration of the loop. */
-void http_client_start(struct http_client *client,
-		       struct http_transfer *transfer);
+void http_client_add_transfer(struct http_client *client,
+			      struct http_transfer *transfer);
 
 /* Begins the transfers that were started, without waiting for the next
  * iteration of the loop. Must not be called from a libcurl callback. */
-void http_client_flush(struct http_client *client);
+void http_client_begin_transfers(struct http_client *client);
 
 /* Aborts a running transfer without calling handle_done. */
-void http_client_stop(struct http_client *client, struct http_transfer *transfer);
+void http_client_remove_transfer(struct http_client *client,
+				 struct http_transfer *transfer);
 
 struct http_answer {
 	CURLcode result; /* CURLE_OK: an answer with any status arrived */
@@ -79,13 +80,14 @@
 	long stall_timeout_s; /* time without received bytes; 0: no limit */
 };
 
-struct http_pending;
+struct http_pending_call;
 
 /* Copies the call. libcurl may resend only GET and HEAD requests.
  * RETURN VALUE: a handle for http_client_cancel(). */
-struct http_pending *http_client_call(struct http_client *client,
-				      const struct http_call *call,
-				      http_answer_handler handler, void *data);
-void http_client_cancel(struct http_pending *pending);
+struct http_pending_call *http_client_call(struct http_client *client,
+					   const struct http_call *call,
+					   http_answer_handler handler,
+					   void *data);
+void http_client_cancel(struct http_pending_call *pending);
 
 #endif
--- a/standin/load/call.c
+++ b/standin/load/call.c
@@ -226,5 +226,5 @@
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, call);
 	load->counts.started++;
 	load->open++;
-	http_client_start(load->client, &call->transfer);
+	http_client_add_transfer(load->client, &call->transfer);
 }
