--- a/common/http_client.c
+++ b/common/http_client.c
@@ -5,9 +5,11 @@
 
 #define DEFAULT_TIMEOUT_MS 5000
 #define DEFAULT_CONNECT_TIMEOUT_MS 1000
-/* More than an upstream accepts in total. */
+/* Limit of the whole client, over all servers. It is more than one upstream accepts
+ * in total. */
 #define IDLE_CONNECTIONS_MAX 1024L
 
+/* A call of the upper layer that has no answer yet. */
 struct http_pending_call {
 	LIST_ENTRY(http_pending_call) link;
 	struct http_client *client;
@@ -153,7 +155,9 @@
 	g_free(client);
 }
 
-/* libcurl calls this each time before it sends the request. */
+/* libcurl calls this each time before it sends the request. It sends again if a
+ * reused connection closes before the first byte of the answer. The second time is
+ * aborted, because the first request may have taken effect. */
 static int handle_prerequest(void *data, char *remote_ip, char *local_ip,
 			     int remote_port, int local_port)
 {
@@ -249,8 +253,9 @@
 static void set_headers(struct http_pending_call *pending,
 			const char *const *headers)
 {
-	/* The servers are daemons or the platform. They need no "Expect:
-	 * 100-continue", which would delay the request body. */
+	/* The servers are daemons of comfreydock or the platform, which holds
+	 * the store. They need no "Expect: 100-continue", which would delay
+	 * the request body. */
 	pending->headers = curl_slist_append(NULL, "Expect:");
 	for (; headers && headers[0]; headers += 2) {
 		char *line = g_strdup_printf("%s: %s", headers[0], headers[1]);
