--- a/bench/bench_freeze.c
+++ b/bench/bench_freeze.c
@@ -1,5 +1,5 @@
 /*
- * Measures the cost of freeze_mark(), which records what the event loop's
+ * Measures the cost of freeze_take_mark(), which records what the event loop's
  * thread has used so far. It runs at each sweep of the owner and at each gossip
  * tick.
  */
@@ -30,7 +30,7 @@
 		double each;
 
 		for (int i = 0; i < MARKS; i++)
-			freeze_mark(&mark);
+			freeze_take_mark(&mark);
 		each = (double)(cpu_us() - before) / MARKS;
 		printf("%.3f us per mark, %.4f %% of a core at %d per "
 		       "second%s\n",
--- a/comfreydockd/member/gossip.c
+++ b/comfreydockd/member/gossip.c
@@ -158,7 +158,7 @@
 
 	gossip->now_us = clock_mono_us();
 	swim_tick(gossip->swim, gossip->now_us);
-	freeze_mark(&gossip->tick_mark);
+	freeze_take_mark(&gossip->tick_mark);
 }
 
 /* Passes on the head that a peer sent: the number of configuration applies,
@@ -308,7 +308,7 @@
 	gossip->fd = fd;
 	gossip->port = bound_port(fd);
 	gossip->now_us = clock_mono_us();
-	freeze_mark(&gossip->tick_mark);
+	freeze_take_mark(&gossip->tick_mark);
 	gossip_create_swim(gossip);
 	observer.data = gossip;
 	member_table_observe(daemon->members, &observer);
--- a/comfreydockd/upstream/sweep.c
+++ b/comfreydockd/upstream/sweep.c
@@ -20,7 +20,7 @@
 static void owner_mark_sweep(struct owner *owner, int64_t now)
 {
 	owner->last_sweep_us = now;
-	freeze_mark(&owner->last_sweep);
+	freeze_take_mark(&owner->last_sweep);
 }
 
 /* A sweep is due every SWEEP_S, so a long gap since the last one shows that the
--- a/common/freeze.c
+++ b/common/freeze.c
@@ -37,7 +37,7 @@
 {
 	char text[96];
 	int64_t waited_ns;
-	int64_t turns;
+	int64_t time_slices;
 	ssize_t size;
 
 	if (schedstat_failed)
@@ -50,11 +50,12 @@
 	if (size < 0)
 		return schedstat_disable(g_strerror(errno));
 	text[size] = '\0';
-	if (sscanf(text, "%*u %" SCNd64 " %" SCNd64, &waited_ns, &turns) != 2)
+	if (sscanf(text, "%*u %" SCNd64 " %" SCNd64, &waited_ns, &time_slices) !=
+	    2)
 		return schedstat_disable("unexpected format");
 	/* The thread is running, so a kernel that collects the statistics
 	 * counts at least one time slice. */
-	if (turns <= 0)
+	if (time_slices <= 0)
 		return schedstat_disable("the kernel collects no statistics");
 	return waited_ns / NS_PER_US;
 }
@@ -64,7 +65,7 @@
 	return (int64_t)time->tv_sec * US_PER_S + time->tv_usec;
 }
 
-void freeze_mark(struct freeze_mark *mark)
+void freeze_take_mark(struct freeze_mark *mark)
 {
 	struct rusage usage = {0};
 
@@ -74,22 +75,22 @@
 			  timeval_us(&usage.ru_stime),
 		.waited_us = read_waited_us(),
 		.major_faults = usage.ru_majflt,
-		.voluntary = usage.ru_nvcsw,
-		.involuntary = usage.ru_nivcsw,
+		.voluntary_switches = usage.ru_nvcsw,
+		.involuntary_switches = usage.ru_nivcsw,
 	};
 }
 
 void freeze_since(const struct freeze_mark *mark, struct freeze_mark *used)
 {
-	freeze_mark(used);
+	freeze_take_mark(used);
 	used->cpu_us -= mark->cpu_us;
 	if (used->waited_us >= 0 && mark->waited_us >= 0)
 		used->waited_us -= mark->waited_us;
 	else
 		used->waited_us = -1;
 	used->major_faults -= mark->major_faults;
-	used->voluntary -= mark->voluntary;
-	used->involuntary -= mark->involuntary;
+	used->voluntary_switches -= mark->voluntary_switches;
+	used->involuntary_switches -= mark->involuntary_switches;
 }
 
 void freeze_log(enum event id, int64_t gap_us, const struct freeze_mark *mark)
@@ -102,6 +103,6 @@
 		  LOG_INT("waited_ms",
 			  used.waited_us < 0 ? -1 : used.waited_us / US_PER_MS),
 		  LOG_INT("major_faults", used.major_faults),
-		  LOG_INT("voluntary", used.voluntary),
-		  LOG_INT("involuntary", used.involuntary));
+		  LOG_INT("voluntary", used.voluntary_switches),
+		  LOG_INT("involuntary", used.involuntary_switches));
 }
--- a/include/common/freeze.h
+++ b/include/common/freeze.h
@@ -3,7 +3,7 @@
  *	freeze - accounts for the time in which the event loop was blocked
  *
  * DESCRIPTION
- *	freeze_mark(&mark);			at each tick of a timer
+ *	freeze_take_mark(&mark);		at each tick of a timer
  *	freeze_log(EV_OWNER_FROZEN, gap_us, &mark);	when one came too late
  *
  *	The log line holds the gap in ms and these figures of the calling
@@ -40,12 +40,12 @@
 	int64_t cpu_us;
 	int64_t waited_us; /* -1: unknown */
 	int64_t major_faults;
-	int64_t voluntary;
-	int64_t involuntary;
+	int64_t voluntary_switches;
+	int64_t involuntary_switches;
 };
 
 /* Records what the thread has used up to now. */
-void freeze_mark(struct freeze_mark *mark);
+void freeze_take_mark(struct freeze_mark *mark);
 
 /* Computes what the thread has used since the mark. */
 void freeze_since(const struct freeze_mark *mark, struct freeze_mark *used);
--- a/tests/test_freeze.c
+++ b/tests/test_freeze.c
@@ -31,7 +31,7 @@
 	struct freeze_mark used;
 	int64_t began = clock_mono_us();
 
-	freeze_mark(&mark);
+	freeze_take_mark(&mark);
 	compute_us(PAUSE_US);
 	freeze_since(&mark, &used);
 	/* Even on a busy host the thread runs or waits for a CPU nearly all of
@@ -47,11 +47,11 @@
 	struct freeze_mark mark;
 	struct freeze_mark used;
 
-	freeze_mark(&mark);
+	freeze_take_mark(&mark);
 	g_usleep(PAUSE_US);
 	freeze_since(&mark, &used);
 	g_assert_cmpint(used.cpu_us, <, PAUSE_US / 4);
-	g_assert_cmpint(used.voluntary, >=, 1);
+	g_assert_cmpint(used.voluntary_switches, >=, 1);
 }
 
 static gpointer compute_beside(gpointer data)
@@ -77,7 +77,7 @@
 	CPU_SET(sched_getcpu(), &one);
 	g_assert_cmpint(sched_setaffinity(0, sizeof(one), &one), ==, 0);
 	other = g_thread_new("beside", compute_beside, &one);
-	freeze_mark(&mark);
+	freeze_take_mark(&mark);
 	compute_us(2 * PAUSE_US);
 	freeze_since(&mark, &used);
 	g_thread_join(other);
@@ -87,10 +87,10 @@
 		return;
 	}
 	g_assert_cmpint(used.waited_us, >, PAUSE_US / 4);
-	g_assert_cmpint(used.involuntary, >, 0);
+	g_assert_cmpint(used.involuntary_switches, >, 0);
 }
 
-/* RETURN VALUE: the output of two freeze_mark() and freeze_log() calls. */
+/* RETURN VALUE: the output of two freeze_take_mark() and freeze_log() calls. */
 static char *written_lines(void)
 {
 	struct freeze_mark mark;
@@ -103,7 +103,7 @@
 	dup2(ends[1], STDOUT_FILENO);
 	log_init(LOG_FORMAT_TEXT, "test");
 	for (int i = 0; i < 2; i++) {
-		freeze_mark(&mark);
+		freeze_take_mark(&mark);
 		freeze_log(EV_OWNER_FROZEN, 439 * US_PER_MS, &mark);
 	}
 	dup2(kept, STDOUT_FILENO);
@@ -156,7 +156,7 @@
 	getrlimit(RLIMIT_NOFILE, &limit);
 	none = (struct rlimit){.rlim_cur = 0, .rlim_max = limit.rlim_max};
 	setrlimit(RLIMIT_NOFILE, &none);
-	freeze_mark(&mark);
+	freeze_take_mark(&mark);
 	setrlimit(RLIMIT_NOFILE, &limit);
 	g_assert_cmpint(mark.waited_us, ==, -1);
 	g_assert_cmpint(mark.cpu_us, >, 0);
