--- a/common/freeze.c
+++ b/common/freeze.c
@@ -20,8 +20,11 @@
 static int schedstat_fd = -1;
 static bool schedstat_failed;
 
-/* The platform may hide /proc, or the kernel may not collect the statistics. No
- * read is tried again, as a log line at each tick would flood the log. */
+/* The environment of the process may hide /proc, or the kernel may not collect the
+ * statistics. No read is tried again, because callers take a mark at each tick of a
+ * timer, and a log line at each would flood the log.
+ *
+ * RETURN VALUE: -1, the value of read_waited_us() for an unknown time. */
 static int64_t schedstat_disable(const char *why)
 {
 	schedstat_failed = true;
@@ -53,8 +56,8 @@
 	if (sscanf(text, "%*u %" SCNd64 " %" SCNd64, &waited_ns, &time_slices) !=
 	    2)
 		return schedstat_disable("unexpected format");
-	/* The thread is running, so a kernel that collects the statistics
-	 * counts at least one time slice. */
+	/* The main thread is running, so a kernel that collects the statistics
+	 * counts at least one time slice for it. */
 	if (time_slices <= 0)
 		return schedstat_disable("the kernel collects no statistics");
 	return waited_ns / NS_PER_US;
--- a/common/slice.c
+++ b/common/slice.c
@@ -30,8 +30,10 @@
 	struct job *job;
 
 	(void)events;
+	/* slice_yield() runs the loop within a job, but only one job runs at a
+	 * time. The outer call of this function continues with its queue. */
 	if (running)
-		return; /* the outer call continues with the queue */
+		return;
 	running = slice_queue;
 	while ((job = g_queue_pop_head(&slice_queue->jobs))) {
 		slice_queue->began_us = clock_mono_us();
--- a/include/common/freeze.h
+++ b/include/common/freeze.h
@@ -36,6 +36,7 @@
 
 #include "common/log.h"
 
+/* What the thread has used since its start or, from freeze_since(), since a mark. */
 struct freeze_mark {
 	int64_t cpu_us;
 	int64_t waited_us; /* -1: unknown */
@@ -50,7 +51,8 @@
 /* Computes what the thread has used since the mark. */
 void freeze_since(const struct freeze_mark *mark, struct freeze_mark *used);
 
-/* Logs the event with the gap and what the thread has used since the mark. */
+/* Logs the event with gap_us, the time between two ticks, and what the thread has
+ * used since the mark. */
 void freeze_log(enum event id, int64_t gap_us, const struct freeze_mark *mark);
 
 #endif
