--- a/include/comfreydockd/upstream/report.h
+++ b/include/comfreydockd/upstream/report.h
@@ -87,14 +87,14 @@
 #define REPORT_CHECK_TIMEOUT_MS 200 /* a health answer on the same host */
 #define REPORT_CHECK_RETRY_S 0.25 /* shorter than an upstream's start */
 
-struct http_pending;
+struct http_pending_call;
 
 /* The confirmation of the current start, and the upstream as last reported. */
 struct report_check {
 	bool is_unconfirmed; /* the current start is not confirmed yet */
 	unsigned int reports; /* received from this start */
 	unsigned int failed_checks; /* unsuccessful health requests */
-	struct http_pending *pending;
+	struct http_pending_call *pending;
 	char *group; /* this and the fields below: as last reported */
 	char *address;
 	uint16_t port;
