--- a/bench/decide/call.c
+++ b/bench/decide/call.c
@@ -36,11 +36,11 @@
 		replay_note_not_run(r, call);
 }
 
-static void call_fill_hedge_question(struct replay *r,
-				     const struct replay_call *call,
-				     struct hedge_context *question)
+static void call_fill_hedge_context(struct replay *r,
+				    const struct replay_call *call,
+				    struct hedge_context *context)
 {
-	*question = (struct hedge_context){
+	*context = (struct hedge_context){
 		.enabled = replay_has(r, REPLAY_HEDGE),
 		.idempotent = call->trace->idempotent,
 		.hedges = call->hedges,
@@ -57,13 +57,13 @@
 	struct replay_attempt *attempt = data;
 	struct replay_call *call = attempt->call;
 	struct replay_entry *entry = replay_entry_of(r, call);
-	struct hedge_context question;
+	struct hedge_context context;
 	struct pick_candidate *c;
 
 	if (call->closed || call->active[0] != attempt)
 		return;
-	call_fill_hedge_question(r, call, &question);
-	if (!hedge_take(&entry->hedge, &question, r->events.now_us))
+	call_fill_hedge_context(r, call, &context);
+	if (!hedge_take(&entry->hedge, &context, r->events.now_us))
 		return;
 	replay_entry_refresh(r, entry);
 	c = pick_choose(&entry->set, &call->tried, r->events.now_us);
@@ -84,15 +84,15 @@
 	return replay_has(r, REPLAY_RETRY) ? MAX_ATTEMPTS : 1;
 }
 
-static void call_fill_retry_question(struct replay *r,
-				     const struct replay_call *call,
-				     enum retry_outcome outcome,
-				     struct retry_context *question)
+static void call_fill_retry_context(struct replay *r,
+				    const struct replay_call *call,
+				    enum retry_outcome outcome,
+				    struct retry_context *context)
 {
 	const struct replay_entry *entry = replay_entry_of(r, call);
 	bool busy = outcome == RETRY_OUTCOME_BUSY;
 
-	*question = (struct retry_context){
+	*context = (struct retry_context){
 		.outcome = outcome,
 		.idempotent = call->trace->idempotent,
 		.untried = pick_count_untried(&entry->set, &call->tried),
@@ -107,15 +107,15 @@
 static void call_overtake(struct replay *r, struct replay_call *call)
 {
 	struct replay_entry *entry = replay_entry_of(r, call);
-	struct retry_context question;
+	struct retry_context context;
 	struct pick_candidate *c;
 
 	call->is_impatient = false;
 	if (!call->active[0] || call->active[1])
 		return;
-	call_fill_retry_question(r, call, RETRY_OUTCOME_UNKNOWN, &question);
-	if (question.untried == 0 ||
-	    retry_decide(&entry->retry, &question, &r->random, r->events.now_us)
+	call_fill_retry_context(r, call, RETRY_OUTCOME_UNKNOWN, &context);
+	if (context.untried == 0 ||
+	    retry_decide(&entry->retry, &context, &r->random, r->events.now_us)
 			    .verdict != RETRY_GO)
 		return;
 	replay_entry_refresh(r, entry);
@@ -198,11 +198,11 @@
 {
 	struct replay_entry *entry = replay_entry_of(r, call);
 	int64_t now_us = r->events.now_us;
-	struct hedge_context question;
+	struct hedge_context context;
 	int64_t delay_us;
 
-	call_fill_hedge_question(r, call, &question);
-	delay_us = hedge_delay_us(&entry->hedge, &question, now_us);
+	call_fill_hedge_context(r, call, &context);
+	delay_us = hedge_delay_us(&entry->hedge, &context, now_us);
 	if (delay_us >= 0)
 		replay_after(r, delay_us, handle_hedge, attempt);
 	if (call->trace->idempotent &&
@@ -289,17 +289,17 @@
 {
 	struct replay_entry *entry = replay_entry_of(r, call);
 	bool busy = outcome == RETRY_OUTCOME_BUSY;
-	struct retry_context question;
+	struct retry_context context;
 	struct retry_decision answer;
 
 	call->busy += busy;
 	call->uncounted += !busy && !retry_counts(outcome);
-	call_fill_retry_question(r, call, outcome, &question);
-	question.retry_after_us = retry_after_us;
-	if ((busy || !retry_counts(outcome)) && question.untried == 0 &&
+	call_fill_retry_context(r, call, outcome, &context);
+	context.retry_after_us = retry_after_us;
+	if ((busy || !retry_counts(outcome)) && context.untried == 0 &&
 	    call_return_to_busy(call))
-		question.untried = pick_count_untried(&entry->set, &call->tried);
-	answer = retry_decide(&entry->retry, &question, &r->random,
+		context.untried = pick_count_untried(&entry->set, &call->tried);
+	answer = retry_decide(&entry->retry, &context, &r->random,
 			      r->events.now_us);
 	if (answer.verdict == RETRY_GO) {
 		r->result->retries += !busy;
--- a/comfreydockd/caller/call.c
+++ b/comfreydockd/caller/call.c
@@ -170,7 +170,7 @@
 static void call_decide_retry(struct call *call, enum retry_outcome outcome,
 			      enum attempt_entry_state state)
 {
-	struct retry_context question;
+	struct retry_context context;
 	struct retry_decision decision;
 	int64_t now = clock_mono_us();
 
@@ -178,11 +178,11 @@
 		call->busy_refusals++;
 	else if (!retry_counts(outcome))
 		call->uncounted_attempts++;
-	call_fill_retry_question(call, outcome, &question);
+	call_fill_retry_context(call, outcome, &context);
 	if ((outcome == RETRY_OUTCOME_BUSY || !retry_counts(outcome)) &&
-	    question.untried == 0 && call_retry_refused(call))
-		question.untried = call_untried(call);
-	decision = retry_decide(&call->service->retry, &question,
+	    context.untried == 0 && call_retry_refused(call))
+		context.untried = call_untried(call);
+	decision = retry_decide(&call->service->retry, &context,
 				&call->entry->random, now);
 	/* A body that exceeds the buffer can't be sent again. */
 	if (decision.verdict == RETRY_GO && !call->body_exceeds_buffer &&
--- a/comfreydockd/caller/call_state.c
+++ b/comfreydockd/caller/call_state.c
@@ -18,10 +18,10 @@
 	return call->attempts - call->busy_refusals - call->uncounted_attempts;
 }
 
-void call_fill_hedge_question(const struct call *call,
-			      struct hedge_context *question)
+void call_fill_hedge_context(const struct call *call,
+			     struct hedge_context *context)
 {
-	*question = (struct hedge_context){
+	*context = (struct hedge_context){
 		.enabled = call->rule->hedge,
 		.idempotent = call->rule->idempotent,
 		.answer_begun = call->answering_attempt != NULL,
@@ -32,12 +32,12 @@
 	};
 }
 
-void call_fill_retry_question(const struct call *call, enum retry_outcome outcome,
-			      struct retry_context *question)
+void call_fill_retry_context(const struct call *call, enum retry_outcome outcome,
+			     struct retry_context *context)
 {
 	bool busy = outcome == RETRY_OUTCOME_BUSY;
 
-	*question = (struct retry_context){
+	*context = (struct retry_context){
 		.outcome = outcome,
 		.idempotent = call->rule->idempotent,
 		.answer_begun = call->answering_attempt != NULL,
--- a/comfreydockd/caller/connection_input.c
+++ b/comfreydockd/caller/connection_input.c
@@ -147,18 +147,18 @@
 {
 	const struct listener *listener = connection->listener;
 	struct call_request call;
-	struct pipeline_request question = {
+	struct pipeline_request request = {
 		.unanswered = connection->unanswered - 1,
 		.has_body = !head->ends,
 		.total = listener->ahead,
 	};
 
-	if (question.unanswered == 0)
+	if (request.unanswered == 0)
 		return true;
 	connection_fill_call(connection, head, &call);
-	question.idempotent =
+	request.idempotent =
 		entry_request_is_idempotent(listener->daemon->entry, &call);
-	return pipeline_may_start(&question);
+	return pipeline_may_start(&request);
 }
 
 static void connection_take_head(struct connection *connection)
--- a/comfreydockd/caller/parallel.c
+++ b/comfreydockd/caller/parallel.c
@@ -13,12 +13,12 @@
 
 void call_arm_hedge(struct call *call)
 {
-	struct hedge_context question;
+	struct hedge_context context;
 	int64_t now = clock_mono_us();
 	int64_t delay;
 
-	call_fill_hedge_question(call, &question);
-	delay = hedge_delay_us(&call->service->hedge, &question, now);
+	call_fill_hedge_context(call, &context);
+	delay = hedge_delay_us(&call->service->hedge, &context, now);
 	if (delay >= 0)
 		call_start_timer(call, &call->hedge_timer, delay);
 }
@@ -46,7 +46,7 @@
 {
 	struct call *call = timer->data;
 	struct service_upstream *upstream;
-	struct hedge_context question;
+	struct hedge_context context;
 	int64_t now = clock_mono_us();
 
 	(void)loop;
@@ -54,8 +54,8 @@
 	if (LIST_EMPTY(&call->active) || !call->body_ends ||
 	    call->body_exceeds_buffer)
 		return;
-	call_fill_hedge_question(call, &question);
-	if (!hedge_take(&call->service->hedge, &question, now))
+	call_fill_hedge_context(call, &context);
+	if (!hedge_take(&call->service->hedge, &context, now))
 		return;
 	upstream = service_choose(call->service, &call->tried, now);
 	if (!upstream)
@@ -75,7 +75,7 @@
 static void call_overtake(struct call *call)
 {
 	struct entry_attempt *slow = LIST_FIRST(&call->active);
-	struct retry_context question;
+	struct retry_context context;
 	struct service_upstream *upstream;
 	enum retry_verdict verdict;
 	int64_t now = clock_mono_us();
@@ -84,8 +84,8 @@
 	if (!slow || LIST_NEXT(slow, link) || call->body_exceeds_buffer ||
 	    !call->body_ends)
 		return;
-	call_fill_retry_question(call, RETRY_OUTCOME_UNKNOWN, &question);
-	verdict = retry_decide(&call->service->retry, &question,
+	call_fill_retry_context(call, RETRY_OUTCOME_UNKNOWN, &context);
+	verdict = retry_decide(&call->service->retry, &context,
 			       &call->entry->random, now)
 			  .verdict;
 	if (verdict != RETRY_GO) {
--- a/include/comfreydockd/caller/call.h
+++ b/include/comfreydockd/caller/call.h
@@ -92,7 +92,7 @@
 	bool has_retried_refused; /* see call_retry_refused() in call.c */
 	uint32_t attempts; /* without hedges, but with overtaking attempts */
 	uint32_t busy_refusals; /* of them, refused as busy */
-	uint32_t uncounted_attempts; /* of them, never sent or NOT_HERE */
+	uint32_t uncounted_attempts; /* of them, see retry_counts() */
 	uint32_t hedges;
 	uint32_t max_attempts;
 	bool may_have_run; /* an attempt ended UNKNOWN */
--- a/include/comfreydockd/caller/call_internal.h
+++ b/include/comfreydockd/caller/call_internal.h
@@ -24,8 +24,8 @@
 /* Ends the call with what is known by now. Aborts an answer that has begun. */
 void call_end_now(struct call *call);
 
-void call_fill_hedge_question(const struct call *call,
-			      struct hedge_context *question);
+void call_fill_hedge_context(const struct call *call,
+			     struct hedge_context *context);
 
 /* RETURN VALUE: the attempts so far that count against the rule's limit. */
 uint32_t call_counted_attempts(const struct call *call);
@@ -36,8 +36,8 @@
 
 /* RETURN VALUE: the number of upstreams not yet tried. */
 size_t call_untried(const struct call *call);
-void call_fill_retry_question(const struct call *call, enum retry_outcome outcome,
-			      struct retry_context *question);
+void call_fill_retry_context(const struct call *call, enum retry_outcome outcome,
+			     struct retry_context *context);
 
 /* parallel.c: attempts that are sent in parallel to an outstanding one, which
  * may be slow (a hedge) or whose owner may be gone (an overtaking attempt). */
