--- a/comfreydockd/upstream/gate.c
+++ b/comfreydockd/upstream/gate.c
@@ -170,7 +170,7 @@
 		owner->load_at_us = now;
 		has_turned = pace_note(&owner->pace, load->percent, now);
 	} else if (owner->pace.percent) {
-		/* The upstream didn't answer: go on with the last pace. */
+		/* No valid report came: go on with the last pace. */
 		owner->pace.at_us = now;
 	}
 	if (has_turned) {
--- a/include/comfreydockd/upstream/gate.h
+++ b/include/comfreydockd/upstream/gate.h
@@ -37,7 +37,7 @@
 /* Decides again about all held attempts, after a load report or some time. */
 void gate_review(struct owner *owner);
 
-/* Records the load that the upstream reported; NULL if it did not answer. */
+/* Records the load that the upstream reported; NULL if no valid report came. */
 void gate_note_load(struct owner *owner, const struct answer_load *load);
 
 /* Tells the circuit breaker how a run ended. is_answer: with a complete answer,
